--- a/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
@@ -22,7 +22,7 @@
     private final Map<String, OrganisationRule> organisations = new HashMap<>();
     private final Map<String, OrganisationRule> organisationsByKey = new HashMap<>();
     private final Map<String, List<RouteRule>> routesByHost = new HashMap<>();
-    private final Set<String> places = new HashSet<>();
+    private final Set<String> hostAndPathPrefixes = new HashSet<>();
     private final CallerLimits limits;
     private final List<TableFault> faults = new ArrayList<>();
 
@@ -107,7 +107,7 @@
      * @return the route, or nothing where none matches.
      */
     public Optional<RouteRule> match(String host, String path) {
-        List<RouteRule> candidates = routesByHost.getOrDefault(bareHost(host), List.of());
+        List<RouteRule> candidates = routesByHost.getOrDefault(hostWithoutPort(host), List.of());
         for (RouteRule route : candidates) {
             if (path.startsWith(route.pathPrefix())) {
                 return Optional.of(route);
@@ -171,14 +171,14 @@
         if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
             faults.add(new TableFault(path + ".pathPrefix", "must begin and end with /"));
         }
-        String host = bareHost(route.host());
-        if (!places.add(host + route.pathPrefix())) {
+        String host = hostWithoutPort(route.host());
+        if (!hostAndPathPrefixes.add(host + route.pathPrefix())) {
             faults.add(new TableFault(path + ".pathPrefix", "another route has the same host and prefix"));
         }
         routesByHost.computeIfAbsent(host, key -> new ArrayList<>()).add(route);
     }
 
-    private static String bareHost(String host) {
+    private static String hostWithoutPort(String host) {
         int colon = host.lastIndexOf(':');
         boolean hasPort = colon > 0 && host.indexOf(']') < colon;
         return (hasPort ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
--- a/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
@@ -11,7 +11,7 @@
  * @param kind what may be repeated.
  * @param timeoutMillis the longest time that a caller is kept waiting, in milliseconds.
  * @param targetLatencyMillis the time within which an answer has its full value, in milliseconds; 0 for none.
- * @param gapMillis the longest pause between two events of a stream that callers accept, in milliseconds; 0 for none.
+ * @param maximumEventGapMillis the longest pause between two events of a stream that callers accept, in milliseconds; 0 for none.
  * @param priority the rank of the route; 0 is the most urgent.
  * @param shares the pools that serve the route.
  * @param maximumUpstreams on how many upstreams one request may run at most.
@@ -25,7 +25,7 @@
         RequestKind kind,
         long timeoutMillis,
         long targetLatencyMillis,
-        long gapMillis,
+        long maximumEventGapMillis,
         int priority,
         List<PoolShare> shares,
         int maximumUpstreams,
--- a/model/src/main/java/org/radishspur/model/codec/Json.java
+++ b/model/src/main/java/org/radishspur/model/codec/Json.java
@@ -39,7 +39,7 @@
      */
     public <T> T read(String text, Class<T> type, ErrorCode fault) {
         try {
-            return Mapper.INSTANCE.readValue(text, type);
+            return LazyMapper.INSTANCE.readValue(text, type);
         } catch (JsonProcessingException exception) {
             throw new RadishspurException(fault, exception.getOriginalMessage(), exception);
         }
@@ -115,7 +115,7 @@
      */
     public <T> T convert(JsonNode tree, Class<T> type, ErrorCode fault) {
         try {
-            return Mapper.INSTANCE.treeToValue(tree, type);
+            return LazyMapper.INSTANCE.treeToValue(tree, type);
         } catch (JsonProcessingException exception) {
             throw new RadishspurException(fault, exception.getOriginalMessage(), exception);
         }
@@ -129,7 +129,7 @@
      */
     public String write(Object value) {
         try {
-            return Mapper.INSTANCE.writeValueAsString(value);
+            return LazyMapper.INSTANCE.writeValueAsString(value);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
@@ -143,7 +143,7 @@
      */
     public String writePretty(Object value) {
         try {
-            return Mapper.INSTANCE.writerWithDefaultPrettyPrinter().writeValueAsString(value);
+            return LazyMapper.INSTANCE.writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
@@ -153,7 +153,7 @@
      * Holds the general mapper, which is made at its first use. Making it takes a tenth of the processor time of a start, as
      * it loads calendars and locales; entries read trees only and must not need it.
      */
-    private static final class Mapper {
+    private static final class LazyMapper {
         static final ObjectMapper INSTANCE = JsonMapper.builder()
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                 .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
--- a/model/src/main/java/org/radishspur/model/table/TablesValidator.java
+++ b/model/src/main/java/org/radishspur/model/table/TablesValidator.java
@@ -45,7 +45,7 @@
 
     private void validateRoute(RouteRow row, Tables tables, List<TableFault> faults) {
         String path = "routes." + row.name();
-        name(path + ".name", row.name(), faults);
+        checkName(path + ".name", row.name(), faults);
         if (row.pathPrefix() == null || !row.pathPrefix().startsWith("/")) {
             faults.add(new TableFault(path + ".pathPrefix", "must begin with /"));
         }
@@ -65,30 +65,31 @@
         } else if (row.defaultTier().isMoreUrgentThan(row.tierCeiling())) {
             faults.add(new TableFault(path + ".defaultTier", "must not be more urgent than tierCeiling"));
         }
-        range(path + ".deadlineCeilingMillis", row.deadlineCeilingMillis(), 1, MAXIMUM_DEADLINE_MILLIS, faults);
-        range(path + ".defaultDeadlineMillis", row.defaultDeadlineMillis(), 1, row.deadlineCeilingMillis(), faults);
-        range(path + ".bodyLimitBytes", row.bodyLimitBytes(), 0, MAXIMUM_BODY_BYTES, faults);
-        range(path + ".completeByMillis", row.completeByMillis(), 0, Long.MAX_VALUE, faults);
+        checkRange(path + ".deadlineCeilingMillis", row.deadlineCeilingMillis(), 1, MAXIMUM_DEADLINE_MILLIS, faults);
+        checkRange(
+                path + ".defaultDeadlineMillis", row.defaultDeadlineMillis(), 1, row.deadlineCeilingMillis(), faults);
+        checkRange(path + ".bodyLimitBytes", row.bodyLimitBytes(), 0, MAXIMUM_BODY_BYTES, faults);
+        checkRange(path + ".completeByMillis", row.completeByMillis(), 0, Long.MAX_VALUE, faults);
     }
 
     private void validatePool(PoolRow row, List<TableFault> faults) {
         String path = "pools." + row.name();
-        name(path + ".name", row.name(), faults);
+        checkName(path + ".name", row.name(), faults);
         if (row.kind() == null) {
             faults.add(new TableFault(path + ".kind", "must be ENGINE or SERVICE"));
         }
-        range(path + ".queueLimit", row.queueLimit(), 1, MAXIMUM_QUEUE, faults);
-        range(path + ".concurrencyLimit", row.concurrencyLimit(), 1, MAXIMUM_CONCURRENCY, faults);
-        range(path + ".upstreams", row.upstreams().size(), 0, MAXIMUM_UPSTREAMS, faults);
+        checkRange(path + ".queueLimit", row.queueLimit(), 1, MAXIMUM_QUEUE, faults);
+        checkRange(path + ".concurrencyLimit", row.concurrencyLimit(), 1, MAXIMUM_CONCURRENCY, faults);
+        checkRange(path + ".upstreams", row.upstreams().size(), 0, MAXIMUM_UPSTREAMS, faults);
         Set<String> names = new HashSet<>();
         for (int index = 0; index < row.upstreams().size(); index++) {
             UpstreamRow upstream = row.upstreams().get(index);
             String upstreamPath = path + ".upstreams[" + index + "]";
-            name(upstreamPath + ".name", upstream.name(), faults);
+            checkName(upstreamPath + ".name", upstream.name(), faults);
             if (!names.add(upstream.name())) {
                 faults.add(new TableFault(upstreamPath + ".name", "is used twice: " + upstream.name()));
             }
-            address(upstreamPath + ".address", upstream.address(), faults);
+            checkAddress(upstreamPath + ".address", upstream.address(), faults);
         }
         row.organisationWeights().forEach((organisation, weight) -> {
             if (!(weight > 0) || weight.isInfinite()) {
@@ -97,20 +98,20 @@
         });
     }
 
-    private static void name(String path, String value, List<TableFault> faults) {
+    private static void checkName(String path, String value, List<TableFault> faults) {
         if (value == null || !NAME.matcher(value).matches()) {
             faults.add(new TableFault(path, "must match " + NAME.pattern() + ": " + value));
         }
     }
 
-    private static void address(String path, String value, List<TableFault> faults) {
+    private static void checkAddress(String path, String value, List<TableFault> faults) {
         java.util.regex.Matcher matcher = ADDRESS.matcher(value == null ? "" : value);
         if (!matcher.matches() || Integer.parseInt(matcher.group(PORT_GROUP)) > MAXIMUM_PORT) {
             faults.add(new TableFault(path, "must be an IP number and a port: " + value));
         }
     }
 
-    private static void range(String path, long value, long least, long greatest, List<TableFault> faults) {
+    private static void checkRange(String path, long value, long least, long greatest, List<TableFault> faults) {
         if (value < least || value > greatest) {
             faults.add(new TableFault(path, "must be from " + least + " to " + greatest + ": " + value));
         }
--- a/replication/src/main/java/org/radishspur/replication/codec/Format.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/Format.java
@@ -299,20 +299,20 @@
     final class OfRecord implements Format {
         private final Constructor<?> constructor;
         private final Method[] accessors;
-        private final Format[] components;
+        private final Format[] componentFormats;
         private final Object[] absent;
 
         OfRecord(Class<?> type, Function<Type, Format> formats) {
             RecordComponent[] declared = type.getRecordComponents();
             Class<?>[] types = new Class<?>[declared.length];
             accessors = new Method[declared.length];
-            components = new Format[declared.length];
+            componentFormats = new Format[declared.length];
             absent = new Object[declared.length];
             for (int index = 0; index < declared.length; index++) {
                 types[index] = declared[index].getType();
                 accessors[index] = declared[index].getAccessor();
                 accessors[index].setAccessible(true);
-                components[index] = formats.apply(declared[index].getGenericType());
+                componentFormats[index] = formats.apply(declared[index].getGenericType());
                 absent[index] = absent(types[index]);
             }
             try {
@@ -339,10 +339,10 @@
         /** {@inheritDoc} */
         @Override
         public void write(Object value, MessagePacker packer) throws IOException {
-            packer.packArrayHeader(components.length);
-            for (int index = 0; index < components.length; index++) {
+            packer.packArrayHeader(componentFormats.length);
+            for (int index = 0; index < componentFormats.length; index++) {
                 try {
-                    writeNullable(components[index], accessors[index].invoke(value), packer);
+                    writeNullable(componentFormats[index], accessors[index].invoke(value), packer);
                 } catch (ReflectiveOperationException exception) {
                     throw new IOException("can't read a component of " + value.getClass(), exception);
                 }
@@ -355,11 +355,11 @@
             int length = unpacker.unpackArrayHeader();
             Object[] values = absent.clone();
             for (int index = 0; index < length; index++) {
-                if (index >= components.length) {
+                if (index >= componentFormats.length) {
                     unpacker.skipValue();
                     continue;
                 }
-                Object value = readNullable(components[index], unpacker);
+                Object value = readNullable(componentFormats[index], unpacker);
                 values[index] = value == null ? absent[index] : value;
             }
             try {
@@ -416,7 +416,7 @@
      * Makes the formats of types.
      */
     final class Factory {
-        private final Map<Type, Format> made = new java.util.concurrent.ConcurrentHashMap<>();
+        private final Map<Type, Format> cache = new java.util.concurrent.ConcurrentHashMap<>();
 
         /**
          * Returns the format of a type.
@@ -425,20 +425,20 @@
          * @return the format.
          */
         Format of(Type type) {
-            Format known = made.get(type);
+            Format known = cache.get(type);
             if (known == null) {
-                known = make(type, Map.of());
-                made.put(type, known);
+                known = create(type, Map.of());
+                cache.put(type, known);
             }
             return known;
         }
 
-        private Format make(Type type, Map<TypeVariable<?>, Type> variables) {
+        private Format create(Type type, Map<TypeVariable<?>, Type> variables) {
             if (type instanceof TypeVariable<?> variable) {
-                return make(variables.get(variable), Map.of());
+                return create(variables.get(variable), Map.of());
             }
             if (type instanceof ParameterizedType parameterized) {
-                return makeParameterized(parameterized, variables);
+                return createParameterized(parameterized, variables);
             }
             Optional<Format> scalar = OfScalar.of(type);
             if (scalar.isPresent()) {
@@ -455,21 +455,21 @@
             throw new IllegalArgumentException("no format for " + type);
         }
 
-        private Format makeParameterized(ParameterizedType type, Map<TypeVariable<?>, Type> variables) {
+        private Format createParameterized(ParameterizedType type, Map<TypeVariable<?>, Type> variables) {
             Class<?> raw = (Class<?>) type.getRawType();
             Type[] arguments = type.getActualTypeArguments();
             if (raw == Optional.class) {
-                return new OfOptional(make(arguments[0], variables));
+                return new OfOptional(create(arguments[0], variables));
             } else if (raw == Map.class) {
-                return new OfMap(make(arguments[0], variables), make(arguments[1], variables));
+                return new OfMap(create(arguments[0], variables), create(arguments[1], variables));
             } else if (Collection.class.isAssignableFrom(raw)) {
-                return new OfCollection(make(arguments[0], variables), raw == Set.class);
+                return new OfCollection(create(arguments[0], variables), raw == Set.class);
             } else if (raw.isRecord()) {
                 Map<TypeVariable<?>, Type> bound = new HashMap<>();
                 for (int index = 0; index < arguments.length; index++) {
                     bound.put(raw.getTypeParameters()[index], arguments[index]);
                 }
-                return new OfRecord(raw, component -> make(component, bound));
+                return new OfRecord(raw, component -> create(component, bound));
             }
             throw new IllegalArgumentException("no format for " + type);
         }
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -34,10 +34,10 @@
     private final ControlState state;
     private final Network network;
     private final Writer writer;
-    private final AppliedListener applied;
-    private final TreeMap<Long, Pending> pending = new TreeMap<>();
+    private final AppliedListener appliedListener;
+    private final TreeMap<Long, PendingProposal> pending = new TreeMap<>();
     private long appliedSinceSnapshot;
-    private boolean snapshotUnderWay;
+    private boolean snapshotInProgress;
     private long lastApplied;
 
     /**
@@ -55,7 +55,7 @@
         this.state = new ControlState(options.state());
         this.network = surroundings.network();
         this.writer = surroundings.writer();
-        this.applied = surroundings.applied();
+        this.appliedListener = surroundings.appliedListener();
     }
 
     /**
@@ -98,7 +98,7 @@
             listener.onEnd(new Proposal.NotLeader(core.leader()));
             return;
         }
-        pending.put(index.getAsLong(), new Pending(core.term(), listener));
+        pending.put(index.getAsLong(), new PendingProposal(core.term(), listener));
     }
 
     /**
@@ -129,7 +129,7 @@
         effects.installed().ifPresent(snapshot -> {
             state.restore(snapshot.state());
             lastApplied = snapshot.lastIndex();
-            applied.onApplied(state);
+            appliedListener.onApplied(state);
         });
         if (!effects.write().isEmpty() || !effects.afterWrite().isEmpty()) {
             writer.write(effects.write(), writtenAt -> {
@@ -140,8 +140,8 @@
             });
         }
         apply(effects.committed());
-        failOrphans();
-        snapshotIfDue();
+        failPendingProposals();
+        takeSnapshotIfDue();
     }
 
     /**
@@ -169,7 +169,7 @@
             appliedSinceSnapshot++;
             if (entry.payload() instanceof LogEntry.Payload.Command command) {
                 var answer = state.apply(MessagePack.INSTANCE.decode(command.bytes(), ControlCommand.class));
-                Pending waiting = pending.remove(entry.index());
+                PendingProposal waiting = pending.remove(entry.index());
                 if (waiting != null) {
                     waiting.listener()
                             .onEnd(
@@ -181,13 +181,13 @@
             }
         }
         if (changed) {
-            applied.onApplied(state);
+            appliedListener.onApplied(state);
         }
     }
 
-    private void failOrphans() {
+    private void failPendingProposals() {
         if (core.role() != Role.LEADER && !pending.isEmpty()) {
-            List<Pending> orphans = new ArrayList<>(pending.values());
+            List<PendingProposal> orphans = new ArrayList<>(pending.values());
             pending.clear();
             orphans.forEach(orphan -> orphan.listener().onEnd(new Proposal.InDoubt()));
         }
@@ -198,17 +198,17 @@
      * that the work for each entry stays the same. Only the quick copy is made here; encoding and storing it would hold
      * up heartbeats long enough for an election.
      */
-    private void snapshotIfDue() {
+    private void takeSnapshotIfDue() {
         long due = Math.max(options.entriesPerSnapshot(), state.claims().size());
-        if (appliedSinceSnapshot < due || snapshotUnderWay) {
+        if (appliedSinceSnapshot < due || snapshotInProgress) {
             return;
         }
         appliedSinceSnapshot = 0;
-        snapshotUnderWay = true;
+        snapshotInProgress = true;
         Snapshot described = core.describe(lastApplied);
         ControlState.Image image = state.image();
         writer.stage(() -> described.withState(image.encode()), snapshot -> {
-            snapshotUnderWay = false;
+            snapshotInProgress = false;
             core.compact(snapshot);
         });
     }
@@ -240,10 +240,11 @@
      *
      * @param network sends messages to other replicas; it may lose them.
      * @param writer makes batches durable, in order.
-     * @param applied is notified of every change of the state.
+     * @param appliedListener is notified of every change of the state.
      * @param random the source of randomness.
      */
-    public record Surroundings(Network network, Writer writer, AppliedListener applied, RandomGenerator random) {}
+    public record Surroundings(
+            Network network, Writer writer, AppliedListener appliedListener, RandomGenerator random) {}
 
     /**
      * Sends messages to other replicas.
@@ -317,5 +318,5 @@
      * @param term the term in which the entry was proposed.
      * @param listener receives the outcome.
      */
-    private record Pending(long term, Proposal.Listener listener) {}
+    private record PendingProposal(long term, Proposal.Listener listener) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -37,13 +37,13 @@
     private final Identity identity;
     private final JournalFile.Factory journals;
     private final long journalBytes;
-    private final Deque<Journal> earlier = new ArrayDeque<>();
-    private final Set<Long> staged = ConcurrentHashMap.newKeySet();
+    private final Deque<ClosedJournal> closedJournals = new ArrayDeque<>();
+    private final Set<Long> stagedSnapshots = ConcurrentHashMap.newKeySet();
     private HardState hardState = HardState.INITIAL;
     private JournalFile current;
     private long currentNumber;
     private long currentLength;
-    private long currentGreatestIndex;
+    private long currentHighestIndex;
 
     /**
      * Opens a formatted folder.
@@ -52,7 +52,7 @@
      * @param identity the identity of the folder.
      */
     public FileDisk(DataFolder folder, Identity identity) {
-        this(folder, identity, JournalFile.ForChannel::new, STANDARD_JOURNAL_BYTES);
+        this(folder, identity, JournalFile.ChannelJournalFile::new, STANDARD_JOURNAL_BYTES);
     }
 
     FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journals, long journalBytes) {
@@ -95,7 +95,7 @@
         }
         try {
             if (batch.snapshot().isPresent()
-                    && !staged.remove(batch.snapshot().get().lastIndex())) {
+                    && !stagedSnapshots.remove(batch.snapshot().get().lastIndex())) {
                 writeSnapshot(batch.snapshot().get());
             }
             if (currentLength > journalBytes) {
@@ -108,7 +108,7 @@
                     batch.entries(),
                     batch.snapshot().map(Snapshot::lastIndex).orElse(0L),
                     batch.snapshot().map(Snapshot::lastTerm).orElse(0L)));
-            batch.snapshot().ifPresent(this::discardCovered);
+            batch.snapshot().ifPresent(this::deleteCoveredFiles);
         } catch (IOException exception) {
             throw DiskFaults.translate("can't write to " + folder.path(), exception);
         }
@@ -119,7 +119,7 @@
     public void stage(Snapshot snapshot) {
         try {
             writeSnapshot(snapshot);
-            staged.add(snapshot.lastIndex());
+            stagedSnapshots.add(snapshot.lastIndex());
         } catch (IOException exception) {
             throw DiskFaults.translate("can't write to " + folder.path(), exception);
         }
@@ -139,8 +139,8 @@
 
     private void replayJournal(Path file, boolean last, Replay replay) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
-        JournalReader.Intact intact =
-                JournalReader.read(bytes, last, file.getFileName().toString());
+        JournalCodec.IntactPrefix intact =
+                JournalCodec.read(bytes, last, file.getFileName().toString());
         long greatest = 0;
         for (JournalRecord record : intact.records()) {
             if (!record.replica().equals(identity.replica())) {
@@ -153,19 +153,19 @@
         if (last) {
             currentNumber = number;
             currentLength = intact.length();
-            currentGreatestIndex = greatest;
+            currentHighestIndex = greatest;
             current = journals.open(file);
             current.truncate(currentLength);
             current.force();
         } else {
-            earlier.add(new Journal(file, greatest));
+            closedJournals.add(new ClosedJournal(file, greatest));
         }
     }
 
     private void openJournal(long number) throws IOException {
         currentNumber = number;
         currentLength = 0;
-        currentGreatestIndex = 0;
+        currentHighestIndex = 0;
         current = journals.open(folder.path().resolve(nameOf(JOURNAL_PREFIX, number)));
         folder.syncFolder();
         appendRecord(new JournalRecord(identity.replica(), Optional.of(hardState), List.of(), 0, 0));
@@ -173,12 +173,13 @@
 
     private void roll() throws IOException {
         current.close();
-        earlier.add(new Journal(folder.path().resolve(nameOf(JOURNAL_PREFIX, currentNumber)), currentGreatestIndex));
+        closedJournals.add(
+                new ClosedJournal(folder.path().resolve(nameOf(JOURNAL_PREFIX, currentNumber)), currentHighestIndex));
         openJournal(currentNumber + 1);
     }
 
     private void appendRecord(JournalRecord record) throws IOException {
-        ByteBuffer frame = JournalReader.frame(record);
+        ByteBuffer frame = JournalCodec.frame(record);
         int length = frame.remaining();
         try {
             current.append(frame);
@@ -191,7 +192,7 @@
         current.force();
         currentLength += length;
         for (LogEntry entry : record.entries()) {
-            currentGreatestIndex = Math.max(currentGreatestIndex, entry.index());
+            currentHighestIndex = Math.max(currentHighestIndex, entry.index());
         }
     }
 
@@ -225,10 +226,10 @@
         return MessagePack.INSTANCE.decode(payload, Snapshot.class);
     }
 
-    private void discardCovered(Snapshot snapshot) {
+    private void deleteCoveredFiles(Snapshot snapshot) {
         try {
-            while (!earlier.isEmpty() && earlier.peek().greatestIndex() <= snapshot.lastIndex()) {
-                Files.deleteIfExists(earlier.remove().path());
+            while (!closedJournals.isEmpty() && closedJournals.peek().highestIndex() <= snapshot.lastIndex()) {
+                Files.deleteIfExists(closedJournals.remove().path());
             }
             List<Path> snapshots = folder.list(SNAPSHOT_PREFIX);
             for (Path old : snapshots.subList(0, Math.max(0, snapshots.size() - KEPT_SNAPSHOTS))) {
@@ -252,9 +253,9 @@
      * Remembers a journal that is full.
      *
      * @param path the file.
-     * @param greatestIndex the greatest index of an entry in it.
+     * @param highestIndex the greatest index of an entry in it.
      */
-    private record Journal(Path path, long greatestIndex) {}
+    private record ClosedJournal(Path path, long highestIndex) {}
 
     /**
      * Rebuilds the log by applying the records in the order in which they were written.
@@ -272,7 +273,7 @@
         long apply(JournalRecord record) throws IOException {
             hardState = record.hardState().orElse(hardState);
             if (record.snapshotIndex() > 0) {
-                applySnapshotMark(record.snapshotIndex(), record.snapshotTerm());
+                applySnapshotMarker(record.snapshotIndex(), record.snapshotTerm());
             }
             long greatest = 0;
             for (LogEntry entry : record.entries()) {
@@ -286,7 +287,7 @@
         }
 
         /** Keeps the entries behind a snapshot only if they continue it, as the replica itself did. */
-        private void applySnapshotMark(long index, long term) {
+        private void applySnapshotMarker(long index, long term) {
             boolean continues = entries.stream().anyMatch(entry -> entry.index() == index && entry.term() == term);
             snapshotIndex = index;
             entries = continues
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalReader.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
@@ -12,19 +12,19 @@
 /**
  * Frames the records of a journal and finds where an intact beginning ends.
  */
-final class JournalReader {
+final class JournalCodec {
     /** The bytes before each record: a mark, the length and the checksum. */
     static final int HEADER_BYTES = 12;
 
-    private static final int MARK = 0x52414453;
+    private static final int MAGIC = 0x52414453;
     private static final int MAXIMUM_RECORD_BYTES = 1 << 28;
 
-    private JournalReader() {}
+    private JournalCodec() {}
 
     static ByteBuffer frame(JournalRecord record) {
         byte[] payload = MessagePack.INSTANCE.encode(record);
         ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length);
-        frame.putInt(MARK).putInt(payload.length).putInt(checksum(payload, 0, payload.length));
+        frame.putInt(MAGIC).putInt(payload.length).putInt(checksum(payload, 0, payload.length));
         return frame.put(payload).flip();
     }
 
@@ -40,13 +40,13 @@
      * @param name the name of the file, for the error.
      * @return the records and the length of the intact beginning.
      */
-    static Intact read(byte[] bytes, boolean last, String name) {
+    static IntactPrefix read(byte[] bytes, boolean last, String name) {
         List<JournalRecord> records = new ArrayList<>();
         int position = 0;
         while (position < bytes.length) {
             int length = recordLengthAt(bytes, position);
             if (length < 0) {
-                boolean torn = last && !anyRecordAfter(bytes, position + 1);
+                boolean torn = last && !hasIntactRecordFrom(bytes, position + 1);
                 if (!torn) {
                     throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is damaged at byte " + position);
                 }
@@ -57,12 +57,12 @@
             records.add(MessagePack.INSTANCE.decode(payload, JournalRecord.class));
             position += HEADER_BYTES + length;
         }
-        return new Intact(records, position);
+        return new IntactPrefix(records, position);
     }
 
-    private static boolean anyRecordAfter(byte[] bytes, int from) {
+    private static boolean hasIntactRecordFrom(byte[] bytes, int from) {
         for (int position = from; position + HEADER_BYTES <= bytes.length; position++) {
-            if (bytes[position] == MARK >>> 24 && recordLengthAt(bytes, position) >= 0) {
+            if (bytes[position] == MAGIC >>> 24 && recordLengthAt(bytes, position) >= 0) {
                 return true;
             }
         }
@@ -80,7 +80,7 @@
         int checksum = header.getInt();
         boolean fits =
                 length >= 0 && length <= MAXIMUM_RECORD_BYTES && length <= bytes.length - position - HEADER_BYTES;
-        if (mark != MARK || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
+        if (mark != MAGIC || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
             return -1;
         }
         return length;
@@ -98,5 +98,5 @@
      * @param records its records.
      * @param length its length in bytes.
      */
-    record Intact(List<JournalRecord> records, long length) {}
+    record IntactPrefix(List<JournalRecord> records, long length) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalFile.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalFile.java
@@ -55,7 +55,7 @@
     /**
      * Writes through a file channel.
      */
-    final class ForChannel implements JournalFile {
+    final class ChannelJournalFile implements JournalFile {
         private final FileChannel channel;
 
         /**
@@ -64,7 +64,7 @@
          * @param path the file.
          * @throws IOException if the file can't be opened.
          */
-        ForChannel(Path path) throws IOException {
+        ChannelJournalFile(Path path) throws IOException {
             channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             channel.position(channel.size());
         }
--- a/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
+++ b/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
@@ -17,32 +17,32 @@
 
 class MessagePackTest {
     /** Stands for an older version of a record. */
-    record Narrow(long first, String second) {}
+    record OlderRecord(long first, String second) {}
 
     /** Stands for a newer version of the same record. */
-    record Wide(long first, String second, Optional<String> third, List<Integer> fourth, boolean fifth) {}
+    record NewerRecord(long first, String second, Optional<String> third, List<Integer> fourth, boolean fifth) {}
 
     /** Uses every kind of component. */
-    record Broad(
+    record MixedRecord(
             int whole,
             double fraction,
             byte[] bytes,
             int[] numbers,
             Map<String, Set<Long>> sets,
-            Optional<Narrow> inner) {}
+            Optional<OlderRecord> inner) {}
 
     @Nested
     class RoundTrips {
         @Test
         void keepsEveryKindOfComponent() {
-            Broad broad = new Broad(
+            MixedRecord broad = new MixedRecord(
                     -7,
                     0.25,
                     new byte[] {1, 2},
                     new int[] {3, -4, 5},
                     Map.of("a", Set.of(1L, Long.MAX_VALUE)),
-                    Optional.of(new Narrow(Long.MIN_VALUE, "ü")));
-            Broad read = MessagePack.INSTANCE.decode(MessagePack.INSTANCE.encode(broad), Broad.class);
+                    Optional.of(new OlderRecord(Long.MIN_VALUE, "ü")));
+            MixedRecord read = MessagePack.INSTANCE.decode(MessagePack.INSTANCE.encode(broad), MixedRecord.class);
             assertThat(read).usingRecursiveComparison().isEqualTo(broad);
         }
 
@@ -67,15 +67,16 @@
     class BetweenVersions {
         @Test
         void skipsWhatANewerVersionAdds() {
-            byte[] bytes = MessagePack.INSTANCE.encode(new Wide(1, "two", Optional.of("three"), List.of(4), true));
-            assertThat(MessagePack.INSTANCE.decode(bytes, Narrow.class)).isEqualTo(new Narrow(1, "two"));
+            byte[] bytes =
+                    MessagePack.INSTANCE.encode(new NewerRecord(1, "two", Optional.of("three"), List.of(4), true));
+            assertThat(MessagePack.INSTANCE.decode(bytes, OlderRecord.class)).isEqualTo(new OlderRecord(1, "two"));
         }
 
         @Test
         void standsInForWhatAnOlderVersionLacks() {
-            byte[] bytes = MessagePack.INSTANCE.encode(new Narrow(1, "two"));
-            assertThat(MessagePack.INSTANCE.decode(bytes, Wide.class))
-                    .isEqualTo(new Wide(1, "two", Optional.empty(), null, false));
+            byte[] bytes = MessagePack.INSTANCE.encode(new OlderRecord(1, "two"));
+            assertThat(MessagePack.INSTANCE.decode(bytes, NewerRecord.class))
+                    .isEqualTo(new NewerRecord(1, "two", Optional.empty(), null, false));
         }
     }
 
@@ -83,15 +84,15 @@
     class Malformed {
         @Test
         void reportsAnUnknownSubtype() {
-            byte[] bytes = MessagePack.INSTANCE.encode(new Narrow(99, "none"));
+            byte[] bytes = MessagePack.INSTANCE.encode(new OlderRecord(99, "none"));
             assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, RaftMessage.class))
                     .isInstanceOf(RadishspurException.class);
         }
 
         @Test
         void reportsBytesThatEndTooSoon() {
-            byte[] bytes = java.util.Arrays.copyOf(MessagePack.INSTANCE.encode(new Narrow(1, "two")), 3);
-            assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, Narrow.class))
+            byte[] bytes = java.util.Arrays.copyOf(MessagePack.INSTANCE.encode(new OlderRecord(1, "two")), 3);
+            assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, OlderRecord.class))
                     .isInstanceOf(RadishspurException.class);
         }
 
@@ -99,7 +100,7 @@
         @Test
         void reportsALengthThatTheBytesDoNotHold() {
             byte[] bytes = {(byte) 0x96, 0, (byte) 0xc0, (byte) 0xc0, (byte) 0xdd, 0x7f, -1, -1, -1, 1};
-            assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, Broad.class))
+            assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, MixedRecord.class))
                     .isInstanceOf(RadishspurException.class);
         }
     }
--- a/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
+++ b/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
@@ -42,7 +42,7 @@
     }
 
     private FileDisk open() {
-        return new FileDisk(folder, IDENTITY, JournalFile.ForChannel::new, SMALL_JOURNAL);
+        return new FileDisk(folder, IDENTITY, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL);
     }
 
     private static WriteBatch entries(long term, long from, long to) {
@@ -166,7 +166,7 @@
         void theJournalOfAnotherReplicaIsReported() throws IOException {
             write(entries(1, 1, 1));
             Identity other = Identity.ofJoiner("cluster", "a", "x");
-            FileDisk disk = new FileDisk(folder, other, JournalFile.ForChannel::new, SMALL_JOURNAL);
+            FileDisk disk = new FileDisk(folder, other, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL);
             assertCode(ErrorCode.FOREIGN_DATA, disk::recover);
         }
     }
@@ -176,11 +176,11 @@
         /** Guards against a failure in which a full disk damages the log of a control host for good. */
         @Test
         void aFullDiskDamagesNothing() {
-            FlakyJournal flaky = new FlakyJournal();
+            FaultyJournalFactory flaky = new FaultyJournalFactory();
             try (FileDisk disk = new FileDisk(folder, IDENTITY, flaky::open, SMALL_JOURNAL)) {
                 disk.recover();
                 disk.write(entries(1, 1, 1));
-                flaky.fullNext = true;
+                flaky.diskFullAtNextAppend = true;
                 assertCode(ErrorCode.DISK_FULL, () -> disk.write(entries(1, 2, 2)));
                 disk.write(entries(1, 2, 2));
             }
@@ -189,10 +189,10 @@
 
         @Test
         void aFailedSyncIsNotTakenForSuccess() {
-            FlakyJournal flaky = new FlakyJournal();
+            FaultyJournalFactory flaky = new FaultyJournalFactory();
             try (FileDisk disk = new FileDisk(folder, IDENTITY, flaky::open, SMALL_JOURNAL)) {
                 disk.recover();
-                flaky.failNextSync = true;
+                flaky.failSync = true;
                 assertCode(ErrorCode.DISK_FAILED, () -> disk.write(entries(1, 1, 1)));
             }
         }
@@ -222,17 +222,17 @@
     /**
      * Fails when told to.
      */
-    private static final class FlakyJournal {
-        private boolean fullNext;
-        private boolean failNextSync;
+    private static final class FaultyJournalFactory {
+        private boolean diskFullAtNextAppend;
+        private boolean failSync;
 
         JournalFile open(Path file) throws IOException {
-            JournalFile real = new JournalFile.ForChannel(file);
+            JournalFile real = new JournalFile.ChannelJournalFile(file);
             return new JournalFile() {
                 @Override
                 public void append(ByteBuffer bytes) throws IOException {
-                    if (fullNext) {
-                        fullNext = false;
+                    if (diskFullAtNextAppend) {
+                        diskFullAtNextAppend = false;
                         real.append(bytes.slice(0, bytes.remaining() / 2));
                         throw new IOException("No space left on device");
                     }
@@ -241,7 +241,7 @@
 
                 @Override
                 public void force() throws IOException {
-                    if (failNextSync) {
+                    if (failSync) {
                         throw new IOException("Input/output error");
                     }
                     real.force();
