--- a/model/src/main/java/org/radishspur/model/catalogue/CallerLimits.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/CallerLimits.java
@@ -1,14 +1,14 @@
 package org.radishspur.model.catalogue;
 
 /**
- * Bounds what a caller may send and how long it may take.
+ * Limits the size of a caller's requests and the time that a caller may take to send them.
  *
- * @param headerBytes the greatest size of a request's head.
- * @param bodyBytes the greatest size of a body.
- * @param headerMillis how long a caller may take to send a head, in milliseconds.
- * @param idleMillis how long a connection may be idle between requests, in milliseconds.
+ * @param headerBytes the maximum size of a request line with its headers, in bytes.
+ * @param bodyBytes the maximum size of a request body, in bytes.
+ * @param headerMillis the maximum time for sending the request line and headers, in milliseconds.
+ * @param idleMillis the maximum time that a connection may be idle between requests, in milliseconds.
  */
 public record CallerLimits(int headerBytes, int bodyBytes, long headerMillis, long idleMillis) {
-    /** What holds before the first catalogue is known; the sizes are those that HTTP libraries commonly take. */
+    /** The limits before the first catalogue has been received; the sizes are common defaults of HTTP libraries. */
     public static final CallerLimits STANDARD = new CallerLimits(16_384, 4 << 20, 5_000, 15_000);
 }
--- a/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
@@ -13,7 +13,8 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Holds routes, pools and organisations as one value; an edit is a whole new catalogue with a higher revision.
+ * Holds the configured routes, pools, organisations and caller limits at one revision. A catalogue is never edited in
+ * place: each change is a complete new catalogue with a higher revision.
  */
 public final class Catalogue {
     private final long revision;
@@ -27,13 +28,13 @@
     private final List<TableFault> faults = new ArrayList<>();
 
     /**
-     * Creates a catalogue, which may be invalid.
+     * Creates a catalogue and validates it; {@link #faults()} lists what is invalid.
      *
-     * @param revision the revision, by which newer catalogues are told from older ones.
+     * @param revision the revision, which is higher in newer catalogues.
      * @param routes the routes.
      * @param pools the pools.
      * @param organisations the organisations.
-     * @param limits what callers may send.
+     * @param limits the limits on callers' requests.
      */
     public Catalogue(
             long revision,
@@ -55,9 +56,9 @@
     }
 
     /**
-     * Lists what makes this catalogue invalid.
+     * Returns the validation errors of this catalogue.
      *
-     * @return the faults, none where the catalogue may be put in force.
+     * @return the faults, empty if the catalogue is valid and may be applied.
      */
     public List<TableFault> faults() {
         return List.copyOf(faults);
@@ -75,14 +76,14 @@
     /**
      * Returns the routes.
      *
-     * @return the routes in the order of the document.
+     * @return the routes in the order in which they were configured.
      */
     public List<RouteRule> routes() {
         return routes;
     }
 
     /**
-     * Returns what callers may send.
+     * Returns the limits on callers' requests.
      *
      * @return the limits.
      */
@@ -100,11 +101,11 @@
     }
 
     /**
-     * Finds the route with the longest prefix that begins a path.
+     * Finds the route for a request; among several matching routes, the one with the longest path prefix is returned.
      *
-     * @param host the host name that the caller asked for, perhaps with a port.
-     * @param path the path without its query.
-     * @return the route, or nothing where none matches.
+     * @param host the host name in the request, optionally with a port.
+     * @param path the request path without its query.
+     * @return the route, or empty if none matches.
      */
     public Optional<RouteRule> match(String host, String path) {
         List<RouteRule> candidates = routesByHost.getOrDefault(hostWithoutPort(host), List.of());
@@ -117,20 +118,20 @@
     }
 
     /**
-     * Finds the organisation that holds a key.
+     * Finds the organisation that an API key belongs to.
      *
-     * @param key the key.
-     * @return the organisation, or nothing where nobody holds the key.
+     * @param key the API key.
+     * @return the organisation, or empty if no organisation has this key.
      */
     public Optional<OrganisationRule> holderOf(String key) {
         return Optional.ofNullable(organisationsByKey.get(key));
     }
 
     /**
-     * Finds a pool.
+     * Finds a pool by its name.
      *
      * @param name the name of the pool.
-     * @return the pool, or nothing where there is none of that name.
+     * @return the pool, or empty if no pool has this name.
      */
     public Optional<PoolRule> pool(String name) {
         return Optional.ofNullable(pools.get(name));
@@ -138,18 +139,19 @@
 
     private void addPool(PoolRule pool) {
         if (pools.put(pool.name(), pool) != null) {
-            faults.add(new TableFault("pools." + pool.name(), "is described twice"));
+            faults.add(new TableFault("pools." + pool.name(), "is defined twice"));
         }
     }
 
     private void addOrganisation(OrganisationRule organisation) {
         if (organisations.put(organisation.name(), organisation) != null) {
-            faults.add(new TableFault("organisations." + organisation.name(), "is described twice"));
+            faults.add(new TableFault("organisations." + organisation.name(), "is defined twice"));
         }
         for (String key : organisation.keys()) {
             if (organisationsByKey.put(key, organisation) != null) {
                 faults.add(new TableFault(
-                        "organisations." + organisation.name() + ".keys", "a key belongs to another organisation too"));
+                        "organisations." + organisation.name() + ".keys",
+                        "a key also belongs to another organisation"));
             }
         }
     }
@@ -161,11 +163,11 @@
         }
         boolean negative = route.shares().stream().anyMatch(share -> share.weight() < 0);
         if (negative || route.shares().stream().mapToDouble(PoolShare::weight).sum() <= 0) {
-            faults.add(new TableFault(path + ".shares", "must have weights whose sum is above 0"));
+            faults.add(new TableFault(path + ".shares", "must have no negative weight and a sum above 0"));
         }
         for (PoolShare share : route.shares()) {
             if (!pools.containsKey(share.pool())) {
-                faults.add(new TableFault(path + ".shares", "names no pool: " + share.pool()));
+                faults.add(new TableFault(path + ".shares", "refers to an unknown pool: " + share.pool()));
             }
         }
         if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
--- a/model/src/main/java/org/radishspur/model/catalogue/ColdStart.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/ColdStart.java
@@ -3,25 +3,26 @@
 import java.util.Objects;
 
 /**
- * Says how many requests the upstreams of a pool bear while they are cold.
+ * Limits the request rate of a pool's upstreams while they warm up after a start.
  *
- * @param millis how long an upstream stays cold after its start, in milliseconds.
- * @param requestsPerSecond how many requests it bears in one second until then; far more crash it.
+ * @param millis the duration of the warm-up after a start, in milliseconds; 0 for no limit.
+ * @param requestsPerSecond the maximum number of requests per second during the warm-up; a much higher rate crashes the
+ *     upstream.
  */
 public record ColdStart(long millis, double requestsPerSecond) {
-    /** Stands for a pool whose upstreams bear their full load from the start. */
+    /** The value for pools whose upstreams can take their full load immediately after a start. */
     public static final ColdStart NONE = new ColdStart(0, 0);
 
     /**
-     * Returns whether there is a limit.
+     * Returns whether the request rate is limited after a start.
      *
-     * @return whether upstreams of the pool may be cold.
+     * @return whether there is a warm-up with a limit.
      */
     public boolean isLimited() {
         return millis > 0;
     }
 
-    /** {@inheritDoc} Written out, as the generated one is put together at run time, at each start of a process. */
+    /** {@inheritDoc} Written by hand: the method that records generate is linked at run time, at each process start. */
     @Override
     public boolean equals(Object other) {
         return other instanceof ColdStart start
--- a/model/src/main/java/org/radishspur/model/catalogue/OrganisationRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/OrganisationRule.java
@@ -3,15 +3,16 @@
 import java.util.Set;
 
 /**
- * Describes one organisation that calls the system.
+ * Describes one organisation: its API keys, the priority of its requests and its rate limit.
  *
  * @param name the name of the organisation.
- * @param keys the keys that its callers show.
- * @param priority the rank of all its requests, or a negative number where the route's rank counts.
- * @param ratePerSecond what it may use a second, in tokens or requests; 0 for no limit.
- * @param burst what it may use at once beyond the rate, in the same unit.
- * @param countsTokens whether its limit counts tokens; else it counts requests.
- * @param plainTokens what a request counts that states no tokens.
+ * @param keys the API keys with which its callers authenticate.
+ * @param priority the priority of all its requests, 0 being the most urgent; a negative number selects the route's
+ *     priority.
+ * @param ratePerSecond the rate limit, in tokens or requests per second; 0 for no limit.
+ * @param burst the burst that is allowed on top of the rate, in tokens or requests.
+ * @param countsTokens whether the rate limit counts tokens; if not, it counts requests.
+ * @param plainTokens the number of tokens that is charged for a request that doesn't state any.
  */
 public record OrganisationRule(
         String name,
@@ -28,10 +29,10 @@
     }
 
     /**
-     * Tells what a request takes from the organisation's limit.
+     * Returns the cost of a request under the organisation's rate limit.
      *
-     * @param tokens the tokens that the request states, or 0.
-     * @return its cost in the unit of the limit.
+     * @param tokens the number of tokens that the request states, or 0 if it states none.
+     * @return the cost in the unit of the limit, that is, tokens or requests.
      */
     public double cost(long tokens) {
         if (!countsTokens) {
@@ -41,13 +42,13 @@
     }
 
     /**
-     * Returns this rule with a part of its limit.
+     * Returns a copy of this rule with a share of its rate limit and burst.
      *
-     * @param part the part, from 0 to 1.
-     * @return the changed rule.
+     * @param share the share, from 0 to 1.
+     * @return the scaled rule.
      */
-    public OrganisationRule withPart(double part) {
+    public OrganisationRule withPart(double share) {
         return new OrganisationRule(
-                name, keys, priority, ratePerSecond * part, burst * part, countsTokens, plainTokens);
+                name, keys, priority, ratePerSecond * share, burst * share, countsTokens, plainTokens);
     }
 }
--- a/model/src/main/java/org/radishspur/model/catalogue/PoolShare.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/PoolShare.java
@@ -1,9 +1,9 @@
 package org.radishspur.model.catalogue;
 
 /**
- * Gives one pool its part of a route's requests.
+ * Assigns a share of a route's requests to one pool.
  *
  * @param pool the name of the pool.
- * @param weight the part relative to the other shares of the route.
+ * @param weight the weight of the pool, relative to the other shares of the route.
  */
 public record PoolShare(String pool, double weight) {}
--- a/model/src/main/java/org/radishspur/model/catalogue/RequestKind.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/RequestKind.java
@@ -1,14 +1,14 @@
 package org.radishspur.model.catalogue;
 
 /**
- * Says what may be repeated of the requests of a route.
+ * Classifies the requests of a route by whether they may be retried after an upstream may have run them.
  */
 public enum RequestKind {
-    /** A call without effects, which may run more than once. */
+    /** A call without side effects, which may run more than once. */
     SAFE(true),
-    /** A call with effects, which may run once at most. */
+    /** A call with side effects, which may run at most once. */
     UNSAFE(false),
-    /** A generation whose answer is a series of events. */
+    /** A generation whose response is a stream of events; it may be retried only where the stream can be resumed. */
     STREAM(false);
 
     private final boolean repeatable;
@@ -20,8 +20,8 @@
     /**
      * Returns whether a request of this kind may be sent to another upstream although it may have run already.
      *
-     * @param resumable whether the route lets a stream be resumed.
-     * @return whether it may run more than once.
+     * @param resumable whether the route allows another upstream to resume a broken stream.
+     * @return whether the request may run more than once.
      */
     public boolean mayRepeat(boolean resumable) {
         return repeatable || this == STREAM && resumable;
--- a/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * Describes one route of a catalogue.
+ * Describes one route of a catalogue: the requests that it matches, the pools that serve them and their limits.
  *
  * @param name the name of the route.
- * @param host the host name that callers ask for.
- * @param pathPrefix the beginning of the paths that the route takes.
- * @param kind what may be repeated.
- * @param timeoutMillis the longest time that a caller is kept waiting, in milliseconds.
- * @param targetLatencyMillis the time within which an answer has its full value, in milliseconds; 0 for none.
- * @param maximumEventGapMillis the longest pause between two events of a stream that callers accept, in milliseconds; 0 for none.
- * @param priority the rank of the route; 0 is the most urgent.
- * @param shares the pools that serve the route.
- * @param maximumUpstreams on how many upstreams one request may run at most.
- * @param anonymous whether callers need no key.
- * @param resumable whether a broken stream may be continued by another upstream.
+ * @param host the host name that requests must have.
+ * @param pathPrefix the prefix that request paths must have.
+ * @param kind whether requests may be retried after they may have run.
+ * @param timeoutMillis the maximum time that a caller waits for the response, in milliseconds.
+ * @param targetLatencyMillis the latency up to which a response has its full value, in milliseconds; 0 for no target.
+ * @param maximumEventGapMillis the maximum time between two events of a stream that callers accept, in milliseconds; 0 for
+ *     no limit.
+ * @param priority the priority of the route; 0 is the most urgent.
+ * @param shares the pools that serve the route, with their weights.
+ * @param maximumUpstreams the maximum number of upstreams on which one request may run.
+ * @param anonymous whether requests without an API key are accepted.
+ * @param resumable whether another upstream may resume a broken stream.
  */
 public record RouteRule(
         String name,
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Returns whether a request may be sent again although it may have run.
+     * Returns whether a request may be sent to another upstream although it may have run already.
      *
-     * @return whether it may run more than once.
+     * @return whether the request may run more than once.
      */
     public boolean mayRepeat() {
         return kind.mayRepeat(resumable);
@@ -49,7 +50,7 @@
     /**
      * Chooses a pool by the weights of the shares.
      *
-     * @param draw a number from 0, inclusive, to 1, exclusive, that spreads requests over the shares.
+     * @param draw a uniformly distributed number from 0, inclusive, to 1, exclusive.
      * @return the name of the pool.
      */
     public String choosePool(double draw) {
--- a/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * Describes one upstream as a host list reports it.
+ * Describes one upstream instance as a host list reports it.
  *
  * @param id the identity of the instance.
- * @param incarnation when the instance started, in milliseconds since the epoch, or 0 where it isn't told.
+ * @param incarnation when the instance started, in milliseconds since the epoch, or 0 if the host list doesn't state it.
  * @param pool the pool that the instance belongs to.
- * @param address the IP number and port.
- * @param failureDomain the failure domain that it stands in.
+ * @param address the IP address and port.
+ * @param failureDomain the failure domain that the instance belongs to.
  * @param version the version of its software.
- * @param slots how many requests it runs at once, or 0 where it isn't told.
- * @param leaving whether it is to get no new work.
- * @param cold whether it has started so lately that it bears few requests.
+ * @param slots how many requests it runs at once, or 0 if the host list doesn't state it.
+ * @param leaving whether the instance is draining and receives no new requests.
+ * @param cold whether the instance is still warming up after its start and accepts only a few requests.
  */
 public record Upstream(
         String id,
@@ -27,35 +27,35 @@
         boolean cold) {
 
     /**
-     * Returns a copy that says otherwise whether the upstream leaves.
+     * Returns a copy with another value for whether the upstream is draining.
      *
-     * @param changed whether it is to get no new work.
-     * @return the changed description.
+     * @param changed whether the upstream is draining and receives no new requests.
+     * @return the changed copy.
      */
     public Upstream withLeaving(boolean changed) {
         return new Upstream(id, incarnation, pool, address, failureDomain, version, slots, changed, cold);
     }
 
     /**
-     * Returns a copy that says otherwise whether the upstream is cold.
+     * Returns a copy with another value for whether the upstream is warming up.
      *
-     * @param changed whether it bears few requests.
-     * @return the changed description.
+     * @param changed whether the upstream is warming up and accepts only a few requests.
+     * @return the changed copy.
      */
     public Upstream withCold(boolean changed) {
         return new Upstream(id, incarnation, pool, address, failureDomain, version, slots, leaving, changed);
     }
 
     /**
-     * Names this run of the instance: an instance that has started again is another upstream.
+     * Returns the identity of this run of the instance; an instance that has restarted counts as another upstream.
      *
-     * @return a text that no other run shares.
+     * @return a text that is unique to this run.
      */
     public String run() {
         return id + '@' + incarnation + '@' + address;
     }
 
-    /** {@inheritDoc} Written out, as the generated one is put together at run time, at each start of a process. */
+    /** {@inheritDoc} Written by hand: the method that records generate is linked at run time, at each process start. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Upstream upstream
--- a/model/src/main/java/org/radishspur/model/catalogue/package-info.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The whole-document form of the operators' tables: one versioned value with routes, pools and organisations that is
- * put in force as a unit, and the upstreams that a host list reports for its pools.
+ * Describes the catalogue, a versioned document with routes, pools and organisations that operators replace as a whole,
+ * and the upstreams that a host list reports for its pools.
  */
 package org.radishspur.model.catalogue;
--- a/model/src/main/java/org/radishspur/model/codec/Json.java
+++ b/model/src/main/java/org/radishspur/model/codec/Json.java
@@ -20,28 +20,29 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Reads and writes the JSON that operators see; unknown keys are faults.
+ * Reads and writes the JSON of operators' files and calls; a key that a record doesn't have is an error.
  */
 public enum Json {
-    /** The only instance; all that it uses is safe for all threads. */
+    /** The only instance; it is thread-safe. */
     INSTANCE;
 
     private final JsonFactory factory = new JsonFactory();
 
     /**
-     * Parses a text.
+     * Parses a text into a record.
      *
      * @param text the JSON text.
-     * @param type the record to make of it.
-     * @param fault the code under which a malformed text is reported.
+     * @param type the type of the record.
+     * @param errorCode the code of the error that is thrown for a malformed text.
      * @param <T> the type of the record.
      * @return the record.
+     * @throws RadishspurException if the text is malformed or doesn't match the record.
      */
-    public <T> T read(String text, Class<T> type, ErrorCode fault) {
+    public <T> T read(String text, Class<T> type, ErrorCode errorCode) {
         try {
             return LazyMapper.INSTANCE.readValue(text, type);
         } catch (JsonProcessingException exception) {
-            throw new RadishspurException(fault, exception.getOriginalMessage(), exception);
+            throw new RadishspurException(errorCode, exception.getOriginalMessage(), exception);
         }
     }
 
@@ -49,20 +50,21 @@
      * Parses a text into a tree.
      *
      * @param text the JSON text.
-     * @param fault the code under which a malformed text is reported.
-     * @return the root of the tree.
+     * @param errorCode the code of the error that is thrown for a malformed text.
+     * @return the root of the tree, a missing node if the text is empty.
+     * @throws RadishspurException if the text is malformed.
      */
-    public JsonNode readTree(String text, ErrorCode fault) {
+    public JsonNode readTree(String text, ErrorCode errorCode) {
         try (JsonParser parser = factory.createParser(text)) {
             return parser.nextToken() == null ? MissingNode.getInstance() : tree(parser);
         } catch (JsonProcessingException exception) {
-            throw new RadishspurException(fault, exception.getOriginalMessage(), exception);
+            throw new RadishspurException(errorCode, exception.getOriginalMessage(), exception);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
     }
 
-    /** Makes a tree of what begins with the present token. */
+    /** Reads the value that starts at the current token. */
     private static JsonNode tree(JsonParser parser) throws IOException {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return switch (parser.currentToken()) {
@@ -105,24 +107,25 @@
     }
 
     /**
-     * Makes a record of a part of a tree.
+     * Converts a tree to a record.
      *
-     * @param tree the part.
-     * @param type the record to make of it.
-     * @param fault the code under which a malformed part is reported.
+     * @param tree the tree, or a subtree of a larger one.
+     * @param type the type of the record.
+     * @param errorCode the code of the error that is thrown for a tree that doesn't match the record.
      * @param <T> the type of the record.
      * @return the record.
+     * @throws RadishspurException if the tree doesn't match the record.
      */
-    public <T> T convert(JsonNode tree, Class<T> type, ErrorCode fault) {
+    public <T> T convert(JsonNode tree, Class<T> type, ErrorCode errorCode) {
         try {
             return LazyMapper.INSTANCE.treeToValue(tree, type);
         } catch (JsonProcessingException exception) {
-            throw new RadishspurException(fault, exception.getOriginalMessage(), exception);
+            throw new RadishspurException(errorCode, exception.getOriginalMessage(), exception);
         }
     }
 
     /**
-     * Writes a value on one line.
+     * Writes a value as JSON on one line.
      *
      * @param value the value.
      * @return the JSON text.
@@ -136,7 +139,7 @@
     }
 
     /**
-     * Writes a value over several lines.
+     * Writes a value as indented JSON on several lines.
      *
      * @param value the value.
      * @return the JSON text.
@@ -150,8 +153,8 @@
     }
 
     /**
-     * Holds the general mapper, which is made at its first use. Making it takes a tenth of the processor time of a start, as
-     * it loads calendars and locales; entries read trees only and must not need it.
+     * Creates the object mapper at its first use. Creating it takes a tenth of the processor time of a process start,
+     * because it loads calendars and locales. Entry nodes only read trees, which must not need the mapper.
      */
     private static final class LazyMapper {
         static final ObjectMapper INSTANCE = JsonMapper.builder()
--- a/model/src/main/java/org/radishspur/model/codec/package-info.java
+++ b/model/src/main/java/org/radishspur/model/codec/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Encodes records as JSON for people and as MessagePack between processes and on disk.
+ * Reads and writes the JSON of operators' files and calls.
  */
 package org.radishspur.model.codec;
--- a/model/src/main/java/org/radishspur/model/error/ErrorCode.java
+++ b/model/src/main/java/org/radishspur/model/error/ErrorCode.java
@@ -1,22 +1,22 @@
 package org.radishspur.model.error;
 
 /**
- * Lists the failures that end an operation of the system itself, as opposed to a caller's request.
+ * Lists the errors of the system's own operations, as opposed to those that end a caller's request.
  */
 public enum ErrorCode {
-    /** A settings file holds a value that is missing, unknown or out of its range. */
+    /** A value in a settings file is missing, unknown or out of range. */
     SETTINGS_INVALID("settings-invalid"),
     /** A file that the process needs can't be read or has unsafe permissions. */
     FILE_UNREADABLE("file-unreadable"),
-    /** A log segment holds a record whose checksum is wrong although intact records follow it. */
+    /** A journal holds a damaged record that intact records follow, a snapshot is damaged, or the log has a gap. */
     LOG_CORRUPT("log-corrupt"),
     /** A data folder belongs to another cluster or to another replica. */
     FOREIGN_DATA("foreign-data"),
-    /** The data folder has not been formatted, or is formatted a second time. */
+    /** The data folder has not been formatted, or was to be formatted a second time. */
     DATA_FOLDER_STATE("data-folder-state"),
-    /** The disk refuses further bytes; nothing already synced is affected. */
+    /** The disk has no space left; data that is already synced is not affected. */
     DISK_FULL("disk-full"),
-    /** A write or a sync failed, so that the state of the disk is not known any more. */
+    /** A write or a sync failed, so that it is unknown what the disk holds. */
     DISK_FAILED("disk-failed"),
     /** A frame between processes is malformed, too large, truncated or of another protocol version. */
     FRAME_INVALID("frame-invalid"),
@@ -24,15 +24,15 @@
     PEER_REFUSED("peer-refused"),
     /** A table file can't be parsed or holds rows that fail validation. */
     TABLE_INVALID("table-invalid"),
-    /** An edit expected another revision of a row than the one in force. */
+    /** An edit expected another revision of a row than the current one. */
     EDIT_CONFLICT("edit-conflict"),
-    /** No control leader answered within the timeout; the outcome of the call isn't known. */
+    /** No control leader responded within the timeout; the outcome of the call is unknown. */
     CONTROL_UNREACHABLE("control-unreachable"),
     /** The administration token is missing or wrong. */
     TOKEN_REFUSED("token-refused"),
-    /** A replica change is refused in the present configuration of the cluster. */
+    /** A change of replicas is not allowed in the current configuration of the cluster. */
     REPLICA_CHANGE_REFUSED("replica-change-refused"),
-    /** A call of the operator's edge is malformed. */
+    /** A request or a response of the operators' interfaces is malformed. */
     CALL_INVALID("call-invalid");
 
     private final String code;
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Returns the stable text of this code, as documents and programs may match on it.
+     * Returns the text of this code. It never changes, so that documents and programs may match on it.
      *
-     * @return the stable text.
+     * @return the text of this code.
      */
     public String code() {
         return code;
--- a/model/src/main/java/org/radishspur/model/error/RadishspurException.java
+++ b/model/src/main/java/org/radishspur/model/error/RadishspurException.java
@@ -1,7 +1,7 @@
 package org.radishspur.model.error;
 
 /**
- * Reports a failure of the system with the code that names it.
+ * Signals that one of the system's own operations failed; the code identifies the kind of failure.
  */
 public class RadishspurException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -9,9 +9,9 @@
     private final ErrorCode code;
 
     /**
-     * Creates a failure without a cause.
+     * Creates an exception without a cause.
      *
-     * @param code the name of the failure.
+     * @param code the code of the failure.
      * @param detail what an operator needs to know beyond the code.
      */
     public RadishspurException(ErrorCode code, String detail) {
@@ -20,11 +20,11 @@
     }
 
     /**
-     * Creates a failure that another one caused.
+     * Creates an exception with a cause.
      *
-     * @param code the name of the failure.
+     * @param code the code of the failure.
      * @param detail what an operator needs to know beyond the code.
-     * @param cause the failure underneath.
+     * @param cause the exception that caused this one.
      */
     public RadishspurException(ErrorCode code, String detail, Throwable cause) {
         super(code.code() + ": " + detail, cause);
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the name of the failure.
+     * Returns the code of the failure.
      *
      * @return the code.
      */
--- a/model/src/main/java/org/radishspur/model/error/Refusal.java
+++ b/model/src/main/java/org/radishspur/model/error/Refusal.java
@@ -1,20 +1,21 @@
 package org.radishspur.model.error;
 
 /**
- * Ends a caller's request with a reason, with what is known about its running, and with a time to retry.
+ * Refuses a caller's request: gives the reason, whether the request ran at an upstream, and when it may be retried.
  *
- * @param reason why the request ends here.
- * @param runState what is known about whether the request ran.
- * @param detail one sentence for a human reader.
- * @param retryAfterMillis how long the caller had better wait before asking again, or 0 where asking again is useless.
+ * @param reason why the request is refused.
+ * @param runState what is known about whether an upstream ran the request.
+ * @param detail a sentence that explains the refusal to a person.
+ * @param retryAfterMillis the time that the caller should wait before a retry, in milliseconds, or 0 if a retry is of no
+ *     use.
  */
 public record Refusal(RefusalReason reason, RunState runState, String detail, long retryAfterMillis) {
 
     /**
-     * Creates a refusal of a request that provably did not run and had better not be repeated unchanged.
+     * Creates a refusal of a request that provably did not run and should not be retried unchanged.
      *
-     * @param reason why the request ends here.
-     * @param detail one sentence for a human reader.
+     * @param reason why the request is refused.
+     * @param detail a sentence that explains the refusal to a person.
      * @return the refusal.
      */
     public static Refusal notRun(RefusalReason reason, String detail) {
@@ -22,11 +23,11 @@
     }
 
     /**
-     * Creates a refusal of a request that provably did not run and may be repeated later.
+     * Creates a refusal of a request that provably did not run and may be retried later.
      *
-     * @param reason why the request ends here.
-     * @param detail one sentence for a human reader.
-     * @param retryAfterMillis how long the caller had better wait.
+     * @param reason why the request is refused.
+     * @param detail a sentence that explains the refusal to a person.
+     * @param retryAfterMillis the time that the caller should wait before a retry, in milliseconds.
      * @return the refusal.
      */
     public static Refusal notRun(RefusalReason reason, String detail, long retryAfterMillis) {
@@ -34,10 +35,10 @@
     }
 
     /**
-     * Creates a refusal of a request of which nobody can say whether it ran.
+     * Creates a refusal of a request for which it is unknown whether it ran.
      *
-     * @param reason why the request ends here.
-     * @param detail one sentence for a human reader.
+     * @param reason why the request is refused.
+     * @param detail a sentence that explains the refusal to a person.
      * @return the refusal.
      */
     public static Refusal unknown(RefusalReason reason, String detail) {
--- a/model/src/main/java/org/radishspur/model/error/RetryReason.java
+++ b/model/src/main/java/org/radishspur/model/error/RetryReason.java
@@ -1,14 +1,15 @@
 package org.radishspur.model.error;
 
 /**
- * Lists the proofs of "not run" after which a request may be sent to another upstream; each has its own counter.
+ * Lists the outcomes that prove that an upstream did not run a request, so that the request may be retried at another
+ * upstream; each has its own counter.
  */
 public enum RetryReason {
-    /** No connection was made, so that no byte can have arrived. */
+    /** No connection was established, so that no byte of the request can have arrived. */
     CONNECT_FAILED("connect-failed"),
-    /** The upstream said that it did not admit the request. */
+    /** The upstream responded that it did not admit the request. */
     NOT_ADMITTED("not-admitted"),
-    /** The upstream said that it is draining and did not admit the request. */
+    /** The upstream responded that it is draining and did not admit the request. */
     DRAINING("draining");
 
     private final String code;
@@ -18,9 +19,9 @@
     }
 
     /**
-     * Returns the stable text under which retries for this reason are counted.
+     * Returns the text of this reason, under which its retries are counted; it never changes.
      *
-     * @return the stable text.
+     * @return the text of this reason.
      */
     public String code() {
         return code;
--- a/model/src/main/java/org/radishspur/model/error/RunState.java
+++ b/model/src/main/java/org/radishspur/model/error/RunState.java
@@ -1,14 +1,14 @@
 package org.radishspur.model.error;
 
 /**
- * Says what is known about whether a request ran at an upstream.
+ * Lists what may be known about whether an upstream ran a request.
  */
 public enum RunState {
-    /** It is proved that no upstream ran any part of the request. */
+    /** It is certain that no upstream ran any part of the request. */
     NOT_RUN("not-run"),
-    /** An upstream ran the request to its end. */
+    /** An upstream completed the request. */
     RAN("ran"),
-    /** Bytes may have reached an upstream, so nothing can be said. */
+    /** Bytes of the request may have reached an upstream, so that it may or may not have run. */
     UNKNOWN("unknown");
 
     private final String code;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Returns the stable text that callers see.
+     * Returns the text of this state, as callers receive it; it never changes.
      *
-     * @return the stable text.
+     * @return the text of this state.
      */
     public String code() {
         return code;
--- a/model/src/main/java/org/radishspur/model/error/package-info.java
+++ b/model/src/main/java/org/radishspur/model/error/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Names every way in which an operation can fail, with a stable code for each.
+ * Lists the errors of the system and the reasons for which it refuses requests, with a stable code for each.
  */
 package org.radishspur.model.error;
--- a/model/src/main/java/org/radishspur/model/package-info.java
+++ b/model/src/main/java/org/radishspur/model/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Holds the vocabulary that every module shares: requests, tables and the answers that refuse.
+ * Holds the types that all modules share: requests, tables, the catalogue, errors and refusals.
  */
 package org.radishspur.model;
--- a/model/src/main/java/org/radishspur/model/request/PermitId.java
+++ b/model/src/main/java/org/radishspur/model/request/PermitId.java
@@ -1,10 +1,10 @@
 package org.radishspur.model.request;
 
 /**
- * Identifies one attempt at dispatching a request, unique over all entry processes and their restarts.
+ * Identifies one attempt to dispatch a request; it is unique across all entry nodes and their restarts.
  *
  * @param node the name of the entry node.
- * @param incarnation which run of that node's process it is.
+ * @param incarnation the number of the run of that node's process, which differs after each restart.
  * @param sequence the number of the attempt within that run.
  */
 public record PermitId(String node, long incarnation, long sequence) implements Comparable<PermitId> {
--- a/model/src/main/java/org/radishspur/model/request/Tier.java
+++ b/model/src/main/java/org/radishspur/model/request/Tier.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * Orders requests by urgency; a request of a more urgent tier is never shed before one of a less urgent tier.
+ * Lists the tiers of requests, the most urgent first; a request is never shed before one of a less urgent tier.
  */
 public enum Tier {
-    /** Work that someone waits for in danger. */
+    /** Requests of people in danger. */
     URGENT,
-    /** Work that someone waits for. */
+    /** Interactive requests, for whose result a person is waiting. */
     HIGH,
-    /** Work without a special claim. */
+    /** Requests without particular urgency; the usual tier. */
     NORMAL,
-    /** Work that nobody waits for. */
+    /** Background requests, for whose result no person is waiting. */
     LOW,
-    /** Work that may take any gap. */
+    /** Batch requests, which may run whenever there is spare capacity. */
     BULK;
 
     /**
-     * Returns whether this tier goes before another one.
+     * Returns whether this tier is more urgent than another one.
      *
      * @param other the tier to compare with.
      * @return whether this tier is strictly more urgent.
@@ -29,20 +29,21 @@
     }
 
     /**
-     * Returns the less urgent of this tier and another one, as when a route's ceiling bounds what a caller asks for.
+     * Returns this tier, or the ceiling if this tier is more urgent, as when a route limits the tier that callers may ask
+     * for.
      *
-     * @param ceiling the most urgent tier allowed.
-     * @return the bounded tier.
+     * @param ceiling the most urgent tier that is allowed.
+     * @return the less urgent of both tiers.
      */
     public Tier atMost(Tier ceiling) {
         return isMoreUrgentThan(ceiling) ? ceiling : this;
     }
 
     /**
-     * Parses the text that callers send.
+     * Parses the name of a tier, as callers send it.
      *
-     * @param text the name of a tier in any case.
-     * @return the tier, or nothing where no tier has that name.
+     * @param text the name of a tier, in upper or lower case.
+     * @return the tier, or empty if no tier has this name.
      */
     public static Optional<Tier> parse(String text) {
         String name = text.toUpperCase(Locale.ROOT);
--- a/model/src/main/java/org/radishspur/model/request/package-info.java
+++ b/model/src/main/java/org/radishspur/model/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Describes one caller's request as the scheduler sees it.
+ * Holds the identities of requests and of their dispatch attempts, and the tiers of urgency.
  */
 package org.radishspur.model.request;
--- a/model/src/main/java/org/radishspur/model/table/EditAnswer.java
+++ b/model/src/main/java/org/radishspur/model/table/EditAnswer.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * Answers an edit; a resent edit gets the answer of the first one.
+ * Holds the outcome of an edit; a resent edit gets the same outcome as the first one.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "answer")
 @JsonSubTypes({
@@ -17,27 +17,27 @@
 public sealed interface EditAnswer {
 
     /**
-     * Says that the edit is committed.
+     * Reports that the edit is committed.
      *
-     * @param revision the revision of the tables from which the edit is in force.
+     * @param revision the revision of the tables that the edit produced.
      */
     record Accepted(long revision) implements EditAnswer {}
 
     /**
-     * Says that a row has another revision than the edit expected.
+     * Reports that a row has another revision than the edit expected, so that the edit is rejected.
      *
-     * @param rowName the first row that differs.
+     * @param rowName the name of the first row whose revision differs.
      * @param expectedRevision the revision that the edit expected.
-     * @param currentRevision the revision that the row has, or 0 where it does not exist.
-     * @param currentRow the row as it stands, as JSON text, or an empty text where it does not exist.
+     * @param currentRevision the current revision of the row, or 0 if the row doesn't exist.
+     * @param currentRow the current row as JSON text, or an empty text if the row doesn't exist.
      */
     record Conflict(String rowName, long expectedRevision, long currentRevision, String currentRow)
             implements EditAnswer {}
 
     /**
-     * Says that the tables would not be valid after the edit.
+     * Reports that the tables would be invalid after the edit, so that the edit is rejected.
      *
-     * @param faults every fault found.
+     * @param faults all faults that were found.
      */
     record Invalid(List<TableFault> faults) implements EditAnswer {}
 }
--- a/model/src/main/java/org/radishspur/model/table/PoolKind.java
+++ b/model/src/main/java/org/radishspur/model/table/PoolKind.java
@@ -1,7 +1,7 @@
 package org.radishspur.model.table;
 
 /**
- * Tells what kind of upstream a pool holds.
+ * Lists the kinds of upstreams that a pool may consist of.
  */
 public enum PoolKind {
     /** Model engines, which batch continuously and cache prompt prefixes. */
@@ -20,9 +20,10 @@
     };
 
     /**
-     * Returns whether requests of a pool of this kind gain from meeting an upstream that saw the same beginning before.
+     * Returns whether upstreams of this kind cache prompt prefixes, so that a request runs faster at an upstream that has
+     * run another request with the same prefix.
      *
-     * @return whether prefixes matter.
+     * @return whether prompt prefixes are reused.
      */
     public abstract boolean reusesPrefixes();
 }
--- a/model/src/main/java/org/radishspur/model/table/PoolRow.java
+++ b/model/src/main/java/org/radishspur/model/table/PoolRow.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Describes one pool: a set of upstreams that can stand in for each other.
+ * Describes one pool: a set of interchangeable upstreams.
  *
  * @param name the name by which routes refer to the pool.
- * @param kind what kind of upstream the pool holds.
+ * @param kind the kind of the pool's upstreams.
  * @param upstreams the upstreams of the pool.
- * @param queueLimit the greatest number of requests that may wait for the pool.
- * @param concurrencyLimit the greatest number of requests that one upstream may ever run at once.
- * @param organisationWeights the weight of each organisation that has another one than 1.
+ * @param queueLimit the maximum number of requests that may wait in the pool's queue.
+ * @param concurrencyLimit the maximum number of requests that one upstream may run at once.
+ * @param organisationWeights the weights of organisations by name; an organisation that is not listed has weight 1.
  */
 public record PoolRow(
         String name,
@@ -21,7 +21,7 @@
         int concurrencyLimit,
         Map<String, Double> organisationWeights) {
 
-    /** Copies the collections, and stands in empty ones where a table file leaves them out. */
+    /** Copies the collections; one that a table file leaves out becomes empty. */
     public PoolRow {
         upstreams = upstreams == null ? List.of() : List.copyOf(upstreams);
         organisationWeights = organisationWeights == null ? Map.of() : Map.copyOf(organisationWeights);
--- a/model/src/main/java/org/radishspur/model/table/RowChange.java
+++ b/model/src/main/java/org/radishspur/model/table/RowChange.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * Changes one row of one table, on the condition that the row is still at the revision that the operator saw.
+ * Describes a change of one row, which is accepted only if the row still has the revision that the operator read.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "change")
 @JsonSubTypes({
@@ -19,14 +19,14 @@
 public sealed interface RowChange {
 
     /**
-     * Returns the name of the row that changes.
+     * Returns the name of the row to change.
      *
      * @return the name of the row.
      */
     String rowName();
 
     /**
-     * Returns the revision that the row must have for the change to be accepted; 0 means that it must not exist.
+     * Returns the revision that the row must have for the change to be accepted; 0 means that the row must not exist yet.
      *
      * @return the expected revision.
      */
@@ -35,25 +35,25 @@
     /**
      * Returns the revision that the row has in the given tables.
      *
-     * @param tables the tables to look the row up in.
-     * @return the revision, or 0 where the row does not exist.
+     * @param tables the tables that may contain the row.
+     * @return the revision, or 0 if the row doesn't exist.
      */
     long currentRevision(Tables tables);
 
     /**
-     * Applies the change without looking at the expected revision.
+     * Applies the change without checking the expected revision.
      *
      * @param tables the tables to change.
-     * @param revision the revision that the changed row gets.
-     * @return the changed tables, still at their old overall revision.
+     * @param revision the new revision of the changed row.
+     * @return the changed tables; their overall revision stays the same.
      */
     Tables applyTo(Tables tables, long revision);
 
     /**
-     * Creates a route or replaces it.
+     * Creates or replaces a route.
      *
      * @param row the new row.
-     * @param expectedRevision the revision that the old row must have.
+     * @param expectedRevision the revision that the existing row must have, or 0 if there must be none.
      */
     record PutRoute(RouteRow row, long expectedRevision) implements RowChange {
         /** {@inheritDoc} */
@@ -100,10 +100,10 @@
     }
 
     /**
-     * Creates a pool or replaces it.
+     * Creates or replaces a pool.
      *
      * @param row the new row.
-     * @param expectedRevision the revision that the old row must have.
+     * @param expectedRevision the revision that the existing row must have, or 0 if there must be none.
      */
     record PutPool(PoolRow row, long expectedRevision) implements RowChange {
         /** {@inheritDoc} */
--- a/model/src/main/java/org/radishspur/model/table/TableFault.java
+++ b/model/src/main/java/org/radishspur/model/table/TableFault.java
@@ -1,9 +1,9 @@
 package org.radishspur.model.table;
 
 /**
- * Names one fault of a table or settings file.
+ * Describes one fault in a table or a settings file.
  *
- * @param path where the fault stands, as {@code routes.briefing.pool}.
- * @param problem what is wrong and what would be allowed.
+ * @param path the path of the faulty value, such as {@code routes.briefing.pool}.
+ * @param problem what is wrong, or what is allowed.
  */
 public record TableFault(String path, String problem) {}
--- a/model/src/main/java/org/radishspur/model/table/TablesValidator.java
+++ b/model/src/main/java/org/radishspur/model/table/TablesValidator.java
@@ -8,13 +8,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks tables as a whole and reports every fault at once.
+ * Validates the tables and reports all faults at once.
  */
 public enum TablesValidator {
-    /** The only instance; the checks keep no state. */
+    /** The only instance; it is stateless. */
     INSTANCE;
 
-    /** The largest number of upstreams in one pool. */
+    /** The maximum number of upstreams in one pool. */
     public static final int MAXIMUM_UPSTREAMS = 10_000;
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9._-]{0,62}");
@@ -27,10 +27,10 @@
     private static final int MAXIMUM_CONCURRENCY = 100_000;
 
     /**
-     * Checks every row and every reference between rows.
+     * Validates every row and every reference between rows.
      *
-     * @param tables the tables to check.
-     * @return the faults, none where the tables are valid.
+     * @param tables the tables to validate.
+     * @return the faults, empty if the tables are valid.
      */
     public List<TableFault> validate(Tables tables) {
         List<TableFault> faults = new ArrayList<>();
@@ -50,7 +50,7 @@
             faults.add(new TableFault(path + ".pathPrefix", "must begin with /"));
         }
         if (row.pool() == null || !tables.pools().containsKey(row.pool())) {
-            faults.add(new TableFault(path + ".pool", "names no pool: " + row.pool()));
+            faults.add(new TableFault(path + ".pool", "refers to an unknown pool: " + row.pool()));
         }
         boolean versionMissing = !row.version().isEmpty()
                 && tables.pool(row.pool())
@@ -107,13 +107,13 @@
     private static void checkAddress(String path, String value, List<TableFault> faults) {
         java.util.regex.Matcher matcher = ADDRESS.matcher(value == null ? "" : value);
         if (!matcher.matches() || Integer.parseInt(matcher.group(PORT_GROUP)) > MAXIMUM_PORT) {
-            faults.add(new TableFault(path, "must be an IP number and a port: " + value));
+            faults.add(new TableFault(path, "must be an IP address and a port: " + value));
         }
     }
 
-    private static void checkRange(String path, long value, long least, long greatest, List<TableFault> faults) {
-        if (value < least || value > greatest) {
-            faults.add(new TableFault(path, "must be from " + least + " to " + greatest + ": " + value));
+    private static void checkRange(String path, long value, long minimum, long maximum, List<TableFault> faults) {
+        if (value < minimum || value > maximum) {
+            faults.add(new TableFault(path, "must be from " + minimum + " to " + maximum + ": " + value));
         }
     }
 }
--- a/model/src/main/java/org/radishspur/model/table/package-info.java
+++ b/model/src/main/java/org/radishspur/model/table/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Describes the two tables that operators edit, and the edits themselves.
+ * Describes the tables of routes and pools that operators edit, and the edits.
  */
 package org.radishspur.model.table;
--- a/model/src/test/java/org/radishspur/model/catalogue/CatalogueTest.java
+++ b/model/src/test/java/org/radishspur/model/catalogue/CatalogueTest.java
@@ -43,7 +43,7 @@
                 catalogue(List.of(route("short", "/a/", 1, ALL), route("long", "/a/b/", 1, ALL)));
 
         @Test
-        void takesTheLongestPrefix() {
+        void choosesTheRouteWithTheLongestPathPrefix() {
             assertThat(catalogue.match("host.example", "/a/b/c")).get().returns("long", RouteRule::name);
         }
 
@@ -53,7 +53,7 @@
         }
 
         @Test
-        void findsNothingAtAnotherHost() {
+        void findsNoRouteForAnotherHost() {
             assertThat(catalogue.match("other.example", "/a/b/c")).isEmpty();
         }
     }
@@ -61,38 +61,38 @@
     @Nested
     class Faults {
         @Test
-        void hasNoneWhereAllIsWell() {
+        void areEmptyForAValidCatalogue() {
             assertThat(catalogue(List.of(route("r", "/a/", 1, ALL))).faults()).isEmpty();
         }
 
         @Test
-        void findsAnUnknownPool() {
+        void reportAShareOfAnUnknownPool() {
             assertThat(catalogue(List.of(route("r", "/a/", 1, new PoolShare("none", 1))))
                             .faults())
                     .hasSize(1);
         }
 
         @Test
-        void findsTwoRoutesAtOnePlace() {
+        void reportTwoRoutesWithTheSameHostAndPathPrefix() {
             assertThat(catalogue(List.of(route("r", "/a/", 1, ALL), route("s", "/a/", 1, ALL)))
                             .faults())
                     .hasSize(1);
         }
 
         @Test
-        void findsSharesThatAddUpToNothing() {
+        void reportSharesWhoseWeightsAddUpToZero() {
             assertThat(catalogue(List.of(route("r", "/a/", 1, new PoolShare("engines", 0))))
                             .faults())
                     .hasSize(1);
         }
 
         @Test
-        void findsARouteWithoutTime() {
+        void reportARouteWithATimeoutOfZero() {
             assertThat(catalogue(List.of(route("r", "/a/", 0, ALL))).faults()).hasSize(1);
         }
 
         @Test
-        void findsAKeyOfTwoOrganisations() {
+        void reportAKeyThatBelongsToTwoOrganisations() {
             assertThat(catalogue(List.of(), organisation("one", "key"), organisation("two", "key"))
                             .faults())
                     .hasSize(1);
@@ -100,9 +100,9 @@
     }
 
     @Nested
-    class Splitting {
+    class TrafficSplit {
         @Test
-        void followsTheWeights() {
+        void choosesPoolsByTheirWeights() {
             RouteRule split = route("r", "/a/", 1, new PoolShare("one", 90), new PoolShare("two", 10));
             assertThat(split.choosePool(0.0)).isEqualTo("one");
             assertThat(split.choosePool(0.89)).isEqualTo("one");
--- a/model/src/test/java/org/radishspur/model/codec/JsonTest.java
+++ b/model/src/test/java/org/radishspur/model/codec/JsonTest.java
@@ -31,23 +31,23 @@
         }
 
         @Test
-        void keepNumbersBeyondSixtyFourBits() {
+        void holdIntegersOfMoreThanSixtyFourBits() {
             assertThat(tree("[123456789012345678901234567890]").get(0).isBigInteger())
                     .isTrue();
         }
 
-        /** Guards against a document that was cut off on its way and is taken for a shorter one. */
+        /** Guards against accepting a document that was truncated in transit as a complete, shorter one. */
         @Test
-        void areNotMadeOfATextThatIsCutShort() {
+        void areNotReadFromATruncatedDocument() {
             String whole = "{\"version\":7,\"routes\":[{\"name\":\"r\"}]}";
             for (int length = 1; length < whole.length(); length++) {
-                String part = whole.substring(0, length);
-                assertThatThrownBy(() -> tree(part)).isInstanceOf(RadishspurException.class);
+                String truncated = whole.substring(0, length);
+                assertThatThrownBy(() -> tree(truncated)).isInstanceOf(RadishspurException.class);
             }
         }
 
         @Test
-        void areMissingWhereThereIsNoText() {
+        void areMissingNodesForAnEmptyText() {
             assertThat(tree("").isMissingNode()).isTrue();
         }
     }
