--- a/replication/src/main/java/org/radishspur/replication/codec/Format.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/Format.java
@@ -23,33 +23,33 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Writes and reads the values of one type.
+ * Writes and reads the values of one type as MessagePack.
  *
- * <p>The formats are made from the records themselves, each record as an array of its components. A general object mapper
- * did the same until now; setting it up took a tenth of a second of a core at each start, which a small host that restarts
- * after a failure spends without a leader. The order of a record's components, and of the subtypes that a sealed type
- * permits, is part of the format.
+ * <p>Formats are derived from the record classes by reflection; a record is written as an array of its components. The
+ * order of a record's components, and of the subtypes that a sealed type permits, is part of the format. A general object
+ * mapper isn't used, because setting it up takes a tenth of a second of processor time at each process start, which
+ * prolongs the time without a leader when a small host restarts after a failure.
  */
 interface Format {
     /**
      * Writes a value.
      *
-     * @param value the value; nothing is written as nil.
-     * @param packer where it goes.
-     * @throws IOException if it can't be written.
+     * @param value the value, not null.
+     * @param packer the packer to write to.
+     * @throws IOException if the value can't be written.
      */
     void write(Object value, MessagePacker packer) throws IOException;
 
     /**
-     * Reads a value that is not nil.
+     * Reads a value that isn't nil.
      *
-     * @param unpacker where it comes from.
+     * @param unpacker the unpacker to read from.
      * @return the value.
-     * @throws IOException if the bytes hold no such value.
+     * @throws IOException if the input doesn't hold a value of the type.
      */
     Object read(MessageUnpacker unpacker) throws IOException;
 
-    /** Writes a value that may be missing. */
+    /** Writes a value that may be null, which is written as nil. */
     static void writeNullable(Format format, Object value, MessagePacker packer) throws IOException {
         if (value == null) {
             packer.packNil();
@@ -58,16 +58,16 @@
         }
     }
 
-    /** Reads a value that may be missing. */
+    /** Reads a value that may be nil, which is read as null. */
     static Object readNullable(Format format, MessageUnpacker unpacker) throws IOException {
         return unpacker.tryUnpackNil() ? null : format.read(unpacker);
     }
 
     /**
-     * Handles the types that MessagePack has itself.
+     * Handles numbers, booleans, texts, byte arrays and integer arrays.
      */
     enum OfScalar implements Format {
-        /** Whole numbers of 64 bits. */
+        /** 64-bit integers. */
         LONG(long.class, Long.class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -79,7 +79,7 @@
                 return unpacker.unpackLong();
             }
         },
-        /** Whole numbers of 32 bits. */
+        /** 32-bit integers. */
         INTEGER(int.class, Integer.class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -91,7 +91,7 @@
                 return unpacker.unpackInt();
             }
         },
-        /** Numbers with a fraction. */
+        /** Floating-point numbers. */
         DOUBLE(double.class, Double.class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -103,7 +103,7 @@
                 return unpacker.unpackDouble();
             }
         },
-        /** Truth values. */
+        /** Booleans. */
         BOOLEAN(boolean.class, Boolean.class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -127,7 +127,7 @@
                 return unpacker.unpackString();
             }
         },
-        /** Bytes. */
+        /** Byte arrays. */
         BYTES(byte[].class, byte[].class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -139,7 +139,7 @@
                 return unpacker.readPayload(unpacker.unpackBinaryHeader());
             }
         },
-        /** Several whole numbers of 32 bits. */
+        /** Arrays of 32-bit integers. */
         INTEGERS(int[].class, int[].class) {
             @Override
             public void write(Object value, MessagePacker packer) throws IOException {
@@ -154,7 +154,7 @@
                 int[] numbers = new int[0];
                 int length = unpacker.unpackArrayHeader();
                 for (int index = 0; index < length; index++) {
-                    // Grows with what is really there, so that a false length can't claim memory.
+                    // Grows with the numbers that are actually read, so that a false length can't exhaust the memory.
                     numbers =
                             index < numbers.length ? numbers : Arrays.copyOf(numbers, Math.min(length, 16 + 2 * index));
                     numbers[index] = unpacker.unpackInt();
@@ -180,7 +180,7 @@
     }
 
     /**
-     * Handles enumerations by the names of their constants.
+     * Handles enums, as the names of their constants.
      */
     final class OfEnum implements Format {
         private final Map<String, Object> constants = new HashMap<>();
@@ -203,16 +203,16 @@
             String name = unpacker.unpackString();
             Object constant = constants.get(name);
             if (constant == null) {
-                throw new IOException("no constant " + name);
+                throw new IOException("unknown enum constant " + name);
             }
             return constant;
         }
     }
 
     /**
-     * Handles values that may be absent.
+     * Handles optional values, as arrays of zero or one element.
      *
-     * @param element the format of a present value.
+     * @param element the format of a value that is present.
      */
     record OfOptional(Format element) implements Format {
         /** {@inheritDoc} */
@@ -233,7 +233,7 @@
     }
 
     /**
-     * Handles collections.
+     * Handles lists and sets, as arrays.
      *
      * @param element the format of the elements.
      * @param distinct whether the collection is a set.
@@ -293,8 +293,8 @@
     }
 
     /**
-     * Handles records, as arrays of their components. Components that a newer version has added are skipped, and such as an
-     * older one lacks are nothing or zero.
+     * Handles records, as arrays of their components. On reading, components that a newer version has added are skipped,
+     * and those that an older version doesn't have become empty, false, zero or null.
      */
     final class OfRecord implements Format {
         private final Constructor<?> constructor;
@@ -319,10 +319,11 @@
                 constructor = type.getDeclaredConstructor(types);
                 constructor.setAccessible(true);
             } catch (NoSuchMethodException exception) {
-                throw new IllegalArgumentException("no record " + type, exception);
+                throw new IllegalArgumentException("no canonical constructor in " + type, exception);
             }
         }
 
+        /** Returns the value of a component that is missing in the input. */
         private static Object absent(Class<?> type) {
             if (type == boolean.class) {
                 return false;
@@ -365,13 +366,13 @@
             try {
                 return constructor.newInstance(values);
             } catch (ReflectiveOperationException exception) {
-                throw new IOException("can't make a " + constructor.getDeclaringClass(), exception);
+                throw new IOException("can't create a " + constructor.getDeclaringClass(), exception);
             }
         }
     }
 
     /**
-     * Handles sealed types, by the position of the subtype among all that are permitted.
+     * Handles sealed types, as arrays of the index of the subtype among all permitted ones, and the value.
      */
     final class OfSealed implements Format {
         private final List<Class<?>> subtypes = new ArrayList<>();
@@ -406,14 +407,14 @@
             int length = unpacker.unpackArrayHeader();
             int number = length == 2 ? unpacker.unpackInt() : -1;
             if (number < 0 || number >= subtypes.size()) {
-                throw new IOException("no subtype of number " + number);
+                throw new IOException("unknown subtype index " + number);
             }
             return formats.apply(subtypes.get(number)).read(unpacker);
         }
     }
 
     /**
-     * Makes the formats of types.
+     * Creates the formats of types and caches them.
      */
     final class Factory {
         private final Map<Type, Format> cache = new java.util.concurrent.ConcurrentHashMap<>();
@@ -452,7 +453,7 @@
             } else if (plain.isSealed()) {
                 return new OfSealed(plain, this::of);
             }
-            throw new IllegalArgumentException("no format for " + type);
+            throw new IllegalArgumentException("unsupported type: " + type);
         }
 
         private Format createParameterized(ParameterizedType type, Map<TypeVariable<?>, Type> variables) {
@@ -471,7 +472,7 @@
                 }
                 return new OfRecord(raw, component -> create(component, bound));
             }
-            throw new IllegalArgumentException("no format for " + type);
+            throw new IllegalArgumentException("unsupported type: " + type);
         }
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/codec/MessagePack.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/MessagePack.java
@@ -9,30 +9,33 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Encodes and decodes records; components that a newer version added are skipped by an older one.
+ * Encodes and decodes records as MessagePack. The decoder skips components that a newer version of a record has added, and
+ * gives default values to those that an older version doesn't have.
  */
 public enum MessagePack {
-    /** The only instance; its formats are safe for all threads. */
+    /** The only instance; it is thread-safe. */
     INSTANCE;
 
     private final Format.Factory formats = new Format.Factory();
 
     /**
-     * Encodes a record by its own class.
+     * Encodes a record as its own class.
      *
      * @param value the record.
-     * @return its bytes.
+     * @return the encoded bytes.
+     * @throws RadishspurException if the record can't be encoded.
      */
     public byte[] encode(Object value) {
         return encode(value, value.getClass());
     }
 
     /**
-     * Encodes a value as one of a type, which may be a sealed one.
+     * Encodes a value as a given type, which may be a sealed type that the class of the value implements.
      *
      * @param value the value.
-     * @param type the type under which it is going to be decoded.
-     * @return its bytes.
+     * @param type the type as which the value will be decoded.
+     * @return the encoded bytes.
+     * @throws RadishspurException if the value can't be encoded.
      */
     public byte[] encode(Object value, Class<?> type) {
         try (MessageBufferPacker packer = org.msgpack.core.MessagePack.newDefaultBufferPacker()) {
@@ -46,10 +49,11 @@
     /**
      * Decodes a value.
      *
-     * @param bytes the bytes of exactly one value.
-     * @param type the type under which it was encoded.
+     * @param bytes the encoded bytes of one value.
+     * @param type the type as which the value was encoded.
      * @param <T> the type of the value.
      * @return the value.
+     * @throws RadishspurException if the bytes don't hold a value of this type.
      */
     public <T> T decode(byte[] bytes, Class<T> type) {
         try (MessageUnpacker unpacker = org.msgpack.core.MessagePack.newDefaultUnpacker(bytes)) {
--- a/replication/src/main/java/org/radishspur/replication/codec/package-info.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Encodes records as MessagePack, for the disk and for the network between processes.
+ * Encodes records as MessagePack, for storage on disk and for messages between processes.
  */
 package org.radishspur.replication.codec;
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -26,7 +26,8 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Carries out what the consensus core decides: it sends, writes, applies and answers. The control thread owns it.
+ * Runs one control replica. It carries out the decisions of the consensus core: it sends messages, writes to the disk,
+ * applies committed entries and reports the outcomes of proposals. It is confined to the control thread.
  */
 public final class ControlReplica {
     private final Options options;
@@ -41,27 +42,27 @@
     private long lastApplied;
 
     /**
-     * Creates a replica from what its disk held.
+     * Creates a replica from the state that was recovered from its disk.
      *
-     * @param options sizes and times.
-     * @param self the identity of the disk.
-     * @param recovered what the disk held.
-     * @param surroundings carries out what the replica decides.
-     * @param now the monotonic clock in milliseconds.
+     * @param options the sizes and times of the replica.
+     * @param self the identity of the replica, which belongs to its disk.
+     * @param recovered the state that was recovered from the disk.
+     * @param environment the network, the disk, the listener and the random numbers that the replica uses.
+     * @param now the time of the monotonic clock, in milliseconds.
      */
-    public ControlReplica(Options options, String self, Recovered recovered, Surroundings surroundings, long now) {
+    public ControlReplica(Options options, String self, Recovered recovered, Surroundings environment, long now) {
         this.options = options;
-        this.core = new RaftCore(options.raft(), self, recovered, surroundings.random(), now);
+        this.core = new RaftCore(options.raft(), self, recovered, environment.random(), now);
         this.state = new ControlState(options.state());
-        this.network = surroundings.network();
-        this.writer = surroundings.writer();
-        this.appliedListener = surroundings.appliedListener();
+        this.network = environment.network();
+        this.writer = environment.writer();
+        this.appliedListener = environment.appliedListener();
     }
 
     /**
-     * Lets time pass.
+     * Handles timeouts that are due and advances a replacement of a replica; must be called regularly.
      *
-     * @param now the monotonic clock in milliseconds.
+     * @param now the time of the monotonic clock, in milliseconds.
      */
     public void tick(long now) {
         core.tick(now);
@@ -71,22 +72,22 @@
     }
 
     /**
-     * Takes a message from another replica.
+     * Handles a message from another replica.
      *
      * @param from the identity of the sender.
      * @param message the message.
-     * @param now the monotonic clock in milliseconds.
+     * @param now the time of the monotonic clock, in milliseconds.
      */
     public void receive(String from, RaftMessage message, long now) {
         core.receive(from, message, now);
     }
 
     /**
-     * Proposes a command.
+     * Proposes a command for the replicated log.
      *
      * @param command the command.
      * @param listener receives the outcome, exactly once.
-     * @param now the monotonic clock in milliseconds.
+     * @param now the time of the monotonic clock, in milliseconds.
      */
     public void propose(ControlCommand command, Proposal.Listener listener, long now) {
         if (pending.size() >= options.maximumPending() || !writer.hasSpace()) {
@@ -102,26 +103,26 @@
     }
 
     /**
-     * Proposes that a blank replica takes the place of one that is lost.
+     * Starts the replacement of a lost replica by a new one, or the addition of a new replica.
      *
-     * @param learner the identity of the blank replica.
-     * @param replaced the identity of the lost replica, or an empty text to add one.
+     * @param learner the identity of the new replica, whose disk is empty.
+     * @param replaced the identity of the lost replica, or an empty text to add a replica.
      * @return whether the change was started.
      */
     public boolean replace(String learner, String replaced) {
-        Configuration present = core.configuration();
-        if (present.contains(learner)
-                || !replaced.isEmpty() && !present.voters().contains(replaced)) {
+        Configuration current = core.configuration();
+        if (current.contains(learner)
+                || !replaced.isEmpty() && !current.voters().contains(replaced)) {
             return false;
         }
-        return core.proposeConfiguration(present.withLearner(learner, replaced)).isPresent();
+        return core.proposeConfiguration(current.withLearner(learner, replaced)).isPresent();
     }
 
     /**
-     * Carries out everything that the steps since the last call have led to. Several steps share one call, and so one
-     * sync of the disk.
+     * Carries out everything that the consensus core has decided since the last call. Handling several messages and
+     * proposals before one call lets them share one sync of the disk.
      *
-     * @param now the monotonic clock in milliseconds.
+     * @param now the time of the monotonic clock, in milliseconds.
      */
     public void flush(long now) {
         Effects effects = core.drain();
@@ -145,7 +146,7 @@
     }
 
     /**
-     * Returns the consensus core, for its observable state.
+     * Returns the consensus core, for reading its state.
      *
      * @return the core.
      */
@@ -154,9 +155,9 @@
     }
 
     /**
-     * Returns the state machine; only a caller that has checked {@link RaftCore#mayRead} reads the latest state.
+     * Returns the state machine. It may be stale unless {@link RaftCore#mayRead} confirms that it can be read.
      *
-     * @return the state.
+     * @return the state machine.
      */
     public ControlState state() {
         return state;
@@ -169,11 +170,11 @@
             appliedSinceSnapshot++;
             if (entry.payload() instanceof LogEntry.Payload.Command command) {
                 var answer = state.apply(MessagePack.INSTANCE.decode(command.bytes(), ControlCommand.class));
-                PendingProposal waiting = pending.remove(entry.index());
-                if (waiting != null) {
-                    waiting.listener()
+                PendingProposal proposal = pending.remove(entry.index());
+                if (proposal != null) {
+                    proposal.listener()
                             .onEnd(
-                                    waiting.term() == entry.term()
+                                    proposal.term() == entry.term()
                                             ? new Proposal.Committed(answer)
                                             : new Proposal.InDoubt());
                 }
@@ -187,61 +188,63 @@
 
     private void failPendingProposals() {
         if (core.role() != Role.LEADER && !pending.isEmpty()) {
-            List<PendingProposal> orphans = new ArrayList<>(pending.values());
+            List<PendingProposal> failed = new ArrayList<>(pending.values());
             pending.clear();
-            orphans.forEach(orphan -> orphan.listener().onEnd(new Proposal.InDoubt()));
+            failed.forEach(each -> each.listener().onEnd(new Proposal.InDoubt()));
         }
     }
 
     /**
-     * Starts a snapshot when enough entries have been applied since the last one, the more the larger the state is, so
-     * that the work for each entry stays the same. Only the quick copy is made here; encoding and storing it would hold
-     * up heartbeats long enough for an election.
+     * Starts a snapshot once enough entries have been applied since the last one. A larger state requires more entries, so
+     * that the cost of snapshots per entry stays the same. Only a quick copy of the state is made on the control thread:
+     * encoding and storing it there would delay heartbeats long enough to cause an election.
      */
     private void takeSnapshotIfDue() {
-        long due = Math.max(options.entriesPerSnapshot(), state.claims().size());
-        if (appliedSinceSnapshot < due || snapshotInProgress) {
+        long requiredEntries =
+                Math.max(options.entriesPerSnapshot(), state.claims().size());
+        if (appliedSinceSnapshot < requiredEntries || snapshotInProgress) {
             return;
         }
         appliedSinceSnapshot = 0;
         snapshotInProgress = true;
-        Snapshot described = core.describe(lastApplied);
+        Snapshot metadata = core.describe(lastApplied);
         ControlState.Image image = state.image();
-        writer.stage(() -> described.withState(image.encode()), snapshot -> {
+        writer.stage(() -> metadata.withState(image.encode()), snapshot -> {
             snapshotInProgress = false;
             core.compact(snapshot);
         });
     }
 
     /**
-     * Drives a replacement one step further. Which step is next follows from the configuration alone, so the next
-     * leader goes on where this one stops.
+     * Advances the replacement of a replica by one step. The next step follows from the configuration alone, so that a new
+     * leader continues where the previous one stopped.
      *
-     * <p>Guards against a second loss during a repair: the blank replica votes only once its disk holds everything
-     * committed, and the lost voter goes only after that change is committed by a majority that includes both.
+     * <p>The order of steps protects against the loss of another replica during a replacement: the new replica becomes a
+     * voter only once its disk holds everything that is committed, and the lost voter is removed only after that change has
+     * been committed by a majority of a configuration that includes both.
      */
     private void advanceMembership() {
-        Configuration present = core.configuration();
-        if (!present.retiring().isEmpty()) {
+        Configuration current = core.configuration();
+        if (!current.retiring().isEmpty()) {
             core.proposeConfiguration(
-                    present.without(present.retiring().iterator().next()));
+                    current.without(current.retiring().iterator().next()));
             return;
         }
-        for (Map.Entry<String, String> learner : present.learners().entrySet()) {
+        for (Map.Entry<String, String> learner : current.learners().entrySet()) {
             if (core.isCaughtUp(learner.getKey())) {
-                core.proposeConfiguration(present.withPromoted(learner.getKey()));
+                core.proposeConfiguration(current.withPromoted(learner.getKey()));
                 return;
             }
         }
     }
 
     /**
-     * Holds what a replica needs around it.
+     * Holds the services that a replica uses.
      *
-     * @param network sends messages to other replicas; it may lose them.
+     * @param network sends messages to other replicas; messages may be lost.
      * @param writer makes batches durable, in order.
      * @param appliedListener is notified of every change of the state.
-     * @param random the source of randomness.
+     * @param random the source of random numbers.
      */
     public record Surroundings(
             Network network, Writer writer, AppliedListener appliedListener, RandomGenerator random) {}
@@ -251,7 +254,7 @@
      */
     public interface Network {
         /**
-         * Sends a message, which may be lost, delayed, repeated or overtaken.
+         * Sends a message, which may be lost, delayed, duplicated or reordered.
          *
          * @param replica the identity of the receiver.
          * @param message the message.
@@ -260,41 +263,41 @@
     }
 
     /**
-     * Makes batches durable.
+     * Makes batches and snapshots durable.
      */
     public interface Writer {
         /**
-         * Makes a batch durable after every earlier one, then runs an action on the control thread.
+         * Makes a batch durable after all earlier ones, then runs a callback on the control thread.
          *
-         * @param batch what to write, perhaps nothing.
-         * @param written what to do afterwards; takes the monotonic clock in milliseconds.
+         * @param batch the batch to write, which may be empty.
+         * @param onWritten the callback, which receives the time of the monotonic clock in milliseconds.
          */
-        void write(WriteBatch batch, LongConsumer written);
+        void write(WriteBatch batch, LongConsumer onWritten);
 
         /**
-         * Makes a snapshot and stores it aside while other work goes on, then runs an action on the control thread.
+         * Creates a snapshot and stores it in the background, then runs a callback on the control thread.
          *
-         * @param making makes the snapshot, on any thread.
-         * @param staged takes the snapshot once it is stored.
+         * @param snapshotSupplier creates the snapshot, on any thread.
+         * @param onStaged the callback, which receives the snapshot once it is stored.
          */
-        void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged);
+        void stage(Supplier<Snapshot> snapshotSupplier, Consumer<Snapshot> onStaged);
 
         /**
-         * Returns whether the disk has room for further proposals.
+         * Returns whether the disk has enough free space for further proposals.
          *
-         * @return whether there is space.
+         * @return whether there is enough space.
          */
         boolean hasSpace();
     }
 
     /**
-     * Is notified of changes of the state.
+     * Receives a notification after each change of the state.
      */
     public interface AppliedListener {
         /**
-         * Takes note of a change.
+         * Handles a change of the state.
          *
-         * @param state the state after it.
+         * @param state the state after the change.
          */
         void onApplied(ControlState state);
     }
@@ -303,19 +306,19 @@
      * Holds the sizes and times of a replica.
      *
      * @param raft the times and sizes of the consensus core.
-     * @param state how long the state machine remembers.
-     * @param entriesPerSnapshot how many entries are applied between snapshots.
-     * @param maximumPending how many proposals may wait at once.
+     * @param state the retention times of the state machine.
+     * @param entriesPerSnapshot the minimum number of entries that are applied between two snapshots.
+     * @param maximumPending the maximum number of pending proposals.
      */
     public record Options(RaftOptions raft, StateOptions state, int entriesPerSnapshot, int maximumPending) {
-        /** Fits a cluster of today's size. */
+        /** The default options, sized for a cluster of the current size. */
         public static final Options STANDARD = new Options(RaftOptions.STANDARD, StateOptions.STANDARD, 10_000, 20_000);
     }
 
     /**
-     * Remembers who waits for an entry.
+     * Holds a proposal whose outcome isn't known yet.
      *
-     * @param term the term in which the entry was proposed.
+     * @param term the term in which the proposal was appended to the log.
      * @param listener receives the outcome.
      */
     private record PendingProposal(long term, Proposal.Listener listener) {}
--- a/replication/src/main/java/org/radishspur/replication/control/Proposal.java
+++ b/replication/src/main/java/org/radishspur/replication/control/Proposal.java
@@ -3,42 +3,44 @@
 import org.radishspur.replication.state.ControlAnswer;
 
 /**
- * Tells how a proposed command ended.
+ * Holds the outcome of a proposed command.
  */
 public sealed interface Proposal {
 
     /**
-     * Says that the command is committed.
+     * Reports that the command is committed and applied.
      *
-     * @param answer what the state machine answered.
+     * @param answer the result that the state machine returned.
      */
     record Committed(ControlAnswer answer) implements Proposal {}
 
     /**
-     * Says that the command was not even appended, because this replica doesn't lead.
+     * Reports that the command was not appended to the log, because this replica isn't the leader.
      *
-     * @param leader the identity of the leader, or an empty text.
+     * @param leader the identity of the leader, or an empty text if it is unknown.
      */
     record NotLeader(String leader) implements Proposal {}
 
     /**
-     * Says that leadership was lost before the command was known to be committed, so that it may or may not be.
+     * Reports that this replica lost the leadership before it knew the command to be committed, so that the command may or
+     * may not be committed.
      */
     record InDoubt() implements Proposal {}
 
     /**
-     * Says that the command was not appended, because too many wait or the disk is nearly full.
+     * Reports that the command was not appended to the log, because too many proposals are pending or the disk is nearly
+     * full.
      */
     record Busy() implements Proposal {}
 
     /**
-     * Receives the end of a proposal, on the control thread.
+     * Receives the outcome of a proposal, on the control thread.
      */
     interface Listener {
         /**
-         * Takes the end.
+         * Receives the outcome.
          *
-         * @param proposal how the command ended.
+         * @param proposal the outcome of the command.
          */
         void onEnd(Proposal proposal);
     }
--- a/replication/src/main/java/org/radishspur/replication/control/package-info.java
+++ b/replication/src/main/java/org/radishspur/replication/control/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Runs one control replica: the consensus core, its disk and the state machine, on one thread.
+ * Runs one control replica, which connects the consensus core to the network, the disk and the state machine.
  */
 package org.radishspur.replication.control;
--- a/replication/src/main/java/org/radishspur/replication/disk/DataFolder.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/DataFolder.java
@@ -14,7 +14,7 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Gives access to the files of one data folder; every file lives directly in it.
+ * Reads and writes the files of one data folder, all of which lie directly in it.
  *
  * @param path the folder.
  */
@@ -23,19 +23,21 @@
     private static final String TEMPORARY_SUFFIX = ".tmp";
 
     /**
-     * Formats the folder, once in its life.
+     * Formats the folder by storing an identity in it; a folder is formatted only once.
      *
-     * @param identity the identity that the folder is to have.
+     * @param identity the identity of the folder.
+     * @throws RadishspurException if the folder is already formatted or can't be written.
      */
     public void format(Identity identity) {
         try {
             Files.createDirectories(path);
             if (Files.exists(path.resolve(IDENTITY_FILE)) || !list("journal-").isEmpty()) {
-                throw new RadishspurException(ErrorCode.DATA_FOLDER_STATE, "already formatted: " + path);
+                throw new RadishspurException(
+                        ErrorCode.DATA_FOLDER_STATE, "the data folder is already formatted: " + path);
             }
             writeAtomically(IDENTITY_FILE, identity.write().getBytes(StandardCharsets.UTF_8));
         } catch (IOException exception) {
-            throw DiskFaults.translate("can't format " + path, exception);
+            throw DiskFaults.translate("can't format the data folder " + path, exception);
         }
     }
 
@@ -49,15 +51,16 @@
     }
 
     /**
-     * Reads the identity of the folder and checks that it belongs here.
+     * Reads the identity of the folder and checks that it belongs to the given node.
      *
-     * @param cluster the cluster that the process belongs to.
-     * @param node the name of the process.
+     * @param cluster the cluster that the node belongs to.
+     * @param node the name of the node.
      * @return the identity.
+     * @throws RadishspurException if the folder is not formatted, can't be read or belongs to another node or cluster.
      */
     public Identity identity(String cluster, String node) {
         if (!isFormatted()) {
-            throw new RadishspurException(ErrorCode.DATA_FOLDER_STATE, "not formatted: " + path);
+            throw new RadishspurException(ErrorCode.DATA_FOLDER_STATE, "the data folder is not formatted: " + path);
         }
         try {
             String text = Files.readString(path.resolve(IDENTITY_FILE));
@@ -74,10 +77,10 @@
     }
 
     /**
-     * Lists the files whose names begin with a prefix.
+     * Lists the files whose names start with a prefix, except temporary ones.
      *
      * @param prefix the prefix.
-     * @return the files in the order of their names.
+     * @return the files, sorted by name.
      * @throws IOException if the folder can't be read.
      */
     List<Path> list(String prefix) throws IOException {
@@ -92,10 +95,10 @@
     }
 
     /**
-     * Writes a file so that after a crash it is there whole or not at all.
+     * Writes a file atomically: after a crash, it has either all of its new content or none.
      *
      * @param name the name of the file.
-     * @param bytes its content.
+     * @param bytes the content of the file.
      * @throws IOException if the file can't be written or synced.
      */
     void writeAtomically(String name, byte[] bytes) throws IOException {
@@ -113,7 +116,7 @@
     }
 
     /**
-     * Makes the names of new files durable.
+     * Syncs the folder, which makes the names of new files durable.
      *
      * @throws IOException if the folder can't be synced.
      */
@@ -124,12 +127,13 @@
     }
 
     /**
-     * Returns the space that is left on the disk.
+     * Returns the free space on the disk.
      *
-     * @return the number of bytes, 0 where the disk can't be measured.
+     * @return the free space in bytes, or 0 if it can't be determined.
      */
     public long usableBytes() {
-        // A file store would read the list of all mounts each time, on the thread that waits for the disk.
+        // Not by a FileStore, which reads the list of all mounts at each call, here on the thread that writes to the
+        // disk.
         return path.toFile().getUsableSpace();
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -24,7 +24,8 @@
 import org.radishspur.replication.raft.WriteBatch;
 
 /**
- * Stores batches in journals that are only ever appended to, and snapshots in files of their own.
+ * Stores write batches in append-only journals, and each snapshot in a file of its own. A journal is deleted once a
+ * snapshot covers all its entries.
  */
 public final class FileDisk implements Disk {
     private static final int NUMBER_DIGITS = 20;
@@ -46,7 +47,7 @@
     private long currentHighestIndex;
 
     /**
-     * Opens a formatted folder.
+     * Creates the disk of a formatted folder; nothing is read before {@link #recover()}.
      *
      * @param folder the folder.
      * @param identity the identity of the folder.
@@ -76,8 +77,9 @@
             if (files.isEmpty()) {
                 openJournal(1);
             } else if (currentLength == 0) {
-                // A crash tore the first record of this journal. Without it the election state would be gone as soon
-                // as the earlier journals are deleted, and the replica could vote twice in a term.
+                // A crash tore the first record of this journal, which repeats the election state. Without the record,
+                // the state would be lost once the earlier journals are deleted, and the replica could vote twice in a
+                // term.
                 appendRecord(new JournalRecord(identity.replica(), Optional.of(hardState), List.of(), 0, 0));
             }
             return replay.finish();
@@ -141,24 +143,24 @@
         byte[] bytes = Files.readAllBytes(file);
         JournalCodec.IntactPrefix intact =
                 JournalCodec.read(bytes, last, file.getFileName().toString());
-        long greatest = 0;
+        long highest = 0;
         for (JournalRecord record : intact.records()) {
             if (!record.replica().equals(identity.replica())) {
                 throw new RadishspurException(
                         ErrorCode.FOREIGN_DATA, file.getFileName() + " was written by replica " + record.replica());
             }
-            greatest = Math.max(greatest, replay.apply(record));
+            highest = Math.max(highest, replay.apply(record));
         }
         long number = numberOf(file, JOURNAL_PREFIX);
         if (last) {
             currentNumber = number;
             currentLength = intact.length();
-            currentHighestIndex = greatest;
+            currentHighestIndex = highest;
             current = journals.open(file);
             current.truncate(currentLength);
             current.force();
         } else {
-            closedJournals.add(new ClosedJournal(file, greatest));
+            closedJournals.add(new ClosedJournal(file, highest));
         }
     }
 
@@ -184,8 +186,8 @@
         try {
             current.append(frame);
         } catch (IOException exception) {
-            // A full disk leaves half a record behind. It is cut off here, so that the journal stays intact and the
-            // same batch can be written again once there is space.
+            // A full disk can leave a partial record. It is cut off, so that the journal stays intact and the same
+            // batch can be written again once there is space.
             current.truncate(currentLength);
             throw exception;
         }
@@ -214,7 +216,7 @@
         ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
         java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
         if (file.remaining() < Long.BYTES) {
-            throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is cut short");
+            throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is truncated");
         }
         long expected = file.getLong();
         byte[] payload = new byte[file.remaining()];
@@ -250,15 +252,15 @@
     }
 
     /**
-     * Remembers a journal that is full.
+     * Describes an earlier journal, to which nothing is appended any more.
      *
      * @param path the file.
-     * @param highestIndex the greatest index of an entry in it.
+     * @param highestIndex the highest index of its entries, or 0 if it has none.
      */
     private record ClosedJournal(Path path, long highestIndex) {}
 
     /**
-     * Rebuilds the log by applying the records in the order in which they were written.
+     * Rebuilds the log by applying the journal records in the order in which they were written.
      */
     private final class Replay {
         private HardState hardState = HardState.INITIAL;
@@ -275,18 +277,18 @@
             if (record.snapshotIndex() > 0) {
                 applySnapshotMarker(record.snapshotIndex(), record.snapshotTerm());
             }
-            long greatest = 0;
+            long highest = 0;
             for (LogEntry entry : record.entries()) {
                 while (!entries.isEmpty() && entries.get(entries.size() - 1).index() >= entry.index()) {
                     entries.remove(entries.size() - 1);
                 }
                 entries.add(entry);
-                greatest = Math.max(greatest, entry.index());
+                highest = Math.max(highest, entry.index());
             }
-            return greatest;
+            return highest;
         }
 
-        /** Keeps the entries behind a snapshot only if they continue it, as the replica itself did. */
+        /** Keeps the entries after a snapshot only if the log matches it, as the running replica did. */
         private void applySnapshotMarker(long index, long term) {
             boolean continues = entries.stream().anyMatch(entry -> entry.index() == index && entry.term() == term);
             snapshotIndex = index;
--- a/replication/src/main/java/org/radishspur/replication/disk/Identity.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/Identity.java
@@ -16,19 +16,20 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Names a data folder for good: it is drawn when the folder is formatted, and a wiped disk never gets it back.
+ * Identifies a data folder and its replica permanently. The identity is assigned when the folder is formatted, and is never
+ * used again after the disk was wiped.
  *
  * @param cluster the cluster that the folder belongs to.
  * @param node the node that formatted the folder.
- * @param replica the identity under which the folder votes or learns.
- * @param initialVoters the first replicas of the cluster, or none for a folder that waits to be added.
+ * @param replica the identity of the replica, as a voter or a learner.
+ * @param initialVoters the identities of the founding replicas, or an empty set for a replica that joins the cluster later.
  */
 public record Identity(String cluster, String node, String replica, Set<String> initialVoters) {
 
     private static final String FOUNDING_SUFFIX = "#founder";
 
     /**
-     * Returns the identity of a replica that founds a cluster together with others.
+     * Returns the identity of one of the replicas that found a cluster.
      *
      * @param cluster the cluster.
      * @param node the node.
@@ -47,7 +48,7 @@
      *
      * @param cluster the cluster.
      * @param node the node.
-     * @param suffix a text that no earlier folder of the node has had.
+     * @param suffix a text that no earlier identity of the node has had.
      * @return the identity.
      */
     public static Identity ofJoiner(String cluster, String node, String suffix) {
@@ -55,11 +56,12 @@
     }
 
     /**
-     * Reads an identity from its JSON text, field by field: a general object mapper takes a fifth of a second to set up on a
-     * small host that restarts.
+     * Parses an identity from JSON. It is read field by field, because setting up a general object mapper takes a fifth of
+     * a second when a small host restarts.
      *
-     * @param text the text.
+     * @param text the JSON text.
      * @return the identity.
+     * @throws RadishspurException if the text is malformed or lacks a field.
      */
     static Identity parse(String text) {
         Map<String, String> texts = new HashMap<>();
@@ -76,18 +78,20 @@
                 }
             }
         } catch (IOException exception) {
-            throw new RadishspurException(ErrorCode.FOREIGN_DATA, "an identity can't be read", exception);
+            throw new RadishspurException(
+                    ErrorCode.FOREIGN_DATA, "can't parse the identity of the data folder", exception);
         }
         if (!texts.keySet().containsAll(Set.of("cluster", "node", "replica"))) {
-            throw new RadishspurException(ErrorCode.FOREIGN_DATA, "an identity lacks a part: " + text);
+            throw new RadishspurException(
+                    ErrorCode.FOREIGN_DATA, "the identity of the data folder lacks a field: " + text);
         }
         return new Identity(texts.get("cluster"), texts.get("node"), texts.get("replica"), voters);
     }
 
     /**
-     * Writes the identity as JSON text.
+     * Writes the identity as JSON.
      *
-     * @return the text.
+     * @return the JSON text.
      */
     String write() {
         StringWriter text = new StringWriter();
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
@@ -10,10 +10,10 @@
 import org.radishspur.replication.codec.MessagePack;
 
 /**
- * Frames the records of a journal and finds where an intact beginning ends.
+ * Encodes the records of a journal with checksums, and reads the intact records at the beginning of a journal.
  */
 final class JournalCodec {
-    /** The bytes before each record: a mark, the length and the checksum. */
+    /** The size of the header before each record: a magic number, the length and the checksum of the record. */
     static final int HEADER_BYTES = 12;
 
     private static final int MAGIC = 0x52414453;
@@ -31,14 +31,15 @@
     /**
      * Reads the intact records at the beginning of a journal.
      *
-     * <p>Guards against taking corruption for a torn tail. Each batch is one record and is synced before the next one
-     * is written, so only the last record can be torn by a crash: an intact record behind a damaged one proves that
-     * the damaged one had been synced, that is, promised to others. Cutting it would forget a vote or an entry.
+     * <p>Corruption must not be taken for a torn tail. Each batch is one record and is synced before the next one is
+     * written, so a crash can tear only the last record. An intact record after a damaged one proves that the damaged one
+     * had been synced, so that other replicas may rely on it: truncating the journal there would lose a vote or an entry.
      *
      * @param bytes the content of the journal.
-     * @param last whether this is the latest journal, whose tail may be torn.
-     * @param name the name of the file, for the error.
-     * @return the records and the length of the intact beginning.
+     * @param last whether this is the latest journal, whose last record may be torn.
+     * @param name the name of the file, for error messages.
+     * @return the intact records and their length.
+     * @throws RadishspurException if the journal is damaged elsewhere than at a torn tail.
      */
     static IntactPrefix read(byte[] bytes, boolean last, String name) {
         List<JournalRecord> records = new ArrayList<>();
@@ -69,18 +70,18 @@
         return false;
     }
 
-    /** Returns the length of the intact record at a position, or -1 where there is none. */
+    /** Returns the length of the intact record at a position, or -1 if there is none. */
     private static int recordLengthAt(byte[] bytes, int position) {
         if (bytes.length - position < HEADER_BYTES) {
             return -1;
         }
         ByteBuffer header = ByteBuffer.wrap(bytes, position, HEADER_BYTES);
-        int mark = header.getInt();
+        int magic = header.getInt();
         int length = header.getInt();
         int checksum = header.getInt();
         boolean fits =
                 length >= 0 && length <= MAXIMUM_RECORD_BYTES && length <= bytes.length - position - HEADER_BYTES;
-        if (mark != MAGIC || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
+        if (magic != MAGIC || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
             return -1;
         }
         return length;
@@ -93,10 +94,10 @@
     }
 
     /**
-     * Holds the intact beginning of a journal.
+     * Holds the intact records at the beginning of a journal.
      *
-     * @param records its records.
-     * @param length its length in bytes.
+     * @param records the records.
+     * @param length their length with headers, in bytes.
      */
     record IntactPrefix(List<JournalRecord> records, long length) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalFile.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalFile.java
@@ -7,30 +7,30 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Appends to one journal; tests put a failing one in its place.
+ * Appends to one journal; an interface, so that tests can inject I/O errors.
  */
 interface JournalFile extends AutoCloseable {
 
     /**
-     * Writes all bytes at the end.
+     * Appends bytes to the file.
      *
-     * @param bytes what to write.
-     * @throws IOException if not everything could be written.
+     * @param bytes the bytes to append.
+     * @throws IOException if not all bytes could be written; some may have been.
      */
     void append(ByteBuffer bytes) throws IOException;
 
     /**
-     * Makes everything that was appended durable.
+     * Syncs the file, which makes everything that was appended durable.
      *
-     * @throws IOException if the state of the disk is in doubt.
+     * @throws IOException if the sync failed, so that it is unknown what the disk holds.
      */
     void force() throws IOException;
 
     /**
-     * Cuts the file, as after an append that failed half way.
+     * Truncates the file, as after an append that failed.
      *
-     * @param length the length to keep.
-     * @throws IOException if the file can't be cut.
+     * @param length the length to keep, in bytes.
+     * @throws IOException if the file can't be truncated.
      */
     void truncate(long length) throws IOException;
 
@@ -53,15 +53,15 @@
     }
 
     /**
-     * Writes through a file channel.
+     * Writes a journal through a file channel.
      */
     final class ChannelJournalFile implements JournalFile {
         private final FileChannel channel;
 
         /**
-         * Opens a file.
+         * Opens a file for appending.
          *
-         * @param path the file.
+         * @param path the file, which is created if it doesn't exist.
          * @throws IOException if the file can't be opened.
          */
         ChannelJournalFile(Path path) throws IOException {
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalRecord.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalRecord.java
@@ -7,13 +7,13 @@
 import org.radishspur.replication.raft.LogEntry;
 
 /**
- * Holds one write batch as it stands in a journal.
+ * Holds one write batch as it is stored in a journal.
  *
- * @param replica the identity of the replica that wrote it.
+ * @param replica the identity of the replica that wrote the record.
  * @param hardState the election state, if it changed.
- * @param entries the appended entries.
- * @param snapshotIndex the last index of a snapshot whose file is whole, or 0.
- * @param snapshotTerm the term of that index.
+ * @param entries the log entries to append; each replaces an earlier entry of the same index and all entries after it.
+ * @param snapshotIndex the last index that a completely stored snapshot covers, or 0 if the batch has no snapshot.
+ * @param snapshotTerm the term of the entry at that index, or 0.
  */
 record JournalRecord(
         String replica, Optional<HardState> hardState, List<LogEntry> entries, long snapshotIndex, long snapshotTerm) {}
--- a/replication/src/main/java/org/radishspur/replication/disk/package-info.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps the log and its snapshots in the data folder of a host.
+ * Stores the replicated log and its snapshots in the data folder of a host.
  */
 package org.radishspur.replication.disk;
--- a/replication/src/main/java/org/radishspur/replication/package-info.java
+++ b/replication/src/main/java/org/radishspur/replication/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps the control state on several hosts: the replicated log below, and the state machines on top of it.
+ * Replicates the control state across several hosts: a replicated log, and state machines that apply its entries.
  */
 package org.radishspur.replication;
--- a/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
+++ b/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
@@ -16,13 +16,13 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class MessagePackTest {
-    /** Stands for an older version of a record. */
+    /** An older version of a record. */
     record OlderRecord(long first, String second) {}
 
-    /** Stands for a newer version of the same record. */
+    /** A newer version of the same record. */
     record NewerRecord(long first, String second, Optional<String> third, List<Integer> fourth, boolean fifth) {}
 
-    /** Uses every kind of component. */
+    /** A record with components of many types. */
     record MixedRecord(
             int whole,
             double fraction,
@@ -34,16 +34,16 @@
     @Nested
     class RoundTrips {
         @Test
-        void keepsEveryKindOfComponent() {
-            MixedRecord broad = new MixedRecord(
+        void keepsComponentsOfEveryType() {
+            MixedRecord written = new MixedRecord(
                     -7,
                     0.25,
                     new byte[] {1, 2},
                     new int[] {3, -4, 5},
                     Map.of("a", Set.of(1L, Long.MAX_VALUE)),
                     Optional.of(new OlderRecord(Long.MIN_VALUE, "ü")));
-            MixedRecord read = MessagePack.INSTANCE.decode(MessagePack.INSTANCE.encode(broad), MixedRecord.class);
-            assertThat(read).usingRecursiveComparison().isEqualTo(broad);
+            MixedRecord read = MessagePack.INSTANCE.decode(MessagePack.INSTANCE.encode(written), MixedRecord.class);
+            assertThat(read).usingRecursiveComparison().isEqualTo(written);
         }
 
         @Test
@@ -66,14 +66,14 @@
     @Nested
     class BetweenVersions {
         @Test
-        void skipsWhatANewerVersionAdds() {
+        void skipsComponentsThatANewerVersionHasAdded() {
             byte[] bytes =
                     MessagePack.INSTANCE.encode(new NewerRecord(1, "two", Optional.of("three"), List.of(4), true));
             assertThat(MessagePack.INSTANCE.decode(bytes, OlderRecord.class)).isEqualTo(new OlderRecord(1, "two"));
         }
 
         @Test
-        void standsInForWhatAnOlderVersionLacks() {
+        void givesDefaultsToComponentsThatAnOlderVersionLacks() {
             byte[] bytes = MessagePack.INSTANCE.encode(new OlderRecord(1, "two"));
             assertThat(MessagePack.INSTANCE.decode(bytes, NewerRecord.class))
                     .isEqualTo(new NewerRecord(1, "two", Optional.empty(), null, false));
@@ -83,22 +83,22 @@
     @Nested
     class Malformed {
         @Test
-        void reportsAnUnknownSubtype() {
+        void reportsAnUnknownSubtypeIndex() {
             byte[] bytes = MessagePack.INSTANCE.encode(new OlderRecord(99, "none"));
             assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, RaftMessage.class))
                     .isInstanceOf(RadishspurException.class);
         }
 
         @Test
-        void reportsBytesThatEndTooSoon() {
+        void reportsTruncatedBytes() {
             byte[] bytes = java.util.Arrays.copyOf(MessagePack.INSTANCE.encode(new OlderRecord(1, "two")), 3);
             assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, OlderRecord.class))
                     .isInstanceOf(RadishspurException.class);
         }
 
-        /** A false length of two thousand million numbers must not claim memory for them. */
+        /** Guards against allocating memory for a false array length of two billion integers. */
         @Test
-        void reportsALengthThatTheBytesDoNotHold() {
+        void reportsAnArrayLengthBeyondTheEndOfTheBytes() {
             byte[] bytes = {(byte) 0x96, 0, (byte) 0xc0, (byte) 0xc0, (byte) 0xdd, 0x7f, -1, -1, -1, 1};
             assertThatThrownBy(() -> MessagePack.INSTANCE.decode(bytes, MixedRecord.class))
                     .isInstanceOf(RadishspurException.class);
--- a/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
+++ b/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
@@ -28,7 +28,7 @@
 
 class FileDiskTest {
     private static final Identity IDENTITY = Identity.ofFounder("cluster", "a", Set.of("a", "b", "c"));
-    private static final int SMALL_JOURNAL = 400;
+    private static final int SMALL_JOURNAL_BYTES = 400;
 
     @TempDir
     Path path;
@@ -42,7 +42,7 @@
     }
 
     private FileDisk open() {
-        return new FileDisk(folder, IDENTITY, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL);
+        return new FileDisk(folder, IDENTITY, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL_BYTES);
     }
 
     private static WriteBatch entries(long term, long from, long to) {
@@ -77,7 +77,7 @@
         return journals.get(journals.size() - 1);
     }
 
-    private static void assertCode(ErrorCode code, Runnable action) {
+    private static void assertErrorCode(ErrorCode code, Runnable action) {
         assertThatThrownBy(action::run)
                 .isInstanceOfSatisfying(
                         RadishspurException.class,
@@ -87,7 +87,7 @@
     @Nested
     class AfterARestart {
         @Test
-        void everythingWrittenIsThere() {
+        void writtenEntriesAndElectionStateAreRecovered() {
             write(vote(3, "b"), entries(3, 1, 5));
             Recovered recovered = recover();
             assertThat(recovered.hardState()).isEqualTo(new HardState(3, "b"));
@@ -95,13 +95,13 @@
         }
 
         @Test
-        void aLaterEntryReplacesThoseFromItsIndexOn() {
+        void aLaterEntryReplacesAllEntriesFromItsIndexOn() {
             write(entries(1, 1, 5), entries(2, 3, 3));
             assertThat(recover().entries()).extracting(LogEntry::term).containsExactly(1L, 1L, 2L);
         }
 
         @Test
-        void aVoteSurvivesTheDeletionOfTheJournalThatHeldIt() {
+        void aVoteSurvivesTheDeletionOfTheJournalThatContainedIt() {
             write(vote(7, "c"));
             for (long index = 1; index <= 60; index++) {
                 write(entries(7, index, index));
@@ -114,21 +114,21 @@
         }
 
         @Test
-        void entriesBehindASnapshotStayOnlyIfTheyContinueIt() {
-            Snapshot foreign = new Snapshot(3, 9, Configuration.ofVoters(Set.of("a#founder")), new byte[1]);
-            write(entries(1, 1, 5), new WriteBatch(Optional.empty(), List.of(), Optional.of(foreign)));
+        void entriesAfterASnapshotAreKeptOnlyIfTheLogMatchesIt() {
+            Snapshot diverging = new Snapshot(3, 9, Configuration.ofVoters(Set.of("a#founder")), new byte[1]);
+            write(entries(1, 1, 5), new WriteBatch(Optional.empty(), List.of(), Optional.of(diverging)));
             assertThat(recover().entries()).isEmpty();
-            Snapshot own = new Snapshot(4, 10, Configuration.ofVoters(Set.of("a#founder")), new byte[1]);
-            write(entries(10, 4, 6), new WriteBatch(Optional.empty(), List.of(), Optional.of(own)));
+            Snapshot matching = new Snapshot(4, 10, Configuration.ofVoters(Set.of("a#founder")), new byte[1]);
+            write(entries(10, 4, 6), new WriteBatch(Optional.empty(), List.of(), Optional.of(matching)));
             assertThat(recover().entries()).extracting(LogEntry::index).containsExactly(5L, 6L);
         }
     }
 
     @Nested
     class WithDamage {
-        /** Guards against a failure in which a control host refuses to start after a power cut, or forgets its vote. */
+        /** Guards against a control host that refuses to start or loses its vote after a power failure during a write. */
         @Test
-        void aTornTailIsCutAtEveryLength() throws IOException {
+        void aTornLastRecordOfAnyLengthIsDiscarded() throws IOException {
             write(vote(3, "b"), entries(3, 1, 1));
             byte[] intact = Files.readAllBytes(lastJournal());
             write(entries(3, 2, 2));
@@ -140,14 +140,14 @@
             }
         }
 
-        /** Guards against a failure in which an accepted edit is gone because a damaged replica voted. */
+        /** Guards against the loss of an accepted edit because a replica votes after it has truncated a damaged log. */
         @Test
-        void damageBeforeTheTailIsReportedAndNothingIsCut() throws IOException {
+        void damageBeforeTheLastRecordIsReportedAndNothingIsTruncated() throws IOException {
             write(vote(3, "b"), entries(3, 1, 1), entries(3, 2, 2));
             byte[] bytes = Files.readAllBytes(lastJournal());
             bytes[bytes.length / 2] ^= 1;
             Files.write(lastJournal(), bytes);
-            assertCode(ErrorCode.LOG_CORRUPT, FileDiskTest.this::recover);
+            assertErrorCode(ErrorCode.LOG_CORRUPT, FileDiskTest.this::recover);
             assertThat(Files.readAllBytes(lastJournal())).isEqualTo(bytes);
         }
 
@@ -159,41 +159,41 @@
             byte[] bytes = Files.readAllBytes(file);
             bytes[bytes.length - 1] ^= 1;
             Files.write(file, bytes);
-            assertCode(ErrorCode.LOG_CORRUPT, FileDiskTest.this::recover);
+            assertErrorCode(ErrorCode.LOG_CORRUPT, FileDiskTest.this::recover);
         }
 
         @Test
         void theJournalOfAnotherReplicaIsReported() throws IOException {
             write(entries(1, 1, 1));
             Identity other = Identity.ofJoiner("cluster", "a", "x");
-            FileDisk disk = new FileDisk(folder, other, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL);
-            assertCode(ErrorCode.FOREIGN_DATA, disk::recover);
+            FileDisk disk = new FileDisk(folder, other, JournalFile.ChannelJournalFile::new, SMALL_JOURNAL_BYTES);
+            assertErrorCode(ErrorCode.FOREIGN_DATA, disk::recover);
         }
     }
 
     @Nested
     class WithAFailingDisk {
-        /** Guards against a failure in which a full disk damages the log of a control host for good. */
+        /** Guards against permanent damage to the log by the partial record that a full disk leaves behind. */
         @Test
-        void aFullDiskDamagesNothing() {
-            FaultyJournalFactory flaky = new FaultyJournalFactory();
-            try (FileDisk disk = new FileDisk(folder, IDENTITY, flaky::open, SMALL_JOURNAL)) {
+        void aBatchCanBeWrittenAgainAfterTheDiskWasFull() {
+            FaultyJournalFactory faulty = new FaultyJournalFactory();
+            try (FileDisk disk = new FileDisk(folder, IDENTITY, faulty::open, SMALL_JOURNAL_BYTES)) {
                 disk.recover();
                 disk.write(entries(1, 1, 1));
-                flaky.diskFullAtNextAppend = true;
-                assertCode(ErrorCode.DISK_FULL, () -> disk.write(entries(1, 2, 2)));
+                faulty.diskFullAtNextAppend = true;
+                assertErrorCode(ErrorCode.DISK_FULL, () -> disk.write(entries(1, 2, 2)));
                 disk.write(entries(1, 2, 2));
             }
             assertThat(recover().entries()).extracting(LogEntry::index).containsExactly(1L, 2L);
         }
 
         @Test
-        void aFailedSyncIsNotTakenForSuccess() {
-            FaultyJournalFactory flaky = new FaultyJournalFactory();
-            try (FileDisk disk = new FileDisk(folder, IDENTITY, flaky::open, SMALL_JOURNAL)) {
+        void aFailedSyncIsReported() {
+            FaultyJournalFactory faulty = new FaultyJournalFactory();
+            try (FileDisk disk = new FileDisk(folder, IDENTITY, faulty::open, SMALL_JOURNAL_BYTES)) {
                 disk.recover();
-                flaky.failSync = true;
-                assertCode(ErrorCode.DISK_FAILED, () -> disk.write(entries(1, 1, 1)));
+                faulty.failSync = true;
+                assertErrorCode(ErrorCode.DISK_FAILED, () -> disk.write(entries(1, 1, 1)));
             }
         }
     }
@@ -201,42 +201,42 @@
     @Nested
     class Formatting {
         @Test
-        void happensOnce() {
-            assertCode(ErrorCode.DATA_FOLDER_STATE, () -> folder.format(IDENTITY));
+        void isRejectedForAFormattedFolder() {
+            assertErrorCode(ErrorCode.DATA_FOLDER_STATE, () -> folder.format(IDENTITY));
         }
 
         @Test
-        void isNeededFirst() {
-            DataFolder blank = new DataFolder(path.resolve("blank"));
-            assertCode(ErrorCode.DATA_FOLDER_STATE, () -> blank.identity("cluster", "a"));
+        void isRequiredBeforeTheIdentityIsRead() {
+            DataFolder unformatted = new DataFolder(path.resolve("blank"));
+            assertErrorCode(ErrorCode.DATA_FOLDER_STATE, () -> unformatted.identity("cluster", "a"));
         }
 
         @Test
         void bindsTheFolderToItsClusterAndNode() {
-            assertCode(ErrorCode.FOREIGN_DATA, () -> folder.identity("another", "a"));
-            assertCode(ErrorCode.FOREIGN_DATA, () -> folder.identity("cluster", "b"));
+            assertErrorCode(ErrorCode.FOREIGN_DATA, () -> folder.identity("another", "a"));
+            assertErrorCode(ErrorCode.FOREIGN_DATA, () -> folder.identity("cluster", "b"));
             assertThat(folder.identity("cluster", "a")).isEqualTo(IDENTITY);
         }
     }
 
     /**
-     * Fails when told to.
+     * Opens journals whose next append or whose syncs can be made to fail.
      */
     private static final class FaultyJournalFactory {
         private boolean diskFullAtNextAppend;
         private boolean failSync;
 
         JournalFile open(Path file) throws IOException {
-            JournalFile real = new JournalFile.ChannelJournalFile(file);
+            JournalFile delegate = new JournalFile.ChannelJournalFile(file);
             return new JournalFile() {
                 @Override
                 public void append(ByteBuffer bytes) throws IOException {
                     if (diskFullAtNextAppend) {
                         diskFullAtNextAppend = false;
-                        real.append(bytes.slice(0, bytes.remaining() / 2));
+                        delegate.append(bytes.slice(0, bytes.remaining() / 2));
                         throw new IOException("No space left on device");
                     }
-                    real.append(bytes);
+                    delegate.append(bytes);
                 }
 
                 @Override
@@ -244,32 +244,32 @@
                     if (failSync) {
                         throw new IOException("Input/output error");
                     }
-                    real.force();
+                    delegate.force();
                 }
 
                 @Override
                 public void truncate(long length) throws IOException {
-                    real.truncate(length);
+                    delegate.truncate(length);
                 }
 
                 @Override
                 public void close() throws IOException {
-                    real.close();
+                    delegate.close();
                 }
             };
         }
     }
 
     @Test
-    void aTornFirstRecordOfTheNextJournalLosesNothing() throws IOException {
+    void aTornFirstRecordOfANewJournalLosesNothing() throws IOException {
         write(vote(7, "c"));
         for (long index = 1; index <= 20; index++) {
             write(entries(7, index, index));
         }
         List<Path> journals = folder.list("journal-");
         assertThat(journals.size()).isGreaterThan(1);
-        Path next = journals.get(0).resolveSibling(String.format("journal-%020d", journals.size() + 1));
-        Files.write(next, new byte[] {1, 2, 3}, StandardOpenOption.CREATE);
+        Path newJournal = journals.get(0).resolveSibling(String.format("journal-%020d", journals.size() + 1));
+        Files.write(newJournal, new byte[] {1, 2, 3}, StandardOpenOption.CREATE);
         assertThat(recover().hardState()).isEqualTo(new HardState(7, "c"));
         assertThat(recover().entries()).hasSize(20);
     }
