--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -36,12 +36,12 @@
 
     private final DataFolder folder;
     private final Identity identity;
-    private final JournalFile.Factory journals;
+    private final JournalFile.Factory journalFactory;
     private final long journalBytes;
     private final Deque<ClosedJournal> closedJournals = new ArrayDeque<>();
     private final Set<Long> stagedSnapshots = ConcurrentHashMap.newKeySet();
     private HardState hardState = HardState.INITIAL;
-    private JournalFile current;
+    private JournalFile currentJournal;
     private long currentNumber;
     private long currentLength;
     private long currentHighestIndex;
@@ -56,10 +56,10 @@
         this(folder, identity, JournalFile.ChannelJournalFile::new, STANDARD_JOURNAL_BYTES);
     }
 
-    FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journals, long journalBytes) {
+    FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journalFactory, long journalBytes) {
         this.folder = folder;
         this.identity = identity;
-        this.journals = journals;
+        this.journalFactory = journalFactory;
         this.journalBytes = journalBytes;
     }
 
@@ -101,7 +101,7 @@
                 writeSnapshot(batch.snapshot().get());
             }
             if (currentLength > journalBytes) {
-                roll();
+                rollJournal();
             }
             hardState = batch.hardState().orElse(hardState);
             appendRecord(new JournalRecord(
@@ -131,8 +131,8 @@
     @Override
     public void close() {
         try {
-            if (current != null) {
-                current.close();
+            if (currentJournal != null) {
+                currentJournal.close();
             }
         } catch (IOException exception) {
             throw DiskFaults.translate("can't close the journal in " + folder.path(), exception);
@@ -156,9 +156,9 @@
             currentNumber = number;
             currentLength = intact.length();
             currentHighestIndex = highest;
-            current = journals.open(file);
-            current.truncate(currentLength);
-            current.force();
+            currentJournal = journalFactory.open(file);
+            currentJournal.truncate(currentLength);
+            currentJournal.force();
         } else {
             closedJournals.add(new ClosedJournal(file, highest));
         }
@@ -168,13 +168,13 @@
         currentNumber = number;
         currentLength = 0;
         currentHighestIndex = 0;
-        current = journals.open(folder.path().resolve(nameOf(JOURNAL_PREFIX, number)));
+        currentJournal = journalFactory.open(folder.path().resolve(nameOf(JOURNAL_PREFIX, number)));
         folder.syncFolder();
         appendRecord(new JournalRecord(identity.replica(), Optional.of(hardState), List.of(), 0, 0));
     }
 
-    private void roll() throws IOException {
-        current.close();
+    private void rollJournal() throws IOException {
+        currentJournal.close();
         closedJournals.add(
                 new ClosedJournal(folder.path().resolve(nameOf(JOURNAL_PREFIX, currentNumber)), currentHighestIndex));
         openJournal(currentNumber + 1);
@@ -184,14 +184,14 @@
         ByteBuffer frame = JournalCodec.frame(record);
         int length = frame.remaining();
         try {
-            current.append(frame);
+            currentJournal.append(frame);
         } catch (IOException exception) {
             // A full disk can leave a partial record. It is cut off, so that the journal stays intact and the same
             // batch can be written again once there is space.
-            current.truncate(currentLength);
+            currentJournal.truncate(currentLength);
             throw exception;
         }
-        current.force();
+        currentJournal.force();
         currentLength += length;
         for (LogEntry entry : record.entries()) {
             currentHighestIndex = Math.max(currentHighestIndex, entry.index());
@@ -264,12 +264,12 @@
      */
     private final class Replay {
         private HardState hardState = HardState.INITIAL;
-        private Snapshot base;
+        private Snapshot baseSnapshot;
         private long snapshotIndex;
         private List<LogEntry> entries = new ArrayList<>();
 
-        Replay(Snapshot base) {
-            this.base = base;
+        Replay(Snapshot baseSnapshot) {
+            this.baseSnapshot = baseSnapshot;
         }
 
         long apply(JournalRecord record) throws IOException {
@@ -301,20 +301,20 @@
 
         Recovered finish() throws IOException {
             if (snapshotIndex > 0) {
-                base = readSnapshot(snapshotIndex);
+                baseSnapshot = readSnapshot(snapshotIndex);
             }
             List<LogEntry> following = entries.stream()
-                    .filter(entry -> entry.index() > base.lastIndex())
+                    .filter(entry -> entry.index() > baseSnapshot.lastIndex())
                     .toList();
             for (int offset = 0; offset < following.size(); offset++) {
-                if (following.get(offset).index() != base.lastIndex() + 1 + offset) {
+                if (following.get(offset).index() != baseSnapshot.lastIndex() + 1 + offset) {
                     throw new RadishspurException(
                             ErrorCode.LOG_CORRUPT,
                             "the log has a gap before index "
                                     + following.get(offset).index());
                 }
             }
-            return new Recovered(hardState, base, following);
+            return new Recovered(hardState, baseSnapshot, following);
         }
     }
 }
