--- a/model/src/main/java/org/radishspur/model/request/Tier.java
+++ b/model/src/main/java/org/radishspur/model/request/Tier.java
@@ -7,7 +7,7 @@
  * Lists the tiers of requests, the most urgent first; a request is never shed before one of a less urgent tier.
  */
 public enum Tier {
-    /** Requests of people in danger. */
+    /** Requests for whose result a person in danger is waiting. */
     URGENT,
     /** Interactive requests, for whose result a person is waiting. */
     HIGH,
