--- a/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Catalogue.java
@@ -139,19 +139,18 @@
 
     private void addPool(PoolRule pool) {
         if (pools.put(pool.name(), pool) != null) {
-            faults.add(new TableFault("pools." + pool.name(), "is defined twice"));
+            faults.add(new TableFault("pools." + pool.name(), "is described twice"));
         }
     }
 
     private void addOrganisation(OrganisationRule organisation) {
         if (organisations.put(organisation.name(), organisation) != null) {
-            faults.add(new TableFault("organisations." + organisation.name(), "is defined twice"));
+            faults.add(new TableFault("organisations." + organisation.name(), "is described twice"));
         }
         for (String key : organisation.keys()) {
             if (organisationsByKey.put(key, organisation) != null) {
                 faults.add(new TableFault(
-                        "organisations." + organisation.name() + ".keys",
-                        "a key also belongs to another organisation"));
+                        "organisations." + organisation.name() + ".keys", "a key belongs to another organisation too"));
             }
         }
     }
@@ -163,11 +162,11 @@
         }
         boolean negative = route.shares().stream().anyMatch(share -> share.weight() < 0);
         if (negative || route.shares().stream().mapToDouble(PoolShare::weight).sum() <= 0) {
-            faults.add(new TableFault(path + ".shares", "must have no negative weight and a sum above 0"));
+            faults.add(new TableFault(path + ".shares", "must have weights whose sum is above 0"));
         }
         for (PoolShare share : route.shares()) {
             if (!pools.containsKey(share.pool())) {
-                faults.add(new TableFault(path + ".shares", "refers to an unknown pool: " + share.pool()));
+                faults.add(new TableFault(path + ".shares", "names no pool: " + share.pool()));
             }
         }
         if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
--- a/model/src/main/java/org/radishspur/model/table/TablesValidator.java
+++ b/model/src/main/java/org/radishspur/model/table/TablesValidator.java
@@ -50,7 +50,7 @@
             faults.add(new TableFault(path + ".pathPrefix", "must begin with /"));
         }
         if (row.pool() == null || !tables.pools().containsKey(row.pool())) {
-            faults.add(new TableFault(path + ".pool", "refers to an unknown pool: " + row.pool()));
+            faults.add(new TableFault(path + ".pool", "names no pool: " + row.pool()));
         }
         boolean versionMissing = !row.version().isEmpty()
                 && tables.pool(row.pool())
@@ -107,7 +107,7 @@
     private static void checkAddress(String path, String value, List<TableFault> faults) {
         java.util.regex.Matcher matcher = ADDRESS.matcher(value == null ? "" : value);
         if (!matcher.matches() || Integer.parseInt(matcher.group(PORT_GROUP)) > MAXIMUM_PORT) {
-            faults.add(new TableFault(path, "must be an IP address and a port: " + value));
+            faults.add(new TableFault(path, "must be an IP number and a port: " + value));
         }
     }
 
