--- a/decision/src/main/java/org/radishspur/decision/slot/ConnectFailures.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/ConnectFailures.java
@@ -6,23 +6,26 @@
 import org.radishspur.decision.dispatch.UpstreamLoad;
 
 /**
- * Remembers which entry could not connect to which upstream.
+ * Tracks connect failures, so that an upstream counts as unreachable only after two entries have failed to connect to it.
  *
- * <p>Guards against an entry that is cut off itself: it fails to connect to every upstream, and its reports alone would take
- * all upstreams away from the other entries.
+ * <p>An entry with a faulty network connection of its own fails to connect to every upstream. If its reports were enough,
+ * it would take all upstreams out of service for the other entries.
  */
 final class ConnectFailures {
-    /** Failures of two entries within this time have one cause, in milliseconds. */
-    private static final long WINDOW_MILLIS = 1_000;
+    /** The time within which failures reported by two entries confirm each other, in milliseconds. */
+    private static final long CONFIRMATION_WINDOW_MILLIS = 1_000;
 
-    private final Map<UpstreamLoad, Failure> latest = new HashMap<>();
+    private final Map<UpstreamLoad, Failure> latestFailures = new HashMap<>();
 
-    /** Notes a failure, and returns whether another entry has failed at the same upstream lately. */
-    boolean confirms(UpstreamLoad upstream, String entry, long now) {
-        latest.values().removeIf(failure -> now - failure.at() > WINDOW_MILLIS);
-        Failure before = latest.put(upstream, new Failure(entry, now));
-        return before != null && !before.entry().equals(entry);
+    /**
+     * Records a connect failure, and returns whether the previous failure at the same upstream came from another entry
+     * within the confirmation window.
+     */
+    boolean recordAndConfirm(UpstreamLoad upstream, String entry, long now) {
+        latestFailures.values().removeIf(failure -> now - failure.failedAt() > CONFIRMATION_WINDOW_MILLIS);
+        Failure previous = latestFailures.put(upstream, new Failure(entry, now));
+        return previous != null && !previous.entry().equals(entry);
     }
 
-    private record Failure(String entry, long at) {}
+    private record Failure(String entry, long failedAt) {}
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
@@ -4,22 +4,24 @@
 import org.radishspur.decision.dispatch.VersionRule;
 
 /**
- * Describes a slot that a scheduler has not granted itself: its entry came from another scheduler, or granted it alone.
+ * Describes a slot that an entry holds and that the receiving scheduler did not grant. Another scheduler granted it, or the
+ * entry's local scheduler did while no other was available.
  *
- * @param id the number of the request at its entry.
- * @param pool the pool.
- * @param run the run of the upstream.
- * @param promptTokens the tokens of the prompt that the upstream may still have to read.
- * @param tier the tier of the route.
+ * @param requestId the number of the request, unique within its entry.
+ * @param pool the name of the pool.
+ * @param upstreamRun identifies one run of the upstream's process; see
+ *     {@link org.radishspur.model.catalogue.Upstream#run()}.
+ * @param unreadPromptTokens the number of prompt tokens that the upstream may still have to process.
+ * @param tier the tier of the route; 0 is the most urgent.
  */
-public record HeldSlot(long id, String pool, String run, long promptTokens, int tier) {
-    QueuedRequest toQueued(long now) {
+public record HeldSlot(long requestId, String pool, String upstreamRun, long unreadPromptTokens, int tier) {
+    QueuedRequest toQueuedRequest(long now) {
         return new QueuedRequest(
                 "",
                 0,
                 now,
                 now,
                 VersionRule.Any.INSTANCE,
-                new QueuedRequest.Work(promptTokens, 0, tier, now, Long.MAX_VALUE));
+                new QueuedRequest.Work(unreadPromptTokens, 0, tier, now, Long.MAX_VALUE));
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
@@ -11,26 +11,26 @@
 import org.radishspur.decision.dispatch.RendezvousWeight;
 
 /**
- * Chooses the scheduler of one entry: one of its own failure domain where that answers, else any other. Entries without one of
- * their own spread over the others by rendezvous hashing.
+ * Chooses the scheduler that one entry sends its requests to. It prefers schedulers in the failure domain of the entry and
+ * falls back to those in other failure domains. Rendezvous hashing spreads entries over equally preferred schedulers.
  */
 public final class SchedulerChoice {
-    /** How long a scheduler that didn't answer gets no request, in milliseconds; it doubles with each further time. */
-    private static final long AVOIDED_MILLIS = 1_000;
+    /** How long a scheduler is avoided after its first failure, in milliseconds; doubles with each consecutive failure. */
+    private static final long FIRST_AVOIDANCE_MILLIS = 1_000;
 
-    /** The longest such time, in milliseconds. */
-    private static final long LONGEST_AVOIDED_MILLIS = 8_000;
+    /** The longest time for which a scheduler is avoided after a failure, in milliseconds. */
+    private static final long MAX_AVOIDANCE_MILLIS = 8_000;
 
-    /** How long one gets no request that says that it isn't ready, in milliseconds. */
-    private static final long UNREADY_MILLIS = 100;
+    /** How long a scheduler is avoided after it has replied that it isn't ready, in milliseconds. */
+    private static final long UNREADY_AVOIDANCE_MILLIS = 100;
 
     private final String entry;
     private final String failureDomain;
-    private final Map<String, Avoidance> avoided = new HashMap<>();
-    private List<String> inOrder = List.of();
+    private final Map<String, Avoidance> avoidances = new HashMap<>();
+    private List<String> preferredOrder = List.of();
 
     /**
-     * Creates a choice among no schedulers.
+     * Creates a choice without schedulers; {@link #schedulers(Map)} sets them.
      *
      * @param entry the address of the entry.
      * @param failureDomain the failure domain of the entry.
@@ -41,13 +41,13 @@
     }
 
     /**
-     * Puts schedulers in the order in which something should use them: those of its failure domain first, and each in an order
-     * of its own, on which all agree that know the same schedulers.
+     * Sorts schedulers by preference for one client: those in its failure domain first, then by rendezvous weight. Processes
+     * that know the same schedulers compute the same order for a client.
      *
-     * @param name what should use a scheduler.
-     * @param failureDomain where it stands.
-     * @param failureDomains the failure domain of each scheduler, by its address.
-     * @return the addresses, the best first.
+     * @param name identifies the client, such as the address of an entry.
+     * @param failureDomain the failure domain of the client.
+     * @param failureDomains the failure domain of each scheduler, by scheduler address.
+     * @return the addresses, the most preferred first.
      */
     public static List<String> inOrder(String name, String failureDomain, Map<String, String> failureDomains) {
         List<String> addresses = new ArrayList<>(failureDomains.keySet());
@@ -58,70 +58,71 @@
     }
 
     /**
-     * Sets the schedulers.
+     * Replaces the set of known schedulers.
      *
-     * @param failureDomains the failure domain of each scheduler, by its address.
+     * @param failureDomains the failure domain of each scheduler, by scheduler address.
      */
     public void schedulers(Map<String, String> failureDomains) {
-        inOrder = inOrder(entry, failureDomain, failureDomains);
-        avoided.keySet().retainAll(failureDomains.keySet());
+        preferredOrder = inOrder(entry, failureDomain, failureDomains);
+        avoidances.keySet().retainAll(failureDomains.keySet());
     }
 
     /**
-     * Returns the scheduler to ask.
+     * Returns the most preferred scheduler that is connected and isn't avoided.
      *
      * @param reachable tells whether there is a connection to a scheduler.
-     * @param now the clock in milliseconds.
-     * @return its address, or nothing where none is likely to answer.
+     * @param now the current time in milliseconds.
+     * @return the address of the scheduler, or empty if there is no such scheduler.
      */
     public Optional<String> choose(Predicate<String> reachable, long now) {
-        return inOrder.stream()
+        return preferredOrder.stream()
                 .filter(address -> !isAvoided(address, now) && reachable.test(address))
                 .findFirst();
     }
 
     /**
-     * Notes that a scheduler has not answered in time, or that the connection to it was lost.
+     * Records that a scheduler has not replied in time, or that the connection to it was lost.
      *
-     * @param address the scheduler.
-     * @param now the clock in milliseconds.
+     * @param address the address of the scheduler.
+     * @param now the current time in milliseconds.
      */
     public void failed(String address, long now) {
-        int failures = avoided.getOrDefault(address, Avoidance.NONE).failures();
-        long millis = Math.min(LONGEST_AVOIDED_MILLIS, AVOIDED_MILLIS << Math.min(failures, 10));
-        avoided.put(address, new Avoidance(now + millis, failures + 1));
+        int consecutiveFailures =
+                avoidances.getOrDefault(address, Avoidance.NONE).consecutiveFailures();
+        long millis = Math.min(MAX_AVOIDANCE_MILLIS, FIRST_AVOIDANCE_MILLIS << Math.min(consecutiveFailures, 10));
+        avoidances.put(address, new Avoidance(now + millis, consecutiveFailures + 1));
     }
 
     /**
-     * Notes that a scheduler isn't ready.
+     * Records that a scheduler has replied that it isn't ready.
      *
-     * @param address the scheduler.
-     * @param now the clock in milliseconds.
+     * @param address the address of the scheduler.
+     * @param now the current time in milliseconds.
      */
     public void unready(String address, long now) {
-        avoided.put(address, new Avoidance(now + UNREADY_MILLIS, 0));
+        avoidances.put(address, new Avoidance(now + UNREADY_AVOIDANCE_MILLIS, 0));
     }
 
     /**
-     * Notes that a scheduler has answered.
+     * Records that a scheduler has replied, which ends its avoidance.
      *
-     * @param address the scheduler.
+     * @param address the address of the scheduler.
      */
     public void answered(String address) {
-        avoided.remove(address);
+        avoidances.remove(address);
     }
 
     private boolean isAvoided(String address, long now) {
-        return now < avoided.getOrDefault(address, Avoidance.NONE).until();
+        return now < avoidances.getOrDefault(address, Avoidance.NONE).until();
     }
 
     /**
-     * Says until when a scheduler gets no request.
+     * Describes how long a scheduler is avoided.
      *
-     * @param until the clock in milliseconds.
-     * @param failures how many times in a row it has not answered.
+     * @param until the time in milliseconds from which the scheduler may be chosen again.
+     * @param consecutiveFailures the number of failures since the last reply.
      */
-    private record Avoidance(long until, int failures) {
+    private record Avoidance(long until, int consecutiveFailures) {
         static final Avoidance NONE = new Avoidance(Long.MIN_VALUE, 0);
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
@@ -1,82 +1,82 @@
 package org.radishspur.decision.slot;
 
 /**
- * Says how an attempt at an upstream ended, and what that shows about the upstream.
+ * Describes how an attempt at an upstream ended, and what follows for the upstream and for the organisation's quota.
  */
 public enum SlotOutcome {
-    /** A whole answer came that is no failure of the upstream. */
+    /** A complete answer was received that doesn't indicate a failure of the upstream. */
     SUCCESS(true) {
         @Override
-        void showTo(Evidence evidence) {
-            evidence.answered(true);
+        void notifyObserver(OutcomeObserver observer) {
+            observer.recordAnswer(true);
         }
     },
-    /** The upstream answered with a failure, or with bytes that can't be used. */
+    /** The upstream answered with an error or with a malformed answer. */
     FAILURE(true) {
         @Override
-        void showTo(Evidence evidence) {
-            evidence.answered(false);
+        void notifyObserver(OutcomeObserver observer) {
+            observer.recordAnswer(false);
         }
     },
-    /** The connection broke before the answer was whole. */
+    /** The connection was lost before the answer was complete. */
     BROKEN(true) {
         @Override
-        void showTo(Evidence evidence) {
-            evidence.broke();
+        void notifyObserver(OutcomeObserver observer) {
+            observer.recordBrokenConnection();
         }
     },
-    /** The entry gave the attempt up, or its caller left. */
+    /** The entry abandoned the attempt, or the caller disconnected. */
     ABANDONED(true),
-    /** The upstream said that it has not run the request. */
+    /** The upstream reported that it has not run the request. */
     NOT_RUN(false),
-    /** Another instance answered at the address. */
+    /** Another instance answered at the upstream's address. */
     REPLACED(false) {
         @Override
-        void showTo(Evidence evidence) {
-            evidence.markReplaced();
+        void notifyObserver(OutcomeObserver observer) {
+            observer.recordReplacement();
         }
     },
-    /** No connection could be made. */
+    /** The entry could not connect to the upstream. */
     UNREACHABLE(false) {
         @Override
-        void showTo(Evidence evidence) {
-            evidence.unreachable();
+        void notifyObserver(OutcomeObserver observer) {
+            observer.recordConnectFailure();
         }
     },
-    /** The request was never sent. */
+    /** The request was not sent. */
     UNUSED(false);
 
-    private final boolean mayHaveRun;
+    private final boolean keepsQuotaCharge;
 
-    SlotOutcome(boolean mayHaveRun) {
-        this.mayHaveRun = mayHaveRun;
+    SlotOutcome(boolean keepsQuotaCharge) {
+        this.keepsQuotaCharge = keepsQuotaCharge;
     }
 
     /**
-     * Returns whether the request may have run, so that its cost stays taken.
+     * Returns whether the cost of the request stays charged to the quota, because the upstream may have run the request.
      *
-     * @return whether it may.
+     * @return whether the charge stays; otherwise the cost is refunded.
      */
-    public boolean mayHaveRun() {
-        return mayHaveRun;
+    public boolean keepsQuotaCharge() {
+        return keepsQuotaCharge;
     }
 
-    void showTo(Evidence evidence) {}
+    void notifyObserver(OutcomeObserver observer) {}
 
     /**
-     * Takes what an outcome shows about an upstream.
+     * Receives what an outcome says about the upstream.
      */
-    interface Evidence {
-        /** Takes an answer, good or bad. */
-        void answered(boolean good);
+    interface OutcomeObserver {
+        /** Records an answer; {@code succeeded} tells whether it was complete and no failure of the upstream. */
+        void recordAnswer(boolean succeeded);
 
-        /** Takes a broken connection. */
-        void broke();
+        /** Records that the connection was lost. */
+        void recordBrokenConnection();
 
-        /** Learns that the instance is gone. */
-        void markReplaced();
+        /** Records that another instance runs at the upstream's address. */
+        void recordReplacement();
 
-        /** Takes a connection that could not be made. */
-        void unreachable();
+        /** Records that the entry could not connect to the upstream. */
+        void recordConnectFailure();
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
@@ -3,51 +3,52 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Answers a {@link SlotRequest}.
+ * A reply of a scheduler to a {@link SlotRequest}. A request may be queued first; it is then granted or rejected.
  */
 public sealed interface SlotReply {
     /**
-     * Gives the request a slot.
+     * Grants the request a slot.
      *
-     * @param upstream where to send it.
-     * @param eventTimeKnown whether the scheduler knows how fast the upstream is; if not, it wants to know soon.
+     * @param upstream the upstream to send the request to.
+     * @param eventTimeKnown whether the scheduler knows the upstream's time for one event; if not, the entry reports it
+     *     during the answer by {@link SlotReport.FirstEventTime}.
      */
     record Granted(Upstream upstream, boolean eventTimeKnown) implements SlotReply {}
 
     /**
-     * Says that the request waits for a slot; another reply follows.
+     * Tells that the request is queued for a slot; another reply follows.
      *
-     * @param expectedMillis how long it is likely to wait.
+     * @param expectedMillis the expected queueing time in milliseconds.
      */
     record Queued(long expectedMillis) implements SlotReply {}
 
     /**
-     * Says that the request gets no slot.
+     * Rejects the request.
      *
-     * @param reason why not.
-     * @param retryMillis after which time there is likely to be room.
-     * @param waiting how many requests wait.
-     * @param slots how many slots the pool has.
+     * @param reason why the request gets no slot.
+     * @param retryMillis the time in milliseconds after which a retry is likely to get a slot.
+     * @param waiting the number of requests in the pool's queue, or 0 if the reply doesn't tell.
+     * @param slots the number of slots in the pool, or 0 if the reply doesn't tell.
      */
     record Rejected(Reason reason, long retryMillis, int waiting, int slots) implements SlotReply {
         /**
-         * Rejects a request without saying how full the pool is.
+         * Creates a rejection without the length of the queue and the number of slots.
          *
-         * @param reason why.
-         * @param retryMillis after which time there is likely to be room.
+         * @param reason why the request gets no slot.
+         * @param retryMillis the time in milliseconds after which a retry is likely to get a slot.
          */
         public Rejected(Reason reason, long retryMillis) {
             this(reason, retryMillis, 0, 0);
         }
     }
 
-    /** Says why a request gets no slot. */
+    /** Lists why a request gets no slot. */
     enum Reason {
         /** The organisation has used up its quota. */
         QUOTA,
-        /** No slot becomes free in time. */
+        /** No slot is expected to become free within the maximum wait of the request. */
         OVERLOAD,
-        /** This scheduler doesn't know yet what is in force; another one may. */
+        /** This scheduler hasn't received its configuration yet; another scheduler may be ready. */
         UNREADY
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotReport.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotReport.java
@@ -1,36 +1,38 @@
 package org.radishspur.decision.slot;
 
 /**
- * Reports to the scheduler what has become of a slot.
+ * A report of an entry to its scheduler about a slot that it holds or a request that it has queued.
  */
 public sealed interface SlotReport {
     /**
-     * Says that the answer has begun.
+     * Reports that the first byte of the answer was received.
      *
-     * @param millis the time since the request was sent.
+     * @param elapsedMillis the time since the request was sent, in milliseconds.
      */
-    record FirstByte(long millis) implements SlotReport {}
+    record FirstByte(long elapsedMillis) implements SlotReport {}
 
     /**
-     * Says in the middle of a stream how fast an upstream is whose pace isn't known.
+     * Reports the time for one event while the answer is still being streamed. It is sent if the scheduler doesn't know the
+     * speed of the upstream yet.
      *
-     * @param eventMillis the time for one event in milliseconds.
+     * @param eventMillis the time for one event, in milliseconds.
      */
     record FirstEventTime(double eventMillis) implements SlotReport {}
 
     /**
-     * Says that the slot is free.
+     * Reports that the attempt has ended and the slot is free, or that a queued request is withdrawn.
      *
      * @param outcome how the attempt ended.
-     * @param heldMillis how long the slot was held.
-     * @param eventMillis the time for one event, or for a whole plain answer; 0 where it wasn't seen.
-     * @param events the events of a whole stream, 0 where it says nothing about the length of answers.
-     * @param expectedTokens how many tokens its caller had expected.
+     * @param heldMillis the time for which the slot was held, in milliseconds.
+     * @param eventMillis the time for one event, or for the complete answer of a plain call, in milliseconds; 0 if it
+     *     wasn't measured.
+     * @param events the number of events of a complete stream; 0 if it doesn't indicate the usual length of answers.
+     * @param expectedTokens the number of output tokens that the caller had expected.
      */
     record Ended(SlotOutcome outcome, long heldMillis, double eventMillis, long events, long expectedTokens)
             implements SlotReport {
         /**
-         * Reports an end from which no times are learnt.
+         * Creates a report without measurements.
          *
          * @param outcome how the attempt ended.
          */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
@@ -7,66 +7,68 @@
 import org.radishspur.decision.dispatch.VersionRule;
 
 /**
- * Asks for a slot at an upstream of a pool. Times are relative, as the clocks of hosts differ.
+ * A request of an entry for a slot at an upstream of a pool. Times are relative to the moment of sending, since the clocks
+ * of hosts differ.
  *
- * @param pool the pool.
+ * @param pool the name of the pool.
  * @param failureDomain the failure domain of the entry; upstreams there are preferred.
- * @param organisation the organisation whose quota counts, empty where there is none.
- * @param cost what the request takes from the quota, 0 where it was taken already.
- * @param rank how urgent the organisation is; 0 is the most urgent.
- * @param returning whether its caller was refused before.
- * @param mayTry whether a version under trial may serve it.
- * @param waitMillis how long waiting for a slot makes sense.
- * @param targetMillis the time until which the first byte has its full value; 0 where it is too late for that.
- * @param endMillis the time until which the whole answer has any value.
- * @param work how much the upstream has to do.
- * @param avoided the runs of upstreams that should serve it only if no other can.
+ * @param organisation the organisation whose quota is charged, or empty if there is none.
+ * @param quotaCost the cost that is charged to the quota, in the unit of the quota; 0 if it was charged already.
+ * @param organisationRank the rank of the organisation; 0 is the most urgent.
+ * @param retry whether the caller retries after an earlier rejection.
+ * @param allowTrialVersion whether a version that a rollout is still trying may serve the request.
+ * @param waitMillis the maximum wait for a slot, in milliseconds.
+ * @param firstByteTargetMillis the time left until the target for the first byte, in milliseconds; 0 if it has passed.
+ * @param deadlineMillis the time left until the deadline of the complete answer, in milliseconds.
+ * @param work the expected load on the upstream.
+ * @param avoided the runs of upstreams that are used only if no other upstream can serve the request; see
+ *     {@link org.radishspur.model.catalogue.Upstream#run()}.
  */
 public record SlotRequest(
         String pool,
         String failureDomain,
         String organisation,
-        double cost,
-        int rank,
-        boolean returning,
-        boolean mayTry,
+        double quotaCost,
+        int organisationRank,
+        boolean retry,
+        boolean allowTrialVersion,
         long waitMillis,
-        long targetMillis,
-        long endMillis,
+        long firstByteTargetMillis,
+        long deadlineMillis,
         Work work,
         List<String> avoided) {
 
-    /** Copies the list. */
+    /** Copies the list of avoided upstreams. */
     public SlotRequest {
         avoided = List.copyOf(avoided);
     }
 
     /**
-     * Returns this request as it stands some time later.
+     * Returns this request with its remaining times reduced by the time elapsed.
      *
-     * @param millis the time that has gone by.
-     * @return the request with less time left.
+     * @param millis the time elapsed since the request was created, in milliseconds.
+     * @return the request; none of its remaining times is negative.
      */
     public SlotRequest after(long millis) {
         return new SlotRequest(
                 pool,
                 failureDomain,
                 organisation,
-                cost,
-                rank,
-                returning,
-                mayTry,
+                quotaCost,
+                organisationRank,
+                retry,
+                allowTrialVersion,
                 Math.max(0, waitMillis - millis),
-                Math.max(0, targetMillis - millis),
-                Math.max(0, endMillis - millis),
+                Math.max(0, firstByteTargetMillis - millis),
+                Math.max(0, deadlineMillis - millis),
                 work,
                 avoided);
     }
 
     /**
-     * Returns this request for another upstream, which isn't under trial.
+     * Returns this request with one more upstream to avoid and without trial versions.
      *
-     * @param run the run of the upstream that can't serve it.
+     * @param run the run of the upstream that can't serve the request.
      * @return the changed request.
      */
     public SlotRequest withoutUpstream(String run) {
@@ -76,46 +78,56 @@
                 pool,
                 failureDomain,
                 organisation,
-                cost,
-                rank,
-                returning,
+                quotaCost,
+                organisationRank,
+                retry,
                 false,
                 waitMillis,
-                targetMillis,
-                endMillis,
+                firstByteTargetMillis,
+                deadlineMillis,
                 work,
                 longer);
     }
 
-    QueuedRequest toQueued(VersionRule versions, long now) {
+    QueuedRequest toQueuedRequest(VersionRule versions, long now) {
         QueuedRequest queued = new QueuedRequest(
-                "", rank, now, now + waitMillis, versions, work.by(now + targetMillis, now + endMillis));
+                "",
+                organisationRank,
+                now,
+                now + waitMillis,
+                versions,
+                work.toQueuedWork(now + firstByteTargetMillis, now + deadlineMillis));
         avoided.forEach(queued::avoid);
         queued.prefer(failureDomain);
         return queued;
     }
 
     /**
-     * Says how much an upstream has to do for a request.
+     * Describes the expected load of a request on an upstream.
      *
-     * @param promptTokens the tokens of the prompt, 0 for a plain call.
-     * @param expectedTokens how many tokens the caller expects, 0 where it doesn't say and for a plain call.
-     * @param outputLimit how many tokens the answer can have at most, 0 where the caller doesn't say.
+     * @param promptTokens the number of prompt tokens; 0 for a plain call.
+     * @param expectedTokens the number of output tokens that the caller expects; 0 if unknown and for a plain call.
+     * @param maxOutputTokens the maximum number of output tokens; 0 if the caller sets none.
      * @param tier the tier of the route; 0 is the most urgent.
-     * @param prefix identifies the beginning of the prompt that other requests share, empty where there is none.
-     * @param prefixTokens the tokens of that beginning.
+     * @param prefixId identifies the prompt prefix that other requests share, or empty if there is none.
+     * @param prefixTokens the number of tokens in that prefix.
      */
     public record Work(
-            long promptTokens, long expectedTokens, long outputLimit, int tier, String prefix, long prefixTokens) {
-        QueuedRequest.Work by(long targetAt, long endsAt) {
+            long promptTokens,
+            long expectedTokens,
+            long maxOutputTokens,
+            int tier,
+            String prefixId,
+            long prefixTokens) {
+        QueuedRequest.Work toQueuedWork(long targetAt, long endsAt) {
             return new QueuedRequest.Work(
                     promptTokens,
                     expectedTokens,
-                    outputLimit,
+                    maxOutputTokens,
                     tier,
                     targetAt,
                     endsAt,
-                    new QueuedRequest.Prefix(prefix, prefixTokens));
+                    new QueuedRequest.Prefix(prefixId, prefixTokens));
         }
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
@@ -16,25 +16,26 @@
 import org.radishspur.model.catalogue.OrganisationRule;
 
 /**
- * Grants slots to the requests of several entries out of one queue a pool, and learns from what the entries report.
+ * Grants slots at upstreams to the requests of several entries, with one queue per pool. The reports of the entries update
+ * the load and the health of the upstreams.
  *
- * <p>A request is named by its entry and a number of its own. A scheduler keeps nothing that must survive: an entry that loses
- * it attaches to another one, says what it has in progress and asks again for what was waiting.
+ * <p>A request is identified by its entry and a number that is unique within the entry. A scheduler stores nothing: an entry
+ * that loses its scheduler attaches to another one, lists the slots that it holds and sends its queued requests again.
  */
 public final class SlotScheduler {
     private final Pools pools;
     private final QuotaLedger quotas;
     private final Listener listener;
-    private final Map<String, Map<Long, Holding>> entries = new HashMap<>();
-    private final Map<QueuedRequest, Holding> undecided = new HashMap<>();
+    private final Map<String, Map<Long, TrackedRequest>> requestsByEntry = new HashMap<>();
+    private final Map<QueuedRequest, TrackedRequest> queuedRequests = new HashMap<>();
     private final ConnectFailures connectFailures = new ConnectFailures();
 
     /**
      * Creates a scheduler without entries.
      *
-     * @param pools the pools and what is in force for them.
-     * @param quotas what organisations may use.
-     * @param listener takes the replies and what was learnt.
+     * @param pools the pools with their version rules and organisations.
+     * @param quotas the quotas of the organisations.
+     * @param listener receives the replies, the answers of upstreams and the ejections.
      */
     public SlotScheduler(Pools pools, QuotaLedger quotas, Listener listener) {
         this.pools = pools;
@@ -43,103 +44,105 @@
     }
 
     /**
-     * Begins to serve an entry, whose earlier requests here are forgotten.
+     * Registers an entry. If it was registered before, its earlier requests are dropped first.
      *
      * @param entry the entry.
-     * @param held the slots that it holds.
-     * @param now the clock in milliseconds.
+     * @param held the slots that the entry holds.
+     * @param now the current time in milliseconds.
      */
     public void attach(String entry, Collection<HeldSlot> held, long now) {
         detach(entry, now);
-        entries.put(entry, new HashMap<>());
+        requestsByEntry.put(entry, new HashMap<>());
         held.forEach(slot -> adopt(entry, slot, now));
     }
 
     /**
-     * Counts a slot that was granted elsewhere.
+     * Counts a slot that another scheduler granted.
      *
-     * @param entry the entry that holds it.
+     * @param entry the entry that holds the slot.
      * @param held the slot.
-     * @param now the clock in milliseconds.
-     * @return the upstream, or nothing where it is unknown here and the slot isn't counted.
+     * @param now the current time in milliseconds.
+     * @return the upstream, or empty if this scheduler doesn't know it; the slot isn't counted then.
      */
     public Optional<UpstreamLoad> adopt(String entry, HeldSlot held, long now) {
         PoolDispatcher pool = pools.dispatcher(held.pool());
-        Optional<UpstreamLoad> found = pool.upstreams().find(held.run());
+        Optional<UpstreamLoad> found = pool.upstreams().find(held.upstreamRun());
         found.ifPresent(upstream -> {
-            QueuedRequest queued = held.toQueued(now);
-            Holding holding = new Holding(entry, held.id(), pool, queued, Optional.empty(), 0);
-            holding.upstream = upstream;
-            upstream.began(queued, held.promptTokens(), now);
-            holdings(entry).put(held.id(), holding);
+            QueuedRequest queued = held.toQueuedRequest(now);
+            TrackedRequest tracked = new TrackedRequest(entry, held.requestId(), pool, queued, Optional.empty(), 0);
+            tracked.upstream = upstream;
+            upstream.began(queued, held.unreadPromptTokens(), now);
+            requestsOf(entry).put(held.requestId(), tracked);
         });
         return found;
     }
 
     /**
-     * Takes a request for a slot, and replies at once.
+     * Processes a request for a slot, and sends the first reply to the listener before it returns.
      *
-     * @param entry the entry that asks.
-     * @param id the number of the request at its entry.
-     * @param request what is asked.
-     * @param now the clock in milliseconds.
+     * @param entry the entry that sent the request.
+     * @param requestId the number of the request, unique within its entry.
+     * @param request the request.
+     * @param now the current time in milliseconds.
      */
-    public void request(String entry, long id, SlotRequest request, long now) {
+    public void request(String entry, long requestId, SlotRequest request, long now) {
         Optional<OrganisationRule> organisation =
-                request.cost() > 0 ? pools.organisation(request.organisation()) : Optional.empty();
-        Optional<Long> wait = organisation.flatMap(rule -> quotas.take(rule, request.cost(), request.returning(), now));
+                request.quotaCost() > 0 ? pools.organisation(request.organisation()) : Optional.empty();
+        Optional<Long> wait =
+                organisation.flatMap(rule -> quotas.take(rule, request.quotaCost(), request.retry(), now));
         if (wait.isPresent()) {
-            listener.onReply(entry, id, new SlotReply.Rejected(SlotReply.Reason.QUOTA, wait.get()));
+            listener.onReply(entry, requestId, new SlotReply.Rejected(SlotReply.Reason.QUOTA, wait.get()));
             return;
         }
         PoolDispatcher pool = pools.dispatcher(request.pool());
-        QueuedRequest queued = request.toQueued(pools.versions(request.pool(), request.mayTry()), now);
-        Holding holding = new Holding(entry, id, pool, queued, organisation, request.cost());
-        holdings(entry).put(id, holding);
-        undecided.put(queued, holding);
-        onDecision(pool.offer(queued, now));
+        QueuedRequest queued =
+                request.toQueuedRequest(pools.versions(request.pool(), request.allowTrialVersion()), now);
+        TrackedRequest tracked = new TrackedRequest(entry, requestId, pool, queued, organisation, request.quotaCost());
+        requestsOf(entry).put(requestId, tracked);
+        queuedRequests.put(queued, tracked);
+        applyDecision(pool.offer(queued, now));
     }
 
     /**
-     * Takes a report on a slot. One on a slot that isn't known here says nothing new.
+     * Processes a report on a slot or a queued request. Reports on unknown requests are ignored.
      *
-     * @param entry the entry that reports.
-     * @param id the number of the request at its entry.
+     * @param entry the entry that sent the report.
+     * @param requestId the number of the request, unique within its entry.
      * @param report the report.
-     * @param now the clock in milliseconds.
+     * @param now the current time in milliseconds.
      */
-    public void report(String entry, long id, SlotReport report, long now) {
-        Map<Long, Holding> known = entries.getOrDefault(entry, Map.of());
-        Holding holding = known.get(id);
-        if (holding == null) {
+    public void report(String entry, long requestId, SlotReport report, long now) {
+        Map<Long, TrackedRequest> known = requestsByEntry.getOrDefault(entry, Map.of());
+        TrackedRequest tracked = known.get(requestId);
+        if (tracked == null) {
             return;
         }
         if (report instanceof SlotReport.Ended ended) {
-            known.remove(id);
-            end(holding, ended, now);
-        } else if (holding.upstream != null) {
-            learn(holding, report, now);
+            known.remove(requestId);
+            endRequest(tracked, ended, now);
+        } else if (tracked.upstream != null) {
+            recordProgress(tracked, report, now);
         }
     }
 
     /**
-     * Forgets an entry that is gone: its undecided requests are withdrawn and its slots are free.
+     * Removes an entry that has disconnected: its queued requests are withdrawn and its slots become free.
      *
      * @param entry the entry.
-     * @param now the clock in milliseconds.
+     * @param now the current time in milliseconds.
      */
     public void detach(String entry, long now) {
-        Map<Long, Holding> left = entries.remove(entry);
-        if (left != null) {
-            left.values().forEach(holding -> release(holding, SlotOutcome.ABANDONED, now));
+        Map<Long, TrackedRequest> detached = requestsByEntry.remove(entry);
+        if (detached != null) {
+            detached.values().forEach(tracked -> release(tracked, SlotOutcome.ABANDONED, now));
             advance(now);
         }
     }
 
     /**
-     * Grants slots that have become free, and rejects requests for which waiting makes no sense any more.
+     * Grants slots that have become free, and rejects requests whose maximum wait has passed.
      *
-     * @param now the clock in milliseconds.
+     * @param now the current time in milliseconds.
      */
     public void advance(long now) {
         for (PoolDispatcher pool : new ArrayList<>(pools.dispatchers())) {
@@ -151,119 +154,119 @@
      * Returns the slots that an entry holds.
      *
      * @param entry the entry.
-     * @return the slots.
+     * @return the slots; empty for an unknown entry.
      */
     public List<HeldSlot> held(String entry) {
-        return entries.getOrDefault(entry, Map.of()).values().stream()
-                .filter(holding -> holding.upstream != null)
-                .map(Holding::toHeld)
+        return requestsByEntry.getOrDefault(entry, Map.of()).values().stream()
+                .filter(tracked -> tracked.upstream != null)
+                .map(TrackedRequest::toHeldSlot)
                 .toList();
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns how many requests are queued.
      *
-     * @return the number.
+     * @return the number of requests in the queues of all pools.
      */
     public int waiting() {
-        return undecided.size();
+        return queuedRequests.size();
     }
 
     /**
-     * Returns how many entries are served.
+     * Returns how many entries are attached.
      *
-     * @return the number.
+     * @return the number of entries.
      */
     public int entries() {
-        return entries.size();
+        return requestsByEntry.size();
     }
 
-    private Map<Long, Holding> holdings(String entry) {
-        return entries.computeIfAbsent(entry, key -> new HashMap<>());
+    private Map<Long, TrackedRequest> requestsOf(String entry) {
+        return requestsByEntry.computeIfAbsent(entry, key -> new HashMap<>());
     }
 
     private void advance(PoolDispatcher pool, long now) {
         if (pool.waiting() > 0) {
-            pool.advance(now).forEach(this::onDecision);
+            pool.advance(now).forEach(this::applyDecision);
         }
     }
 
-    private void onDecision(Decision decision) {
-        Holding holding = undecided.get(decision.queued());
-        if (holding == null) {
+    private void applyDecision(Decision decision) {
+        TrackedRequest tracked = queuedRequests.get(decision.queued());
+        if (tracked == null) {
             return;
         }
         if (decision instanceof Decision.Waits waits) {
-            listener.onReply(holding.entry, holding.id, new SlotReply.Queued(waits.expectedMillis()));
+            listener.onReply(tracked.entry, tracked.requestId, new SlotReply.Queued(waits.expectedMillis()));
             return;
         }
-        undecided.remove(decision.queued());
+        queuedRequests.remove(decision.queued());
         if (decision instanceof Decision.Granted granted) {
-            holding.upstream = granted.upstream();
+            tracked.upstream = granted.upstream();
             listener.onReply(
-                    holding.entry,
-                    holding.id,
+                    tracked.entry,
+                    tracked.requestId,
                     new SlotReply.Granted(
                             granted.upstream().upstream(), granted.upstream().isEventTimeKnown()));
         } else if (decision instanceof Decision.Refused refused) {
-            holdings(holding.entry).remove(holding.id);
-            holding.refund(quotas);
+            requestsOf(tracked.entry).remove(tracked.requestId);
+            tracked.refundQuota(quotas);
             listener.onReply(
-                    holding.entry,
-                    holding.id,
+                    tracked.entry,
+                    tracked.requestId,
                     new SlotReply.Rejected(
                             SlotReply.Reason.OVERLOAD, refused.retryAfterMillis(), refused.waiting(), refused.slots()));
         }
     }
 
-    private static void learn(Holding holding, SlotReport report, long now) {
-        UpstreamLoad upstream = holding.upstream;
+    private static void recordProgress(TrackedRequest tracked, SlotReport report, long now) {
+        UpstreamLoad upstream = tracked.upstream;
         if (report instanceof SlotReport.FirstByte first) {
-            upstream.answered(holding.queued, holding.queued.unreadTokens(), first.millis(), now);
-        } else if (report instanceof SlotReport.FirstEventTime pace && upstream.ownEventMillis() == 0) {
-            upstream.recordEventTime(pace.eventMillis(), 1);
+            upstream.answered(tracked.queued, tracked.queued.unreadTokens(), first.elapsedMillis(), now);
+        } else if (report instanceof SlotReport.FirstEventTime measured && upstream.ownEventMillis() == 0) {
+            upstream.recordEventTime(measured.eventMillis(), 1);
         }
     }
 
-    private void end(Holding holding, SlotReport.Ended ended, long now) {
-        if (holding.upstream != null) {
-            ended.outcome().showTo(new UpstreamEvidence(holding, now));
+    private void endRequest(TrackedRequest tracked, SlotReport.Ended ended, long now) {
+        if (tracked.upstream != null) {
+            ended.outcome().notifyObserver(new OutcomeRecorder(tracked, now));
             if (ended.eventMillis() > 0) {
-                holding.upstream.recordEventTime(ended.eventMillis(), 1);
+                tracked.upstream.recordEventTime(ended.eventMillis(), 1);
             }
             if (ended.events() > 0) {
-                holding.pool.upstreams().outputs().add(ended.expectedTokens(), ended.events());
+                tracked.pool.upstreams().outputs().add(ended.expectedTokens(), ended.events());
             }
             if (ended.outcome() == SlotOutcome.SUCCESS) {
-                holding.pool.answered(holding.queued, ended.heldMillis());
+                tracked.pool.answered(tracked.queued, ended.heldMillis());
             }
         }
-        release(holding, ended.outcome(), now);
-        advance(holding.pool, now);
+        release(tracked, ended.outcome(), now);
+        advance(tracked.pool, now);
     }
 
-    private void release(Holding holding, SlotOutcome outcome, long now) {
-        if (holding.upstream == null) {
-            undecided.remove(holding.queued);
-            holding.pool.withdraw(holding.queued);
-            holding.refund(quotas);
+    private void release(TrackedRequest tracked, SlotOutcome outcome, long now) {
+        if (tracked.upstream == null) {
+            queuedRequests.remove(tracked.queued);
+            tracked.pool.withdraw(tracked.queued);
+            tracked.refundQuota(quotas);
             return;
         }
-        holding.pool.release(holding.upstream, holding.queued, now);
-        if (!outcome.mayHaveRun()) {
-            holding.refund(quotas);
+        tracked.pool.release(tracked.upstream, tracked.queued, now);
+        if (!outcome.keepsQuotaCharge()) {
+            tracked.refundQuota(quotas);
         }
     }
 
     /**
-     * Gives a scheduler its pools and what is in force for them.
+     * Provides a scheduler with its pools, their version rules and the organisations.
      */
     public interface Pools {
         /**
          * Returns the dispatcher of a pool.
          *
-         * @param pool the pool.
-         * @return the dispatcher, which may have no upstreams.
+         * @param pool the name of the pool.
+         * @return the dispatcher; it has no upstreams if the pool is unknown or empty.
          */
         PoolDispatcher dispatcher(String pool);
 
@@ -275,85 +278,85 @@
         Collection<PoolDispatcher> dispatchers();
 
         /**
-         * Says which versions may serve the next request of a pool.
+         * Returns which versions may serve the next request of a pool.
          *
-         * @param pool the pool.
-         * @param mayTry whether a version under trial may.
+         * @param pool the name of the pool.
+         * @param allowTrialVersion whether a version that a rollout is still trying may serve it.
          * @return the rule.
          */
-        VersionRule versions(String pool, boolean mayTry);
+        VersionRule versions(String pool, boolean allowTrialVersion);
 
         /**
-         * Finds the rule of an organisation.
+         * Returns the rule of an organisation, which sets its quota.
          *
-         * @param name the organisation.
-         * @return its rule, or nothing where it has no quota.
+         * @param name the name of the organisation.
+         * @return the rule, or empty if the organisation has no quota.
          */
         Optional<OrganisationRule> organisation(String name);
     }
 
     /**
-     * Takes what a scheduler decides and learns.
+     * Receives the replies of a scheduler and its findings about upstreams.
      */
     public interface Listener {
         /**
-         * Takes a reply.
+         * Receives a reply, to be sent to the entry.
          *
-         * @param entry the entry that asked.
-         * @param id the number of the request at its entry.
+         * @param entry the entry that sent the request.
+         * @param requestId the number of the request, unique within its entry.
          * @param reply the reply.
          */
-        void onReply(String entry, long id, SlotReply reply);
+        void onReply(String entry, long requestId, SlotReply reply);
 
         /**
-         * Takes an answer of an upstream.
+         * Receives the result of an answer of an upstream.
          *
          * @param upstream the upstream.
-         * @param good whether it was whole and no failure of the upstream.
+         * @param succeeded whether the answer was complete and no failure of the upstream.
          */
-        void onAnswer(UpstreamLoad upstream, boolean good);
+        void onAnswer(UpstreamLoad upstream, boolean succeeded);
 
         /**
-         * Learns that an upstream gets nothing for a moment.
+         * Receives the ejection of an upstream, which gets no requests for some time.
          *
          * @param upstream the upstream.
-         * @param cause why.
+         * @param cause the cause in words, for the event log.
          */
         void onEjected(UpstreamLoad upstream, String cause);
     }
 
-    /** Holds a request that waits or has a slot. */
-    private static final class Holding {
+    /** Holds a request that is queued or has a slot; its upstream is null while it is queued. */
+    private static final class TrackedRequest {
         private final String entry;
-        private final long id;
+        private final long requestId;
         private final PoolDispatcher pool;
         private final QueuedRequest queued;
         private final Optional<OrganisationRule> organisation;
-        private final double cost;
+        private final double quotaCost;
         private UpstreamLoad upstream;
 
-        Holding(
+        TrackedRequest(
                 String entry,
-                long id,
+                long requestId,
                 PoolDispatcher pool,
                 QueuedRequest queued,
                 Optional<OrganisationRule> organisation,
-                double cost) {
+                double quotaCost) {
             this.entry = entry;
-            this.id = id;
+            this.requestId = requestId;
             this.pool = pool;
             this.queued = queued;
             this.organisation = organisation;
-            this.cost = cost;
+            this.quotaCost = quotaCost;
         }
 
-        void refund(QuotaLedger quotas) {
-            organisation.ifPresent(rule -> quotas.giveBack(rule, cost));
+        void refundQuota(QuotaLedger quotas) {
+            organisation.ifPresent(rule -> quotas.giveBack(rule, quotaCost));
         }
 
-        HeldSlot toHeld() {
+        HeldSlot toHeldSlot() {
             return new HeldSlot(
-                    id,
+                    requestId,
                     upstream.upstream().pool(),
                     upstream.run(),
                     queued.unreadTokens(),
@@ -361,49 +364,50 @@
         }
     }
 
-    /** Applies what an outcome shows to the upstream of one slot. */
-    private final class UpstreamEvidence implements SlotOutcome.Evidence {
-        private final Holding holding;
+    /** Applies an outcome to the load and the health of the upstream of one slot. */
+    private final class OutcomeRecorder implements SlotOutcome.OutcomeObserver {
+        private final TrackedRequest tracked;
         private final UpstreamLoad upstream;
         private final long now;
 
-        UpstreamEvidence(Holding holding, long now) {
-            this.holding = holding;
-            this.upstream = holding.upstream;
+        OutcomeRecorder(TrackedRequest tracked, long now) {
+            this.tracked = tracked;
+            this.upstream = tracked.upstream;
             this.now = now;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void answered(boolean good) {
-            boolean before = upstream.isOnProbation();
-            upstream.recordOutcome(good, holding.pool.upstreams().usualFailures(), now);
-            if (!before && upstream.isOnProbation()) {
+        public void recordAnswer(boolean succeeded) {
+            boolean wasOnProbation = upstream.isOnProbation();
+            upstream.recordOutcome(succeeded, tracked.pool.upstreams().usualFailures(), now);
+            if (!wasOnProbation && upstream.isOnProbation()) {
                 listener.onEjected(upstream, "failures");
             }
-            listener.onAnswer(upstream, good);
+            listener.onAnswer(upstream, succeeded);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void broke() {
+        public void recordBrokenConnection() {
             if (upstream.broke(now)) {
-                answered(false);
+                recordAnswer(false);
             }
         }
 
         /** {@inheritDoc} */
         @Override
-        public void markReplaced() {
+        public void recordReplacement() {
             upstream.markReplaced();
             listener.onEjected(upstream, "another instance answers");
         }
 
         /** {@inheritDoc} */
         @Override
-        public void unreachable() {
-            boolean known = upstream.isOnProbation() || connectFailures.confirms(upstream, holding.entry, now);
-            if (known || entries.size() <= 1) {
+        public void recordConnectFailure() {
+            boolean confirmed =
+                    upstream.isOnProbation() || connectFailures.recordAndConfirm(upstream, tracked.entry, now);
+            if (confirmed || requestsByEntry.size() <= 1) {
                 upstream.recordConnectFailure(now);
                 listener.onEjected(upstream, "no connection");
             }
--- a/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
@@ -6,75 +6,76 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays bursts on the engines of five failure domains that serve ninety-one entries, in virtual time.
+ * Simulates bursts in virtual time, with ninety-one entries and the engines of five failure domains.
  *
- * <p>The pattern: each entry takes a few requests a second, too few to learn from; each failure domain has a scheduler, and
- * schedulers report their load to each other every 40 ms; one engine in three is 4.4 times as slow as the others.
+ * <p>Each entry receives a few requests a second, too few to estimate the speed of engines. Each failure domain has a
+ * scheduler, and schedulers report their load to each other every 40 ms. One engine in three is 4.4 times as slow as the
+ * others.
  */
 class BurstAtManyEntriesTest {
-    private static final double USUAL_RATE = 350;
+    private static final double USUAL_REQUESTS_PER_SECOND = 350;
 
-    /** No single loss may stop grants for longer, in milliseconds. */
-    private static final long LONGEST_STOP_MILLIS = 300;
+    /** The longest time for which the loss of one scheduler may stop grants, in milliseconds. */
+    private static final long MAX_GRANT_GAP_MILLIS = 300;
 
     @Nested
     class WithAllSchedulers {
-        /** Guards against entries that all take the same free slot, so that requests queue inside an engine. */
+        /** Guards against schedulers that grant the same free slot at once, so that requests queue inside an engine. */
         @Test
-        void putsNoMoreThanOneRequestOfEachSchedulerBeyondTheSlotsOfAnEngine() {
-            SchedulerWorld world = new SchedulerWorld(20_261, Workload.STREAMS);
-            world.play(USUAL_RATE * 2, 5_000);
-            assertThat(world.mostBeyondSlots()).isLessThanOrEqualTo(Workload.STREAMS.schedulers());
+        void queuesAtMostOneRequestPerSchedulerInsideAnEngine() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_261, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND * 2, 5_000);
+            assertThat(simulation.longestEngineQueue()).isLessThanOrEqualTo(Workload.STREAMS.schedulers());
         }
 
-        /** Guards against a burst in which urgent requests wait behind less urgent ones of other entries. */
+        /** Guards against urgent requests that wait behind less urgent ones of other entries in a burst. */
         @Test
-        void keepsTheMostUrgentTierOnTime() {
-            SchedulerWorld world = new SchedulerWorld(20_262, Workload.STREAMS);
-            world.play(USUAL_RATE * 2, 5_000);
-            assertThat(world.onTime(0)).isGreaterThan(0.95);
-            assertThat(world.onTime(0)).isGreaterThanOrEqualTo(world.onTime(1));
-            assertThat(world.onTime(1)).isGreaterThanOrEqualTo(world.onTime(2));
+        void servesTheMostUrgentTierOnTime() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_262, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND * 2, 5_000);
+            assertThat(simulation.onTimeShare(0)).isGreaterThan(0.95);
+            assertThat(simulation.onTimeShare(0)).isGreaterThanOrEqualTo(simulation.onTimeShare(1));
+            assertThat(simulation.onTimeShare(1)).isGreaterThanOrEqualTo(simulation.onTimeShare(2));
         }
 
-        /** Guards against callers who are asked back into the burst that they were refused in. */
+        /** Guards against a Retry-After so short that callers retry during the burst in which they were rejected. */
         @Test
-        void servesNineInTenOfTheRefusedWhenTheyComeBack() {
-            SchedulerWorld world = new SchedulerWorld(20_267, Workload.STREAMS);
-            world.play(USUAL_RATE, 1_500);
-            world.play(USUAL_RATE * 1.5, 5_000);
-            world.play(USUAL_RATE, 5_000);
-            assertThat(world.refusedTwiceShare()).isLessThan(world.refusedShare() / 10);
+        void servesNineInTenRejectedRequestsOnRetry() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_267, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 1_500);
+            simulation.run(USUAL_REQUESTS_PER_SECOND * 1.5, 5_000);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 5_000);
+            assertThat(simulation.rejectedRetryShare()).isLessThan(simulation.rejectedShare() / 10);
         }
 
         @Test
-        void refusesNobodyAtTheUsualRate() {
-            SchedulerWorld world = new SchedulerWorld(20_263, Workload.STREAMS);
-            world.play(USUAL_RATE, 5_000);
-            assertThat(world.refusedShare()).isLessThan(0.01);
+        void rejectsFewerThanOneInAHundredRequestsAtTheUsualRate() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_263, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 5_000);
+            assertThat(simulation.rejectedShare()).isLessThan(0.01);
         }
     }
 
     @Nested
-    class WithALostScheduler {
-        /** Guards against entries that wait for a scheduler that is gone. */
+    class WithAStoppedScheduler {
+        /** Guards against entries that wait for a stopped scheduler instead of using another one. */
         @Test
-        void goesOnGrantingToTheEntriesOfItsFailureDomain() {
-            SchedulerWorld world = new SchedulerWorld(20_264, Workload.STREAMS);
-            world.play(USUAL_RATE, 2_000);
-            world.loseScheduler(0);
-            world.play(USUAL_RATE, 2_000);
-            assertThat(world.longestStopMillis(0)).isLessThan(LONGEST_STOP_MILLIS);
+        void continuesGrantingToTheEntriesOfItsFailureDomain() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_264, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 2_000);
+            simulation.stopScheduler(0);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 2_000);
+            assertThat(simulation.longestGrantGapMillis(0)).isLessThan(MAX_GRANT_GAP_MILLIS);
         }
 
-        /** Guards against slots that are counted nowhere, or twice for good, after their scheduler is gone. */
+        /** Guards against slots of a stopped scheduler that stay uncounted, or counted twice, at the other schedulers. */
         @Test
-        void keepsTheMostUrgentTierOnTimeInABurst() {
-            SchedulerWorld world = new SchedulerWorld(20_265, Workload.STREAMS);
-            world.play(USUAL_RATE, 2_000);
-            world.loseScheduler(0);
-            world.play(USUAL_RATE * 1.7, 3_000);
-            assertThat(world.onTime(0)).isGreaterThan(0.95);
+        void servesTheMostUrgentTierOnTimeInABurst() {
+            SchedulerSimulation simulation = new SchedulerSimulation(20_265, Workload.STREAMS);
+            simulation.run(USUAL_REQUESTS_PER_SECOND, 2_000);
+            simulation.stopScheduler(0);
+            simulation.run(USUAL_REQUESTS_PER_SECOND * 1.7, 3_000);
+            assertThat(simulation.onTimeShare(0)).isGreaterThan(0.95);
         }
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/slot/PlainCallsAtManySchedulersTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/PlainCallsAtManySchedulersTest.java
@@ -6,38 +6,38 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays short plain calls in virtual time.
+ * Simulates short plain calls in virtual time.
  *
- * <p>The pattern: six schedulers of three failure domains share five upstreams with six slots each, and a call holds its slot
- * hardly longer than a report between schedulers takes.
+ * <p>Six schedulers in three failure domains share five upstreams with six slots each. A call holds its slot for hardly longer
+ * than the interval between the schedulers' load reports, so reports are often stale.
  */
 class PlainCallsAtManySchedulersTest {
-    /** What one upstream can serve, in calls a second. */
-    private static final double CAPACITY = 6 / 0.061;
+    /** The capacity of one upstream, in calls per second: six slots, 61 ms per call. */
+    private static final double UPSTREAM_CALLS_PER_SECOND = 6 / 0.061;
 
-    /** The share of requests that must be on time where there is room for all of them. */
-    private static final double ON_TIME = 0.95;
+    /** The least share of requests on time if the capacity is sufficient for all of them. */
+    private static final double MIN_ON_TIME_SHARE = 0.95;
 
-    private final SchedulerWorld world = new SchedulerWorld(30_001, Workload.PLAIN_CALLS);
+    private final SchedulerSimulation simulation = new SchedulerSimulation(30_001, Workload.PLAIN_CALLS);
 
-    /** Guards against callers who are refused while slots are free that other schedulers haven't reported yet. */
+    /** Guards against rejections while slots are free that other schedulers have released but not yet reported. */
     @Test
-    void servesNearlyAllOnTimeUpToNineTenthsOfTheCapacity() {
-        world.play(5 * CAPACITY * 0.9, 10_000);
-        assertThat(world.onTime(0)).isGreaterThan(ON_TIME);
-        assertThat(world.onTime(1)).isGreaterThan(ON_TIME);
+    void servesNearlyAllRequestsOnTimeAtNineTenthsOfTheCapacity() {
+        simulation.run(5 * UPSTREAM_CALLS_PER_SECOND * 0.9, 10_000);
+        assertThat(simulation.onTimeShare(0)).isGreaterThan(MIN_ON_TIME_SHARE);
+        assertThat(simulation.onTimeShare(1)).isGreaterThan(MIN_ON_TIME_SHARE);
     }
 
     @Nested
     class WithTheUpstreamsOfOneFailureDomainEvacuated {
-        /** Guards against entries that get the leavings of others, as all their upstreams stand in other failure domains. */
+        /** Guards against entries without upstreams in their failure domain that get only the slots which others leave free. */
         @Test
-        void servesEachFailureDomainAlikeUpToNineTenthsOfTheCapacity() {
-            world.play(CAPACITY, 1_000);
-            world.evacuate(1);
-            world.play(3 * CAPACITY * 0.9, 10_000);
+        void servesEveryFailureDomainOnTimeAtNineTenthsOfTheRemainingCapacity() {
+            simulation.run(UPSTREAM_CALLS_PER_SECOND, 1_000);
+            simulation.evacuate(1);
+            simulation.run(3 * UPSTREAM_CALLS_PER_SECOND * 0.9, 10_000);
             for (int domain = 0; domain < Workload.PLAIN_CALLS.domains(); domain++) {
-                assertThat(world.onTimeInDomain(domain)).isGreaterThan(ON_TIME);
+                assertThat(simulation.onTimeShareInDomain(domain)).isGreaterThan(MIN_ON_TIME_SHARE);
             }
         }
     }
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerChoiceTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerChoiceTest.java
@@ -17,23 +17,23 @@
     private final Set<String> unreachable = new HashSet<>();
 
     @BeforeEach
-    void knowsThreeSchedulers() {
+    void setThreeSchedulers() {
         choice.schedulers(Map.of("one", "a", "two", "b", "three", "c"));
     }
 
-    private Optional<String> chosenAt(long now) {
+    private Optional<String> chooseAt(long now) {
         return choice.choose(address -> !unreachable.contains(address), now);
     }
 
     @Nested
     class WithAllSchedulers {
         @Test
-        void takesTheOneOfItsOwnFailureDomain() {
-            assertThat(chosenAt(0)).contains("two");
+        void choosesTheSchedulerInItsOwnFailureDomain() {
+            assertThat(chooseAt(0)).contains("two");
         }
 
         @Test
-        void spreadsEntriesWithoutASchedulerOfTheirOwnOverAllOthers() {
+        void spreadsEntriesWithoutASchedulerInTheirFailureDomainOverAllSchedulers() {
             Map<String, Integer> entries = new HashMap<>();
             for (int number = 0; number < 300; number++) {
                 SchedulerChoice other = new SchedulerChoice("10.0.0." + number + ":7600", "d");
@@ -46,54 +46,54 @@
 
     @Nested
     class AfterAFailure {
-        /** Guards against requests that wait for a frozen scheduler although others answer. */
+        /** Guards against requests that wait for a scheduler that doesn't reply although others would. */
         @Test
-        void takesAnotherOneAtOnce() {
+        void choosesAnotherSchedulerImmediately() {
             choice.failed("two", 0);
-            assertThat(chosenAt(0)).isPresent().get().isNotEqualTo("two");
+            assertThat(chooseAt(0)).isPresent().get().isNotEqualTo("two");
         }
 
         @Test
-        void returnsToItsOwnOneAfterAWhile() {
+        void choosesTheLocalSchedulerAgainAfterTheFirstAvoidance() {
             choice.failed("two", 0);
-            assertThat(chosenAt(1_000)).contains("two");
+            assertThat(chooseAt(1_000)).contains("two");
         }
 
-        /** Guards against a scheduler that is up and slow for long: each return to it delays requests. */
+        /** Guards against repeated delays by a scheduler that stays connected but is slow: each request to it times out. */
         @Test
-        void staysAwayLongerEachTime() {
+        void doublesTheAvoidanceWithEachConsecutiveFailure() {
             choice.failed("two", 0);
             choice.failed("two", 1_000);
-            assertThat(chosenAt(2_500)).get().isNotEqualTo("two");
-            assertThat(chosenAt(3_000)).contains("two");
+            assertThat(chooseAt(2_500)).get().isNotEqualTo("two");
+            assertThat(chooseAt(3_000)).contains("two");
         }
 
         @Test
-        void forgetsFailuresOnceItAnswers() {
+        void endsTheAvoidanceWhenTheSchedulerReplies() {
             choice.failed("two", 0);
             choice.answered("two");
-            assertThat(chosenAt(1)).contains("two");
+            assertThat(chooseAt(1)).contains("two");
         }
 
         @Test
-        void findsNoneWhereAllHaveFailed() {
+        void choosesNoneWhenAllHaveFailed() {
             choice.failed("one", 0);
             choice.failed("two", 0);
             choice.failed("three", 0);
-            assertThat(chosenAt(1)).isEmpty();
+            assertThat(chooseAt(1)).isEmpty();
         }
     }
 
     @Test
-    void takesNoneThatCantBeReached() {
+    void choosesNoUnreachableScheduler() {
         unreachable.add("two");
-        assertThat(chosenAt(0)).get().isNotEqualTo("two");
+        assertThat(chooseAt(0)).get().isNotEqualTo("two");
     }
 
     @Test
-    void asksOneThatIsntReadyAgainSoon() {
+    void choosesAnUnreadySchedulerAgainAfterAShortAvoidance() {
         choice.unready("two", 0);
-        assertThat(chosenAt(50)).get().isNotEqualTo("two");
-        assertThat(chosenAt(100)).contains("two");
+        assertThat(chooseAt(50)).get().isNotEqualTo("two");
+        assertThat(chooseAt(100)).contains("two");
     }
 }
--- /dev/null
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
@@ -0,0 +1,400 @@
+package org.radishspur.decision.slot;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+
+import org.radishspur.decision.dispatch.QuotaLedger;
+import org.radishspur.decision.dispatch.RetryAfterPolicy;
+import org.radishspur.decision.dispatch.UpstreamLoad;
+import org.radishspur.model.catalogue.Upstream;
+
+/**
+ * Simulates engines, entries and schedulers in virtual time. The requests are drawn at random by the distributions of a
+ * {@link Workload}; the schedulers under test decide about them.
+ */
+final class SchedulerSimulation {
+    /** The interval between load reports of the schedulers to each other. */
+    private static final long REPORT_INTERVAL_MILLIS = 40;
+
+    /** The time after which schedulers drop the load of a stopped peer. */
+    private static final long PEER_TIMEOUT_MILLIS = 900;
+
+    /** The time without a reply after which an entry uses another scheduler. */
+    private static final long REPLY_TIMEOUT_MILLIS = 150;
+
+    /** The maximum wait of a retried request for a slot. */
+    private static final long RETRY_MAX_WAIT_MILLIS = 1_200;
+
+    /** The speed at which a fast engine processes prompts. */
+    private static final double PROMPT_TOKENS_PER_MILLI = 157;
+
+    /** The share of plain calls that take longer than usual by {@link #LONG_CALL_FACTOR}. */
+    private static final double LONG_CALL_SHARE = 0.01;
+
+    private static final double LONG_CALL_FACTOR = 5;
+
+    private final Workload workload;
+    private final Random random;
+    private final Map<String, Engine> engines = new HashMap<>();
+    private final SchedulerNode[] nodes;
+    private final Map<Long, Request> pendingRequests = new HashMap<>();
+    private final PriorityQueue<ScheduledAction> scheduledActions =
+            new PriorityQueue<>((one, other) -> Long.compare(one.dueAt, other.dueAt));
+    private final int[] arrivalsByTier;
+    private final int[] onTimeByTier;
+    private final int[] arrivalsByDomain;
+    private final int[] onTimeByDomain;
+    private final long[] lastGrantAt;
+    private final long[] longestGrantGap;
+    private int rejectedRequests;
+    private int rejectedRetries;
+    private int longestEngineQueue;
+    private long nextId;
+    private long now;
+
+    SchedulerSimulation(long seed, Workload workload) {
+        this.workload = workload;
+        random = new Random(seed);
+        nodes = new SchedulerNode[workload.schedulers()];
+        arrivalsByTier = new int[workload.tiers().size()];
+        onTimeByTier = new int[workload.tiers().size()];
+        arrivalsByDomain = new int[workload.domains()];
+        onTimeByDomain = new int[workload.domains()];
+        lastGrantAt = new long[workload.schedulers()];
+        longestGrantGap = new long[workload.schedulers()];
+        List<Upstream> listed = new ArrayList<>();
+        for (int number = 0; number < workload.upstreams(); number++) {
+            Upstream upstream = SinglePool.engine(number, domainName(number), workload.slots());
+            listed.add(upstream);
+            engines.put(
+                    upstream.run(),
+                    new Engine(number % 3 == 2 ? workload.slowEventMillis() : workload.fastEventMillis()));
+        }
+        for (int number = 0; number < nodes.length; number++) {
+            nodes[number] = new SchedulerNode(number);
+            nodes[number].pools.setUpstreams(listed, nodes.length);
+        }
+        for (int entry = 0; entry < workload.entries(); entry++) {
+            nodes[entry % nodes.length].scheduler.attach(entryName(entry), List.of(), 0);
+        }
+    }
+
+    private String domainName(int number) {
+        return "domain-" + number % workload.domains();
+    }
+
+    private static String entryName(int entry) {
+        return "entry-" + entry;
+    }
+
+    /** Runs the simulation for some time with requests arriving at random at a mean rate. */
+    void run(double requestsPerSecond, long millis) {
+        for (long end = now + millis; now < end; now++) {
+            while (!scheduledActions.isEmpty() && scheduledActions.peek().dueAt <= now) {
+                scheduledActions.poll().action.run();
+            }
+            for (double expected = requestsPerSecond / 1_000; expected > 0; expected--) {
+                if (random.nextDouble() < expected) {
+                    addArrival();
+                }
+            }
+            if (now % REPORT_INTERVAL_MILLIS == 0) {
+                exchangeReports();
+            }
+        }
+    }
+
+    /** Takes the upstreams of a failure domain out of service. */
+    void evacuate(int number) {
+        for (SchedulerNode node : nodes) {
+            node.pools.upstreams().evacuate(Set.of(domainName(number)), now);
+        }
+    }
+
+    /** Stops a scheduler; its entries detect this when a reply times out. */
+    void stopScheduler(int number) {
+        SchedulerNode node = nodes[number];
+        node.stopped = true;
+        lastGrantAt[number] = now;
+        longestGrantGap[number] = 0;
+        schedule(REPLY_TIMEOUT_MILLIS, () -> reattachEntries(number));
+        schedule(PEER_TIMEOUT_MILLIS, () -> removePeer(node));
+    }
+
+    private void reattachEntries(int number) {
+        for (int entry = number; entry < workload.entries(); entry += nodes.length) {
+            nodeOf(entry).scheduler.attach(entryName(entry), nodes[number].scheduler.held(entryName(entry)), now);
+        }
+        List.copyOf(pendingRequests.values()).stream()
+                .filter(request -> request.node == nodes[number])
+                .forEach(this::sendRequest);
+    }
+
+    private void removePeer(SchedulerNode peer) {
+        for (SchedulerNode node : nodes) {
+            node.pools.upstreams().loads().forEach(load -> load.recordPeerInProgress(peer.name, 0));
+        }
+    }
+
+    private SchedulerNode nodeOf(int entry) {
+        SchedulerNode own = nodes[entry % nodes.length];
+        return own.stopped ? nodes[1 + entry / nodes.length % (nodes.length - 1)] : own;
+    }
+
+    /** Returns the share of a tier's requests that met their target for the first byte and their deadline. */
+    double onTimeShare(int tier) {
+        return (double) onTimeByTier[tier] / arrivalsByTier[tier];
+    }
+
+    /** Returns the share of requests on time among those that arrived at entries of a failure domain. */
+    double onTimeShareInDomain(int number) {
+        return (double) onTimeByDomain[number] / arrivalsByDomain[number];
+    }
+
+    /** Returns the share of requests that were rejected on their first attempt. */
+    double rejectedShare() {
+        return (double) rejectedRequests / Arrays.stream(arrivalsByTier).sum();
+    }
+
+    /** Returns the share of requests that were rejected again on their retry. */
+    double rejectedRetryShare() {
+        return (double) rejectedRetries / Arrays.stream(arrivalsByTier).sum();
+    }
+
+    /** Returns the largest number of requests that were queued inside one engine. */
+    int longestEngineQueue() {
+        return longestEngineQueue;
+    }
+
+    /** Returns the longest time without a grant to the entries of a scheduler's group. */
+    long longestGrantGapMillis(int scheduler) {
+        return Math.max(longestGrantGap[scheduler], now - lastGrantAt[scheduler]);
+    }
+
+    private void addArrival() {
+        int tier = workload.tierOf(random.nextDouble());
+        arrivalsByTier[tier]++;
+        double events = workload.tiers().get(tier).drawEvents(random);
+        double tokens = workload.tiers().get(tier).drawTokens(random);
+        long expectedTokens = Math.max(1, (long) (events * 4 * Math.exp(random.nextGaussian() * 0.5)));
+        Request request =
+                new Request(tier, random.nextInt(workload.entries()), events, (long) tokens, expectedTokens, now);
+        arrivalsByDomain[request.entry % workload.domains()]++;
+        sendRequest(request);
+    }
+
+    private void sendRequest(Request request) {
+        pendingRequests.remove(request.id);
+        request.id = ++nextId;
+        request.node = nodeOf(request.entry);
+        pendingRequests.put(request.id, request);
+        if (nodes[request.entry % nodes.length].stopped && request.node.stopped) {
+            return;
+        }
+        long remainingMillis = deadlineOf(request) - now;
+        long remainingTargetMillis = request.retry ? 0 : targetOf(request) - now;
+        long usualWaitMillis = workload.tiers().get(request.tier).targetMillis() / 2;
+        long waitUntil = request.attemptStartedAt + (request.retry ? RETRY_MAX_WAIT_MILLIS : usualWaitMillis);
+        request.node.scheduler.request(
+                entryName(request.entry),
+                request.id,
+                new SlotRequest(
+                        SinglePool.POOL,
+                        domainName(request.entry),
+                        "",
+                        0,
+                        0,
+                        request.retry,
+                        true,
+                        Math.max(0, waitUntil - now),
+                        Math.max(0, remainingTargetMillis),
+                        remainingMillis,
+                        new SlotRequest.Work(request.tokens, request.expectedTokens, 0, request.tier, "", 0),
+                        List.of()),
+                now);
+    }
+
+    private long targetOf(Request request) {
+        return request.arrivedAt + workload.tiers().get(request.tier).targetMillis();
+    }
+
+    private long deadlineOf(Request request) {
+        return request.arrivedAt + workload.tiers().get(request.tier).deadlineMillis();
+    }
+
+    private void reject(Request request, long retryAfterMillis) {
+        if (request.retry) {
+            rejectedRetries++;
+            return;
+        }
+        rejectedRequests++;
+        long remainingMillis = deadlineOf(request) - now;
+        long retryDelay = RetryAfterPolicy.INSTANCE.spread(remainingMillis, retryAfterMillis, random.nextDouble());
+        request.retry = true;
+        request.attemptStartedAt = now + retryDelay;
+        schedule(retryDelay, () -> sendRequest(request));
+    }
+
+    private void schedule(long millis, Runnable action) {
+        scheduledActions.add(new ScheduledAction(now + millis, action));
+    }
+
+    private void exchangeReports() {
+        for (SchedulerNode from : nodes) {
+            for (SchedulerNode to : nodes) {
+                if (from != to && !from.stopped && !to.stopped) {
+                    from.pools
+                            .upstreams()
+                            .loads()
+                            .forEach(load -> to.pools
+                                    .upstreams()
+                                    .find(load.upstream().run())
+                                    .ifPresent(target -> {
+                                        target.recordPeerInProgress(from.name, load.own());
+                                        target.recordPeerUnread(from.name, load.ownUnreadTokens());
+                                        target.recordPeerEventTime(load.ownEventMillis());
+                                    }));
+                }
+            }
+        }
+        for (SchedulerNode node : nodes) {
+            if (!node.stopped) {
+                node.scheduler.advance(now);
+            }
+        }
+    }
+
+    /** Holds a request with its load on an engine and the scheduler that it was sent to. */
+    private static final class Request {
+        private final int tier;
+        private final int entry;
+        private final double events;
+        private final long tokens;
+        private final long expectedTokens;
+        private final long arrivedAt;
+        private long attemptStartedAt;
+        private boolean retry;
+        private long id;
+        private SchedulerNode node;
+
+        Request(int tier, int entry, double events, long tokens, long expectedTokens, long arrivedAt) {
+            this.tier = tier;
+            this.entry = entry;
+            this.events = events;
+            this.tokens = tokens;
+            this.expectedTokens = expectedTokens;
+            this.arrivedAt = arrivedAt;
+            this.attemptStartedAt = arrivedAt;
+        }
+    }
+
+    /** Holds one scheduler, and passes its grants to the engines. */
+    private final class SchedulerNode implements SlotScheduler.Listener {
+        private final String name;
+        private final SinglePool pools;
+        private final SlotScheduler scheduler;
+        private boolean stopped;
+
+        SchedulerNode(int number) {
+            name = "scheduler-" + number;
+            pools = new SinglePool(name, domainName(number), workload.slots());
+            scheduler = new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), this);
+        }
+
+        /** {@inheritDoc} */
+        @Override
+        public void onReply(String entry, long requestId, SlotReply reply) {
+            if (stopped || reply instanceof SlotReply.Queued) {
+                return;
+            }
+            Request request = pendingRequests.remove(requestId);
+            if (reply instanceof SlotReply.Granted granted) {
+                int homeScheduler = request.entry % nodes.length;
+                longestGrantGap[homeScheduler] =
+                        Math.max(longestGrantGap[homeScheduler], now - lastGrantAt[homeScheduler]);
+                lastGrantAt[homeScheduler] = now;
+                engines.get(granted.upstream().run()).accept(request);
+            } else if (reply instanceof SlotReply.Rejected rejected) {
+                reject(request, rejected.retryMillis());
+            }
+        }
+
+        /** {@inheritDoc} */
+        @Override
+        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {}
+
+        /** {@inheritDoc} */
+        @Override
+        public void onEjected(UpstreamLoad upstream, String cause) {}
+    }
+
+    /** Simulates an engine that runs as many requests as it has slots in order of arrival, and processes prompts one by one. */
+    private final class Engine {
+        private final double eventMillis;
+        private final Deque<Request> queue = new ArrayDeque<>();
+        private int running;
+        private long promptReadUntil;
+
+        Engine(double eventMillis) {
+            this.eventMillis = eventMillis;
+        }
+
+        void accept(Request request) {
+            if (running < workload.slots()) {
+                start(request, now);
+            } else {
+                queue.add(request);
+                longestEngineQueue = Math.max(longestEngineQueue, queue.size());
+            }
+        }
+
+        private void start(Request request, long sentAt) {
+            running++;
+            long promptMillis =
+                    (long) (request.tokens / PROMPT_TOKENS_PER_MILLI * eventMillis / workload.fastEventMillis());
+            promptReadUntil = Math.max(promptReadUntil, now) + promptMillis;
+            long firstByteAt = promptReadUntil + (long) (request.events == 0 ? callMillis() : 2 * eventMillis);
+            long endsAt = firstByteAt + (long) (request.events * eventMillis);
+            boolean isOnTime = firstByteAt <= targetOf(request) && endsAt <= deadlineOf(request);
+            onTimeByTier[request.tier] += isOnTime ? 1 : 0;
+            onTimeByDomain[request.entry % workload.domains()] += isOnTime ? 1 : 0;
+            schedule(firstByteAt - now, () -> report(request, new SlotReport.FirstByte(now - sentAt)));
+            schedule(endsAt - now, () -> end(request, sentAt));
+        }
+
+        private double callMillis() {
+            double factor = random.nextDouble() < LONG_CALL_SHARE ? LONG_CALL_FACTOR : 1;
+            return factor * eventMillis * Math.exp(random.nextGaussian() * 0.5 - 0.125);
+        }
+
+        private void end(Request request, long sentAt) {
+            running--;
+            double measuredMillis = request.events == 0 ? now - sentAt : eventMillis;
+            report(
+                    request,
+                    new SlotReport.Ended(
+                            SlotOutcome.SUCCESS,
+                            now - sentAt,
+                            measuredMillis,
+                            (long) request.events,
+                            request.expectedTokens));
+            if (!queue.isEmpty()) {
+                start(queue.poll(), now);
+            }
+        }
+
+        private void report(Request request, SlotReport report) {
+            nodeOf(request.entry).scheduler.report(entryName(request.entry), request.id, report, now);
+        }
+    }
+
+    private record ScheduledAction(long dueAt, Runnable action) {}
+}
--- a/decision/src/test/java/org/radishspur/decision/slot/PlayedPools.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SinglePool.java
@@ -12,15 +12,15 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Holds one pool whose upstreams and organisation a test sets.
+ * Provides a scheduler under test with one pool, whose upstreams and organisation the test sets.
  */
-final class PlayedPools implements SlotScheduler.Pools {
+final class SinglePool implements SlotScheduler.Pools {
     static final String POOL = "pool";
 
     private final PoolDispatcher dispatcher;
     private Optional<OrganisationRule> organisation = Optional.empty();
 
-    PlayedPools(String scheduler, String failureDomain, int slots) {
+    SinglePool(String scheduler, String failureDomain, int slots) {
         dispatcher = new PoolDispatcher(new UpstreamPool(scheduler, failureDomain, slots));
     }
 
@@ -29,12 +29,12 @@
                 "e" + number, 1, POOL, "10.0.0." + number + ":80", failureDomain, "v1", slots, false, false);
     }
 
-    void upstreams(List<Upstream> listed, int schedulers) {
+    void setUpstreams(List<Upstream> listed, int schedulers) {
         dispatcher.upstreams().refresh(listed);
         dispatcher.upstreams().schedulers(schedulers);
     }
 
-    void organisation(OrganisationRule rule) {
+    void setOrganisation(OrganisationRule rule) {
         organisation = Optional.of(rule);
     }
 
@@ -56,7 +56,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public VersionRule versions(String pool, boolean mayTry) {
+    public VersionRule versions(String pool, boolean allowTrialVersion) {
         return VersionRule.Any.INSTANCE;
     }
 
--- a/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerPropertyTest.java
@@ -19,60 +19,62 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays random requests, reports and losses of entries on one scheduler, and checks what must hold after each step.
+ * Checks invariants of one scheduler under random requests, reports, withdrawals and reconnecting entries.
  */
 class SlotSchedulerPropertyTest {
     private static final int SLOTS = 3;
     private static final int STEPS = 1_500;
-    private static final double RATE = 20_000;
-    private static final double BURST = 5_000;
+    private static final double QUOTA_COST_PER_SECOND = 20_000;
+    private static final double QUOTA_BURST_COST = 5_000;
 
     @Property(tries = 60, seed = "4711")
     void grantsNoSlotTwice(@ForAll @IntRange(min = 1, max = 6) int engines, @ForAll long seed) {
-        Play play = new Play(engines, 5, seed);
-        play.run(() -> play.upstreams().forEach(load -> assertThat(load.own()).isBetween(0, SLOTS)));
+        Simulation simulation = new Simulation(engines, 5, seed);
+        simulation.run(() ->
+                simulation.upstreams().forEach(load -> assertThat(load.own()).isBetween(0, SLOTS)));
     }
 
     @Property(tries = 60, seed = "4712")
-    void decidesEachRequestOnceUnlessItIsWithdrawnOrItsEntryIsLost(
+    void decidesEachRequestOnceUnlessItIsWithdrawnOrItsEntryDisconnects(
             @ForAll @IntRange(min = 1, max = 6) int entries, @ForAll long seed) {
-        Play play = new Play(3, entries, seed);
-        play.run(() -> {});
-        play.finish();
-        assertThat(play.decisions.values()).allMatch(count -> count == 1);
-        assertThat(play.undecided).isEmpty();
-        assertThat(play.scheduler.waiting()).isZero();
+        Simulation simulation = new Simulation(3, entries, seed);
+        simulation.run(() -> {});
+        simulation.runToCompletion();
+        assertThat(simulation.decisions.values()).allMatch(count -> count == 1);
+        assertThat(simulation.pendingRequests).isEmpty();
+        assertThat(simulation.scheduler.waiting()).isZero();
     }
 
     @Property(tries = 60, seed = "4713")
-    void hasNothingInProgressOnceAllHasEnded(@ForAll @IntRange(min = 1, max = 6) int engines, @ForAll long seed) {
-        Play play = new Play(engines, 4, seed);
-        play.run(() -> {});
-        play.finish();
-        play.upstreams().forEach(load -> assertThat(load.inProgress()).isZero());
+    void hasNothingInProgressAfterAllRequestsHaveEnded(
+            @ForAll @IntRange(min = 1, max = 6) int engines, @ForAll long seed) {
+        Simulation simulation = new Simulation(engines, 4, seed);
+        simulation.run(() -> {});
+        simulation.runToCompletion();
+        simulation.upstreams().forEach(load -> assertThat(load.inProgress()).isZero());
     }
 
     @Property(tries = 60, seed = "4714")
-    void keepsWhatRanWithinTheQuota(@ForAll @IntRange(min = 1, max = 6) int entries, @ForAll long seed) {
-        Play play = new Play(6, entries, seed);
-        play.run(() ->
-                assertThat(play.granted - play.returned).isLessThanOrEqualTo(RATE * play.now / 1_000 + 2 * BURST));
+    void keepsGrantedCostWithinTheQuota(@ForAll @IntRange(min = 1, max = 6) int entries, @ForAll long seed) {
+        Simulation simulation = new Simulation(6, entries, seed);
+        simulation.run(() -> assertThat(simulation.grantedCost - simulation.refundedCost)
+                .isLessThanOrEqualTo(QUOTA_COST_PER_SECOND * simulation.now / 1_000 + 2 * QUOTA_BURST_COST));
     }
 
-    /** A waiting request of a higher tier is never passed by one of a lower tier that came later and needs the same slots. */
+    /** Guards against a queue in which a later request of a lower tier overtakes one of a higher tier for the same slots. */
     @Property(tries = 60, seed = "4715")
-    void servesNoLowerTierBeforeAHigherOneThatWaits(@ForAll long seed) {
-        Play play = new Play(1, 3, seed);
-        play.run(() -> {});
-        assertThat(play.passedOver).isZero();
+    void servesNoLowerTierBeforeAWaitingRequestOfAHigherTier(@ForAll long seed) {
+        Simulation simulation = new Simulation(1, 3, seed);
+        simulation.run(() -> {});
+        assertThat(simulation.priorityInversions).isZero();
     }
 
     @Property(tries = 60, seed = "4716")
-    void countsASlotForTheSchedulerThatItsEntryHasMovedTo(
+    void countsHeldSlotsAtTheSchedulerThatTheEntryAttachesTo(
             @ForAll @IntRange(min = 1, max = 5) int engines, @ForAll long seed) {
-        Play from = new Play(engines, 4, seed);
+        Simulation from = new Simulation(engines, 4, seed);
         from.run(() -> {});
-        Play to = new Play(engines, 0, seed + 1);
+        Simulation to = new Simulation(engines, 0, seed + 1);
         int held = 0;
         for (String entry : from.entries) {
             List<HeldSlot> slots = from.scheduler.held(entry);
@@ -82,30 +84,31 @@
         assertThat(to.upstreams().stream().mapToInt(UpstreamLoad::own).sum()).isEqualTo(held);
     }
 
-    /** Holds one scheduler, its entries and what became of their requests. */
-    private static final class Play implements SlotScheduler.Listener {
-        private final PlayedPools pools = new PlayedPools("scheduler", "a", SLOTS);
+    /** Runs one scheduler, and tracks its entries, their requests and the decisions about them. */
+    private static final class Simulation implements SlotScheduler.Listener {
+        private final SinglePool pools = new SinglePool("scheduler", "a", SLOTS);
         private final SlotScheduler scheduler =
                 new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), this);
         private final List<String> entries = new ArrayList<>();
         private final Map<Long, Integer> decisions = new HashMap<>();
-        private final TreeMap<Long, Request> undecided = new TreeMap<>();
+        private final TreeMap<Long, Request> pendingRequests = new TreeMap<>();
         private final TreeMap<Long, Request> running = new TreeMap<>();
         private final Random random;
         private long nextId;
         private long now;
-        private double granted;
-        private double returned;
-        private int passedOver;
+        private double grantedCost;
+        private double refundedCost;
+        private int priorityInversions;
 
-        Play(int engines, int entries, long seed) {
+        Simulation(int engines, int entries, long seed) {
             random = new Random(seed);
             List<Upstream> listed = new ArrayList<>();
             for (int number = 0; number < engines; number++) {
-                listed.add(PlayedPools.engine(number, "a", SLOTS));
+                listed.add(SinglePool.engine(number, "a", SLOTS));
             }
-            pools.upstreams(listed, 1);
-            pools.organisation(new OrganisationRule("organisation", Set.of("key"), 0, RATE, BURST, true, 1));
+            pools.setUpstreams(listed, 1);
+            pools.setOrganisation(new OrganisationRule(
+                    "organisation", Set.of("key"), 0, QUOTA_COST_PER_SECOND, QUOTA_BURST_COST, true, 1));
             for (int number = 0; number < entries; number++) {
                 this.entries.add("entry-" + number);
                 scheduler.attach("entry-" + number, List.of(), 0);
@@ -124,8 +127,8 @@
             }
         }
 
-        void finish() {
-            while (!undecided.isEmpty() || !running.isEmpty()) {
+        void runToCompletion() {
+            while (!pendingRequests.isEmpty() || !running.isEmpty()) {
                 now += 50;
                 scheduler.advance(now);
                 List.copyOf(running.values()).forEach(each -> end(each, SlotOutcome.SUCCESS));
@@ -135,32 +138,32 @@
         private void step() {
             int draw = random.nextInt(100);
             if (draw < 50) {
-                ask();
+                sendRequest();
             } else if (draw < 85 && !running.isEmpty()) {
-                end(drawnOf(running), SlotOutcome.values()[random.nextInt(SlotOutcome.values().length)]);
-            } else if (draw < 90 && !undecided.isEmpty()) {
-                withdraw(drawnOf(undecided));
+                end(randomOf(running), SlotOutcome.values()[random.nextInt(SlotOutcome.values().length)]);
+            } else if (draw < 90 && !pendingRequests.isEmpty()) {
+                withdraw(randomOf(pendingRequests));
             } else if (draw < 98) {
                 scheduler.advance(now);
             } else {
-                lose(entries.get(random.nextInt(entries.size())));
+                reconnect(entries.get(random.nextInt(entries.size())));
             }
         }
 
-        private Request drawnOf(TreeMap<Long, Request> requests) {
+        private Request randomOf(TreeMap<Long, Request> requests) {
             List<Request> all = List.copyOf(requests.values());
             return all.get(random.nextInt(all.size()));
         }
 
-        private void ask() {
+        private void sendRequest() {
             Request request = new Request(
                     ++nextId, entries.get(random.nextInt(entries.size())), random.nextInt(3), 1 + random.nextInt(500));
-            undecided.put(request.id, request);
+            pendingRequests.put(request.id, request);
             scheduler.request(
                     request.entry,
                     request.id,
                     new SlotRequest(
-                            PlayedPools.POOL,
+                            SinglePool.POOL,
                             "",
                             "organisation",
                             request.cost,
@@ -177,17 +180,17 @@
 
         private void end(Request request, SlotOutcome outcome) {
             running.remove(request.id);
-            returned += outcome.mayHaveRun() ? 0 : request.cost;
+            refundedCost += outcome.keepsQuotaCharge() ? 0 : request.cost;
             scheduler.report(request.entry, request.id, new SlotReport.Ended(outcome), now);
         }
 
         private void withdraw(Request request) {
-            undecided.remove(request.id);
+            pendingRequests.remove(request.id);
             scheduler.report(request.entry, request.id, new SlotReport.Ended(SlotOutcome.UNUSED), now);
         }
 
-        private void lose(String entry) {
-            undecided.values().removeIf(request -> request.entry.equals(entry));
+        private void reconnect(String entry) {
+            pendingRequests.values().removeIf(request -> request.entry.equals(entry));
             running.values().removeIf(request -> request.entry.equals(entry));
             scheduler.detach(entry, now);
             scheduler.attach(entry, List.of(), now);
@@ -195,16 +198,16 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onReply(String entry, long id, SlotReply reply) {
+        public void onReply(String entry, long requestId, SlotReply reply) {
             if (reply instanceof SlotReply.Queued) {
                 return;
             }
-            decisions.merge(id, 1, Integer::sum);
-            Request request = undecided.remove(id);
+            decisions.merge(requestId, 1, Integer::sum);
+            Request request = pendingRequests.remove(requestId);
             if (reply instanceof SlotReply.Granted) {
-                running.put(id, request);
-                granted += request.cost;
-                passedOver += (int) undecided.values().stream()
+                running.put(requestId, request);
+                grantedCost += request.cost;
+                priorityInversions += (int) pendingRequests.values().stream()
                         .filter(other -> other.tier < request.tier && other.id < request.id)
                         .count();
             }
@@ -212,7 +215,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean good) {}
+        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {}
 
         /** {@inheritDoc} */
         @Override
--- a/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerTest.java
@@ -19,14 +19,14 @@
     private static final int SLOTS = 2;
     private static final long WAIT_MILLIS = 1_000;
 
-    private final PlayedPools pools = new PlayedPools("scheduler", "a", SLOTS);
-    private final Replies replies = new Replies();
+    private final SinglePool pools = new SinglePool("scheduler", "a", SLOTS);
+    private final RecordingListener replies = new RecordingListener();
     private final QuotaLedger quotas = new QuotaLedger(QuotaLedger.Tolerance.NONE);
     private final SlotScheduler scheduler = new SlotScheduler(pools, quotas, replies);
 
     @BeforeEach
-    void hasOneEngine() {
-        pools.upstreams(List.of(PlayedPools.engine(0, "a", SLOTS)), 1);
+    void setOneEngine() {
+        pools.setUpstreams(List.of(SinglePool.engine(0, "a", SLOTS)), 1);
         scheduler.attach("one", List.of(), 0);
         scheduler.attach("two", List.of(), 0);
     }
@@ -35,12 +35,12 @@
         return request(tier, 0);
     }
 
-    private static SlotRequest request(int tier, double cost) {
+    private static SlotRequest request(int tier, double quotaCost) {
         return new SlotRequest(
-                PlayedPools.POOL,
+                SinglePool.POOL,
                 "",
                 "organisation",
-                cost,
+                quotaCost,
                 0,
                 false,
                 true,
@@ -55,7 +55,7 @@
         return pools.upstreams().loads().iterator().next();
     }
 
-    private void fill() {
+    private void fillEngine() {
         for (int id = 0; id < SLOTS; id++) {
             scheduler.request("one", id, request(0), 0);
         }
@@ -64,37 +64,37 @@
     @Nested
     class Granting {
         @Test
-        void grantsAtOnceWhereASlotIsFree() {
+        void grantsImmediatelyWhenASlotIsFree() {
             scheduler.request("one", 1, request(0), 0);
-            assertThat(replies.of("one", 1)).hasOnlyElementsOfType(SlotReply.Granted.class);
+            assertThat(replies.repliesTo("one", 1)).hasOnlyElementsOfType(SlotReply.Granted.class);
             assertThat(engine().own()).isEqualTo(1);
         }
 
         @Test
-        void queuesWhatComesBeyondTheSlots() {
-            fill();
+        void queuesARequestWhenNoSlotIsFree() {
+            fillEngine();
             scheduler.request("two", 7, request(0), 0);
-            assertThat(replies.of("two", 7)).hasOnlyElementsOfType(SlotReply.Queued.class);
+            assertThat(replies.repliesTo("two", 7)).hasOnlyElementsOfType(SlotReply.Queued.class);
             assertThat(scheduler.waiting()).isEqualTo(1);
         }
 
-        /** Guards against an order of tiers that holds only among the requests of one entry. */
+        /** Guards against tiers that are ordered only among the requests of one entry. */
         @Test
-        void servesTheMoreUrgentTierFirstWhicheverEntryAsks() {
-            fill();
+        void servesTheMoreUrgentTierFirstAcrossEntries() {
+            fillEngine();
             scheduler.request("one", 10, request(2), 0);
             scheduler.request("two", 11, request(0), 1);
             scheduler.report("one", 0, new SlotReport.Ended(SlotOutcome.SUCCESS), 5);
-            assertThat(replies.last("two", 11)).isInstanceOf(SlotReply.Granted.class);
-            assertThat(replies.last("one", 10)).isInstanceOf(SlotReply.Queued.class);
+            assertThat(replies.lastReplyTo("two", 11)).isInstanceOf(SlotReply.Granted.class);
+            assertThat(replies.lastReplyTo("one", 10)).isInstanceOf(SlotReply.Queued.class);
         }
 
         @Test
-        void rejectsWhenWaitingMakesNoSenseAnyMore() {
-            fill();
+        void rejectsARequestAtTheEndOfItsMaximumWait() {
+            fillEngine();
             scheduler.request("two", 7, request(0), 0);
             scheduler.advance(WAIT_MILLIS);
-            assertThat(replies.last("two", 7)).isInstanceOf(SlotReply.Rejected.class);
+            assertThat(replies.lastReplyTo("two", 7)).isInstanceOf(SlotReply.Rejected.class);
             assertThat(scheduler.waiting()).isZero();
         }
     }
@@ -104,55 +104,55 @@
         private static final double BURST = 1_000;
 
         @BeforeEach
-        void limitsTheOrganisation() {
-            pools.organisation(new OrganisationRule("organisation", Set.of("key"), 0, 1, BURST, true, 1));
+        void setQuota() {
+            pools.setOrganisation(new OrganisationRule("organisation", Set.of("key"), 0, 1, BURST, true, 1));
         }
 
         @Test
-        void rejectsWhatIsBeyondTheQuota() {
+        void rejectsARequestBeyondTheQuota() {
             scheduler.request("one", 1, request(0, BURST + 10), 0);
             scheduler.request("two", 2, request(0, 1), 0);
-            assertThat(replies.last("two", 2))
+            assertThat(replies.lastReplyTo("two", 2))
                     .isInstanceOfSatisfying(
                             SlotReply.Rejected.class,
                             rejected -> assertThat(rejected.reason()).isEqualTo(SlotReply.Reason.QUOTA));
         }
 
         @Test
-        void givesBackWhatHasNotRun() {
+        void refundsARequestThatHasNotRun() {
             scheduler.request("one", 1, request(0, BURST + 10), 0);
             scheduler.report("one", 1, new SlotReport.Ended(SlotOutcome.UNUSED), 1);
             scheduler.request("two", 2, request(0, 1), 1);
-            assertThat(replies.last("two", 2)).isInstanceOf(SlotReply.Granted.class);
+            assertThat(replies.lastReplyTo("two", 2)).isInstanceOf(SlotReply.Granted.class);
         }
 
         @Test
-        void keepsWhatMayHaveRun() {
+        void keepsTheChargeOfARequestThatMayHaveRun() {
             scheduler.request("one", 1, request(0, BURST + 10), 0);
             scheduler.report("one", 1, new SlotReport.Ended(SlotOutcome.BROKEN), 1);
             scheduler.request("two", 2, request(0, 1), 1);
-            assertThat(replies.last("two", 2)).isInstanceOf(SlotReply.Rejected.class);
+            assertThat(replies.lastReplyTo("two", 2)).isInstanceOf(SlotReply.Rejected.class);
         }
 
         @Test
-        void givesBackWhatWasQueuedForALostEntry() {
-            fill();
+        void refundsAQueuedRequestOfADisconnectedEntry() {
+            fillEngine();
             scheduler.request("two", 5, request(0, BURST + 10), 0);
             scheduler.detach("two", 1);
             scheduler.report("one", 0, new SlotReport.Ended(SlotOutcome.SUCCESS), 2);
             scheduler.request("one", 6, request(0, 1), 3);
-            assertThat(replies.last("one", 6)).isInstanceOf(SlotReply.Granted.class);
+            assertThat(replies.lastReplyTo("one", 6)).isInstanceOf(SlotReply.Granted.class);
         }
     }
 
     @Nested
     class FailureDomains {
-        /** Guards against bytes between failure domains while entries use a scheduler of another one. */
+        /** Guards against needless traffic between failure domains when an entry uses a scheduler in another one. */
         @Test
-        void prefersAnUpstreamBesideTheEntry() {
-            pools.upstreams(List.of(PlayedPools.engine(0, "a", SLOTS), PlayedPools.engine(1, "b", SLOTS)), 1);
+        void prefersAnUpstreamInTheFailureDomainOfTheEntry() {
+            pools.setUpstreams(List.of(SinglePool.engine(0, "a", SLOTS), SinglePool.engine(1, "b", SLOTS)), 1);
             SlotRequest usual = request(0);
-            SlotRequest fromAfar = new SlotRequest(
+            SlotRequest fromOtherDomain = new SlotRequest(
                     usual.pool(),
                     "b",
                     usual.organisation(),
@@ -161,12 +161,12 @@
                     false,
                     true,
                     usual.waitMillis(),
-                    usual.targetMillis(),
-                    usual.endMillis(),
+                    usual.firstByteTargetMillis(),
+                    usual.deadlineMillis(),
                     usual.work(),
                     List.of());
-            scheduler.request("one", 1, fromAfar, 0);
-            assertThat(replies.last("one", 1))
+            scheduler.request("one", 1, fromOtherDomain, 0);
+            assertThat(replies.lastReplyTo("one", 1))
                     .isInstanceOfSatisfying(
                             SlotReply.Granted.class,
                             granted -> assertThat(granted.upstream().failureDomain())
@@ -176,41 +176,39 @@
 
     @Nested
     class Entries {
-        /** Guards against slots that stay taken for an entry that was killed. */
+        /** Guards against slots that stay occupied after their entry was killed. */
         @Test
-        void givesTheSlotsOfALostEntryToOthers() {
-            fill();
+        void grantsTheSlotsOfADisconnectedEntryToOthers() {
+            fillEngine();
             scheduler.request("two", 7, request(0), 0);
             scheduler.detach("one", 10);
-            assertThat(replies.last("two", 7)).isInstanceOf(SlotReply.Granted.class);
+            assertThat(replies.lastReplyTo("two", 7)).isInstanceOf(SlotReply.Granted.class);
             assertThat(engine().own()).isEqualTo(1);
         }
 
-        /** Guards against a scheduler that takes an engine for empty because another scheduler granted its slots. */
+        /** Guards against a scheduler that counts an engine's slots as free because another scheduler granted them. */
         @Test
-        void countsWhatAnEntryBringsAlong() {
-            String run = PlayedPools.engine(0, "a", SLOTS).run();
+        void countsTheHeldSlotsThatAnEntryReportsOnAttaching() {
+            String run = SinglePool.engine(0, "a", SLOTS).run();
             scheduler.attach(
                     "one",
-                    List.of(
-                            new HeldSlot(1, PlayedPools.POOL, run, 10, 0),
-                            new HeldSlot(2, PlayedPools.POOL, run, 10, 0)),
+                    List.of(new HeldSlot(1, SinglePool.POOL, run, 10, 0), new HeldSlot(2, SinglePool.POOL, run, 10, 0)),
                     0);
             scheduler.request("two", 7, request(0), 0);
-            assertThat(replies.last("two", 7)).isInstanceOf(SlotReply.Queued.class);
+            assertThat(replies.lastReplyTo("two", 7)).isInstanceOf(SlotReply.Queued.class);
             scheduler.report("one", 1, new SlotReport.Ended(SlotOutcome.SUCCESS), 5);
-            assertThat(replies.last("two", 7)).isInstanceOf(SlotReply.Granted.class);
+            assertThat(replies.lastReplyTo("two", 7)).isInstanceOf(SlotReply.Granted.class);
         }
 
         @Test
-        void forgetsWhatAnEntryHadWhenItAttachesAnew() {
-            fill();
+        void releasesTheEarlierSlotsOfAnEntryThatAttachesAgain() {
+            fillEngine();
             scheduler.attach("one", List.of(), 5);
             assertThat(engine().own()).isZero();
         }
 
         @Test
-        void ignoresReportsOnSlotsThatItDoesntKnow() {
+        void ignoresReportsOnUnknownSlots() {
             scheduler.report("one", 99, new SlotReport.Ended(SlotOutcome.SUCCESS), 0);
             scheduler.report("nobody", 1, new SlotReport.FirstByte(10), 0);
             assertThat(engine().own()).isZero();
@@ -219,60 +217,60 @@
     }
 
     @Nested
-    class ConnectionsThatFail {
-        private void fails(String entry, long id, long now) {
+    class FailedConnections {
+        private void failToConnect(String entry, long id, long now) {
             scheduler.request(entry, id, request(0), now);
             scheduler.report(entry, id, new SlotReport.Ended(SlotOutcome.UNREACHABLE), now);
         }
 
-        /** Guards against one entry that is cut off and takes every upstream away from all others. */
+        /** Guards against an entry with a faulty network connection that ejects every upstream for all other entries. */
         @Test
-        void ejectNothingWhereOneEntryAloneReportsThem() {
-            fails("one", 1, 0);
-            fails("one", 2, 10);
+        void ejectNoUpstreamWhenOnlyOneEntryReportsThem() {
+            failToConnect("one", 1, 0);
+            failToConnect("one", 2, 10);
             assertThat(replies.ejected).isEmpty();
         }
 
         @Test
-        void ejectAnUpstreamThatTwoEntriesCantReach() {
-            fails("one", 1, 0);
-            fails("two", 2, 10);
+        void ejectAnUpstreamThatTwoEntriesCannotReach() {
+            failToConnect("one", 1, 0);
+            failToConnect("two", 2, 10);
             assertThat(replies.ejected).hasSize(1);
         }
 
-        /** Guards against a crashed upstream to which each probe costs two requests their time. */
+        /** Guards against a crashed upstream that delays two requests with each probe instead of one. */
         @Test
-        void ejectAgainAtTheFirstProbeThatFails() {
-            fails("one", 1, 0);
-            fails("two", 2, 10);
-            fails("one", 3, 2_000);
+        void ejectAnUpstreamAgainAtTheFirstFailedProbe() {
+            failToConnect("one", 1, 0);
+            failToConnect("two", 2, 10);
+            failToConnect("one", 3, 2_000);
             assertThat(replies.ejected).hasSize(2);
         }
     }
 
-    /** Keeps what a scheduler replies. */
-    private static final class Replies implements SlotScheduler.Listener {
+    /** Records the replies and the ejections of a scheduler. */
+    private static final class RecordingListener implements SlotScheduler.Listener {
         private final Map<String, List<SlotReply>> replies = new HashMap<>();
         private final List<UpstreamLoad> ejected = new ArrayList<>();
 
-        List<SlotReply> of(String entry, long id) {
-            return replies.getOrDefault(entry + id, List.of());
+        List<SlotReply> repliesTo(String entry, long requestId) {
+            return replies.getOrDefault(entry + requestId, List.of());
         }
 
-        SlotReply last(String entry, long id) {
-            List<SlotReply> all = of(entry, id);
+        SlotReply lastReplyTo(String entry, long requestId) {
+            List<SlotReply> all = repliesTo(entry, requestId);
             return all.get(all.size() - 1);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void onReply(String entry, long id, SlotReply reply) {
-            replies.computeIfAbsent(entry + id, key -> new ArrayList<>()).add(reply);
+        public void onReply(String entry, long requestId, SlotReply reply) {
+            replies.computeIfAbsent(entry + requestId, key -> new ArrayList<>()).add(reply);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean good) {}
+        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {}
 
         /** {@inheritDoc} */
         @Override
--- a/decision/src/test/java/org/radishspur/decision/slot/Workload.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/Workload.java
@@ -4,15 +4,15 @@
 import java.util.Random;
 
 /**
- * Describes hosts, upstreams and requests that are played in virtual time.
+ * Describes the entries, schedulers, upstreams and requests of a {@link SchedulerSimulation}.
  *
- * @param domains the failure domains.
- * @param schedulersPerDomain the schedulers in each of them.
- * @param entries the entries, spread over the failure domains.
- * @param upstreams the upstreams, spread over the failure domains.
- * @param slots how many requests an upstream runs at once.
- * @param fastEventMillis the time for an event at most upstreams, or for a plain call.
- * @param slowEventMillis the same at one upstream in three.
+ * @param domains the number of failure domains.
+ * @param schedulersPerDomain the number of schedulers in each failure domain.
+ * @param entries the number of entries, spread over the failure domains.
+ * @param upstreams the number of upstreams, spread over the failure domains.
+ * @param slots the number of requests that an upstream runs concurrently.
+ * @param fastEventMillis the time for one event, or for a plain call, at most upstreams, in milliseconds.
+ * @param slowEventMillis the same at one upstream in three, in milliseconds.
  * @param tiers the kinds of requests, the most urgent first.
  */
 record Workload(
@@ -25,7 +25,7 @@
         double slowEventMillis,
         List<Tier> tiers) {
 
-    /** Model requests at ninety-one entries of five failure domains, with one engine in three 4.4 times as slow. */
+    /** Model requests at ninety-one entries in five failure domains; one engine in three is 4.4 times as slow as the others. */
     static final Workload STREAMS = new Workload(
             5,
             1,
@@ -39,7 +39,7 @@
                     new Tier(0.22, 13, 2_890, 300, 4_000),
                     new Tier(0.28, 43, 1_110, 250, 8_000)));
 
-    /** Short plain calls at sixty-one entries of three failure domains, for which a few upstreams are shared by all. */
+    /** Short plain calls at sixty-one entries in three failure domains, which share five upstreams. */
     static final Workload PLAIN_CALLS = new Workload(
             3, 2, 61, 5, 6, 61, 61, List.of(new Tier(0.8, 0, 0, 315, 3_000), new Tier(0.2, 0, 0, 314, 3_000)));
 
@@ -49,9 +49,9 @@
 
     int tierOf(double draw) {
         int tier = 0;
-        for (double left = draw - tiers.get(0).share(); left >= 0 && tier < tiers.size() - 1; ) {
+        for (double remaining = draw - tiers.get(0).share(); remaining >= 0 && tier < tiers.size() - 1; ) {
             tier++;
-            left -= tiers.get(tier).share();
+            remaining -= tiers.get(tier).share();
         }
         return tier;
     }
@@ -59,11 +59,11 @@
     /**
      * Describes one kind of request.
      *
-     * @param share its share of all requests.
-     * @param events the usual length of its answers, 0 for a plain call.
-     * @param tokens the usual length of its prompts.
-     * @param targetMillis until when the first byte has its full value.
-     * @param deadlineMillis how long callers wait.
+     * @param share the share of this kind among all requests.
+     * @param events scales the random number of events in an answer; 0 for a plain call.
+     * @param tokens scales the random number of prompt tokens.
+     * @param targetMillis the target for the first byte, in milliseconds after arrival.
+     * @param deadlineMillis the deadline of the complete answer, in milliseconds after arrival.
      */
     record Tier(double share, double events, double tokens, long targetMillis, long deadlineMillis) {
         double drawEvents(Random random) {
