--- a/decision/src/main/java/org/radishspur/decision/move/Cusum.java
+++ b/decision/src/main/java/org/radishspur/decision/move/Cusum.java
@@ -1,47 +1,48 @@
 package org.radishspur.decision.move;
 
 /**
- * Accumulates evidence for a change, observation by observation: Page's cumulative sum test (Page, Continuous inspection
- * schemes, Biometrika 1954), that is, a sequential probability ratio test that begins anew whenever it favours "no
- * change". It so finds a fault that shows late as quickly as one that shows at once.
+ * Detects a change by Page's cumulative sum test (Page, Continuous inspection schemes, Biometrika 1954): a sequential
+ * probability ratio test that restarts whenever it favours "no change". It therefore detects a late change as quickly as an
+ * early one.
  */
 public final class Cusum {
     private final double threshold;
     private double sum;
 
     /**
-     * Creates a test without evidence.
+     * Creates a test without observations.
      *
-     * @param threshold the sum of log likelihood ratios at which the change counts as found.
+     * @param threshold the sum of natural log likelihood ratios at which the change counts as detected.
      */
     public Cusum(double threshold) {
         this.threshold = threshold;
     }
 
     /**
-     * Takes one observation.
+     * Adds one observation.
      *
-     * @param logLikelihoodRatio how much more likely the observation is if there is a change, as a logarithm.
+     * @param logLikelihoodRatio the natural logarithm of how many times more likely the observation is with a change than
+     *     without.
      */
     public void add(double logLikelihoodRatio) {
         sum = Math.max(0, sum + logLikelihoodRatio);
     }
 
     /**
-     * Returns whether the change is found.
+     * Returns whether the change is detected.
      *
      * @return whether the sum has reached the threshold.
      */
-    public boolean isFound() {
+    public boolean isChangeDetected() {
         return sum >= threshold;
     }
 
     /**
-     * Returns how near the test is to finding a change.
+     * Returns how close the test is to detecting a change.
      *
-     * @return the sum as a share of the threshold.
+     * @return the sum as a share of the threshold; 0 without evidence, 1 or more if the change is detected.
      */
-    public double doubt() {
+    public double thresholdShare() {
         return sum / threshold;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/move/Move.java
+++ b/decision/src/main/java/org/radishspur/decision/move/Move.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Describes one move of one route from one version to another. Times are in milliseconds since the epoch.
+ * Describes the move of a route from one upstream version to another. Times are in milliseconds since the epoch.
  *
- * @param id the revision of the edit that asked for the move.
- * @param route the route.
+ * @param id the revision of the table edit that started the move.
+ * @param route the name of the route.
  * @param from the old version.
  * @param to the new version.
- * @param startedAt when the move began.
- * @param completeBy when it is to be complete.
- * @param state how it stands.
- * @param stage the step that it has reached.
- * @param stageSince when it reached that step.
- * @param reason why it was taken back.
- * @param history what has happened so far, the earliest first.
+ * @param startedAt when the move started.
+ * @param completeBy when the move is to be complete.
+ * @param state the state of the move.
+ * @param stage the stage that the move has reached.
+ * @param stageSince when the state or the stage last changed.
+ * @param reason why the move was rolled back, or {@link TakeBackReason#NONE}.
+ * @param history the changes of state and stage, the earliest first.
  */
 public record Move(
         long id,
@@ -37,14 +37,14 @@
     }
 
     /**
-     * Creates a move that begins now.
+     * Creates a move in its first stage.
      *
-     * @param id the revision of the edit that asked for it.
-     * @param route the route.
+     * @param id the revision of the table edit that starts the move.
+     * @param route the name of the route.
      * @param from the old version.
      * @param to the new version.
-     * @param now the wall clock.
-     * @param completeBy when it is to be complete.
+     * @param now the current time in milliseconds since the epoch.
+     * @param completeBy when the move is to be complete, in milliseconds since the epoch.
      * @return the move.
      */
     public static Move begin(long id, String route, String from, String to, long now, long completeBy) {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Returns the share of the route's requests that the new version may get.
+     * Returns the greatest share of the route's requests that the new version may get.
      *
-     * @return the share.
+     * @return the share, from 0 to 1.
      */
     public double share() {
         return switch (state) {
@@ -76,36 +76,36 @@
     }
 
     /**
-     * Returns the version that the route goes back to or stays with when everything else is settled.
+     * Returns the version that serves the route once the move is final.
      *
-     * @return the version that is in use once the move is final.
+     * @return the old version if the move was rolled back, otherwise the new one.
      */
     public String settledVersion() {
         return state == MoveState.TAKEN_BACK ? from : to;
     }
 
     /**
-     * Returns this move in another state or step.
+     * Returns this move in another state or stage, with the change added to its history.
      *
-     * @param newState the state.
-     * @param newStage the step.
-     * @param newReason why it is taken back, if it is.
-     * @param now the wall clock.
+     * @param newState the new state.
+     * @param newStage the new stage.
+     * @param newReason why the move is rolled back, or {@link TakeBackReason#NONE}.
+     * @param now the current time in milliseconds since the epoch.
      * @return the changed move.
      */
     public Move with(MoveState newState, MoveStage newStage, TakeBackReason newReason, long now) {
-        List<Event> longer = new ArrayList<>(history);
-        longer.add(new Event(now, newState, newStage, newReason));
-        return new Move(id, route, from, to, startedAt, completeBy, newState, newStage, now, newReason, longer);
+        List<Event> extended = new ArrayList<>(history);
+        extended.add(new Event(now, newState, newStage, newReason));
+        return new Move(id, route, from, to, startedAt, completeBy, newState, newStage, now, newReason, extended);
     }
 
     /**
-     * Remembers one change of a move.
+     * Describes one change of the state or the stage of a move.
      *
-     * @param at when it happened.
-     * @param state the state from then on.
-     * @param stage the step from then on.
-     * @param reason why the move was taken back, if it was.
+     * @param at when the change happened, in milliseconds since the epoch.
+     * @param state the state after the change.
+     * @param stage the stage after the change.
+     * @param reason why the move was rolled back, or {@link TakeBackReason#NONE}.
      */
     public record Event(long at, MoveState state, MoveStage stage, TakeBackReason reason) {}
 }
--- a/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
@@ -3,28 +3,46 @@
 import java.util.Optional;
 
 /**
- * Decides when a move takes its next step. Every decision is a proposal: the replicated state accepts it only if the move
- * still stands where the proposal says.
+ * Decides when a move advances to its next stage, is complete, or is rolled back. Each decision is a proposal, which the
+ * replicated state accepts only if the move still has the state and the stage that the proposal names.
+ *
+ * <p>Time shares refer to the time from the start of a move to the time at which it is to be complete.
  */
 public enum MoveDriver {
-    /** The only instance; everything it needs is passed in. */
+    /** The only instance; it keeps no state. */
     INSTANCE;
 
-    private static final double STAGE_SHARE = 0.15;
-    private static final double DWELL_SHARE = 0.04;
-    private static final double LAST_DWELL_SHARE = 0.1;
-    private static final long LONGEST_DWELL_MILLIS = 120_000;
-    private static final double CLEAN_DOUBT = 0.4;
-    private static final double MOST_DOUBT = 0.6;
-    private static final double WATCH_SHARE = 0.5;
+    /** After this time share in a stage the move may advance without the required number of outcomes. */
+    private static final double OVERDUE_STAGE_TIME_SHARE = 0.15;
+
+    /** The shortest time in a stage before the last, as a time share. */
+    private static final double MIN_STAGE_TIME_SHARE = 0.04;
+
+    /** The shortest time in the last stage, as a time share. */
+    private static final double MIN_LAST_STAGE_TIME_SHARE = 0.1;
+
+    /** The upper limit of the shortest time in a stage before the last, in milliseconds. */
+    private static final long MIN_STAGE_MILLIS_LIMIT = 120_000;
+
+    /** With less evidence of a fault than this a move may advance; a share of the evidence that proves a fault. */
+    private static final double MAX_EVIDENCE_FOR_REGULAR_STEP = 0.4;
+
+    /**
+     * The same for a move that is overdue in its stage. With more evidence than this at its completion time a move is rolled
+     * back.
+     */
+    private static final double MAX_EVIDENCE_FOR_OVERDUE_STEP = 0.6;
+
+    /** How long the new version is still watched after completion, as a time share. */
+    private static final double COMPLETED_WATCH_TIME_SHARE = 0.5;
 
     /**
-     * Decides about one move.
+     * Decides whether to change the state or the stage of a move.
      *
-     * @param move the move as the replicated state has it.
-     * @param watch what its new version has shown.
-     * @param now the wall clock in milliseconds.
-     * @return the change to propose, or nothing.
+     * @param move the move, as stored in the replicated state.
+     * @param watch the comparison of its new version with the old one.
+     * @param now the current time in milliseconds since the epoch.
+     * @return the change to propose, or empty if there is none.
      */
     public Optional<Proposal> decide(Move move, VersionWatch watch, long now) {
         if (move.state().isFinal()) {
@@ -33,29 +51,31 @@
         if (watch.verdict() != TakeBackReason.NONE) {
             return takeBack(move, watch.verdict());
         }
-        long window = Math.max(1, move.completeBy() - move.startedAt());
+        long moveMillis = Math.max(1, move.completeBy() - move.startedAt());
         if (move.state() == MoveState.COMPLETED) {
-            boolean watched = now - move.stageSince() >= WATCH_SHARE * window;
-            return watched ? propose(move, MoveState.DONE, move.stage()) : Optional.empty();
+            boolean isWatchOver = now - move.stageSince() >= COMPLETED_WATCH_TIME_SHARE * moveMillis;
+            return isWatchOver ? propose(move, MoveState.DONE, move.stage()) : Optional.empty();
         }
         if (now >= move.completeBy()) {
-            return watch.doubt() > MOST_DOUBT
+            return watch.evidenceLevel() > MAX_EVIDENCE_FOR_OVERDUE_STEP
                     ? takeBack(move, TakeBackReason.IN_DOUBT)
                     : propose(move, MoveState.COMPLETED, MoveStage.ALL);
         }
-        return step(move, watch, now, window);
+        return decideNextStep(move, watch, now, moveMillis);
     }
 
-    private Optional<Proposal> step(Move move, VersionWatch watch, long now, long window) {
-        long inStage = now - move.stageSince();
-        double dwellShare = move.stage().isLast() ? LAST_DWELL_SHARE : DWELL_SHARE;
-        long dwell = move.stage().isLast()
-                ? (long) (dwellShare * window)
-                : Math.min(LONGEST_DWELL_MILLIS, (long) (dwellShare * window));
-        boolean clean =
-                watch.samplesInStage() >= move.stage().samples() && watch.doubt() < CLEAN_DOUBT && inStage >= dwell;
-        boolean due = inStage >= STAGE_SHARE * window && watch.doubt() < MOST_DOUBT;
-        if (!clean && !due) {
+    private Optional<Proposal> decideNextStep(Move move, VersionWatch watch, long now, long moveMillis) {
+        long stageMillis = now - move.stageSince();
+        double minStageShare = move.stage().isLast() ? MIN_LAST_STAGE_TIME_SHARE : MIN_STAGE_TIME_SHARE;
+        long minStageMillis = move.stage().isLast()
+                ? (long) (minStageShare * moveMillis)
+                : Math.min(MIN_STAGE_MILLIS_LIMIT, (long) (minStageShare * moveMillis));
+        boolean isRegularStep = watch.outcomesInStage() >= move.stage().requiredOutcomes()
+                && watch.evidenceLevel() < MAX_EVIDENCE_FOR_REGULAR_STEP
+                && stageMillis >= minStageMillis;
+        boolean isOverdueStep = stageMillis >= OVERDUE_STAGE_TIME_SHARE * moveMillis
+                && watch.evidenceLevel() < MAX_EVIDENCE_FOR_OVERDUE_STEP;
+        if (!isRegularStep && !isOverdueStep) {
             return Optional.empty();
         }
         return move.stage().isLast()
@@ -74,15 +94,15 @@
     }
 
     /**
-     * Proposes a change of a move.
+     * Proposes a change of the state or the stage of a move.
      *
-     * @param route the route.
-     * @param moveId the move.
-     * @param seenState the state that the move must still have, unless it is to be taken back.
-     * @param seenStage the step that the move must still have, unless it is to be taken back.
+     * @param route the name of the route.
+     * @param moveId the id of the move.
+     * @param seenState the state that the move must still have, unless it is to be rolled back.
+     * @param seenStage the stage that the move must still have, unless it is to be rolled back.
      * @param state the new state.
-     * @param stage the new step.
-     * @param reason why the move is to be taken back, if it is.
+     * @param stage the new stage.
+     * @param reason why the move is to be rolled back, or {@link TakeBackReason#NONE}.
      */
     public record Proposal(
             String route,
--- a/decision/src/main/java/org/radishspur/decision/move/MoveState.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveState.java
@@ -1,22 +1,22 @@
 package org.radishspur.decision.move;
 
 /**
- * Names how a move stands; a move has exactly one state at any time.
+ * Lists the states of a move.
  */
 public enum MoveState {
-    /** The new version gets a growing share. */
+    /** The new version gets a share of the requests that grows with each {@link MoveStage}. */
     STEPPING,
-    /** The new version gets everything, and is still watched against what the old one did. */
+    /** The new version gets every request, and is still compared with the earlier answers of the old one. */
     COMPLETED,
-    /** The new version gets everything, and the watch is over. */
+    /** The new version gets every request, and the comparison has ended. */
     DONE,
-    /** The new version gets nothing, ever, under this move. */
+    /** The move was rolled back: the new version gets no more requests under it. */
     TAKEN_BACK;
 
     /**
-     * Returns whether nothing can change any more.
+     * Returns whether the state is final.
      *
-     * @return whether the state is final.
+     * @return whether the move can't change any more.
      */
     public boolean isFinal() {
         return this == DONE || this == TAKEN_BACK;
--- a/decision/src/main/java/org/radishspur/decision/move/SplitCounter.java
+++ b/decision/src/main/java/org/radishspur/decision/move/SplitCounter.java
@@ -1,41 +1,42 @@
 package org.radishspur.decision.move;
 
 /**
- * Keeps a new version to its share by counting, so that a bad one sees little even when there are few requests.
+ * Limits a new version to its share of a route's requests by counting grants, so that a faulty version gets few
+ * requests even on a route with little traffic.
  */
 public final class SplitCounter {
     private VersionSplit split;
-    private long granted;
-    private long grantedNew;
-    private boolean halted;
+    private long grants;
+    private long grantsToNew;
+    private boolean newVersionHalted;
 
     /**
-     * Creates a counter.
+     * Creates a counter without grants.
      *
-     * @param split which versions serve the route.
+     * @param split the split of the route's requests between versions.
      */
     public SplitCounter(VersionSplit split) {
         this.split = split;
     }
 
     /**
-     * Takes over a changed split; the counts begin anew with each share.
+     * Replaces the split. A different split resets the counts, and another move also ends a halt.
      *
-     * @param changed the split.
+     * @param changed the new split.
      */
     public void change(VersionSplit changed) {
         if (changed.moveId() != split.moveId()) {
-            halted = false;
+            newVersionHalted = false;
         }
         if (!changed.equals(split)) {
-            granted = 0;
-            grantedNew = 0;
+            grants = 0;
+            grantsToNew = 0;
         }
         split = changed;
     }
 
     /**
-     * Returns which versions serve the route.
+     * Returns the split of the route's requests between versions.
      *
      * @return the split.
      */
@@ -43,51 +44,51 @@
         return split;
     }
 
-    /** Gives the new version nothing more under this move, without waiting for anybody's agreement. */
+    /** Stops grants to the new version under this move, without waiting for agreement on a rollback. */
     public void halt() {
-        halted = true;
+        newVersionHalted = true;
     }
 
     /**
      * Returns whether the next request may go to the new version.
      *
-     * @return whether it may.
+     * @return whether the new version then has at most one request more than its share.
      */
     public boolean mayUseNew() {
-        if (halted || split.share() <= 0) {
+        if (newVersionHalted || split.share() <= 0) {
             return false;
         }
-        return split.share() >= 1 || grantedNew < 1 + Math.floor(split.share() * granted);
+        return split.share() >= 1 || grantsToNew < 1 + Math.floor(split.share() * grants);
     }
 
     /**
-     * Returns whether the new version has had less than its share, so that the next request is to go there.
+     * Returns whether the new version has had no more than its share, so that the next request is sent to it.
      *
-     * <p>Guards against a move without evidence: a new version whose first answers are slow, because it has just started,
-     * would never be chosen again for its speed and so never be evaluated.
+     * <p>Upstreams are otherwise chosen by their speed. A new version whose first answers are slow, because it has just
+     * started, would not be chosen again and never be evaluated.
      *
-     * @return whether the next request is due to the new version.
+     * @return whether the next request is to go to the new version.
      */
     public boolean isNewDue() {
-        return mayUseNew() && (split.share() >= 1 || grantedNew <= Math.floor(split.share() * granted));
+        return mayUseNew() && (split.share() >= 1 || grantsToNew <= Math.floor(split.share() * grants));
     }
 
     /**
      * Returns whether the next request may go to the old version.
      *
-     * @return whether it may.
+     * @return whether the new version is halted or gets less than every request.
      */
     public boolean mayUseOld() {
-        return halted || split.share() < 1;
+        return newVersionHalted || split.share() < 1;
     }
 
     /**
      * Counts a granted request.
      *
-     * @param toNew whether it goes to the new version.
+     * @param toNew whether the request goes to the new version.
      */
     public void granted(boolean toNew) {
-        granted++;
-        grantedNew += toNew ? 1 : 0;
+        grants++;
+        grantsToNew += toNew ? 1 : 0;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/move/TakeBackReason.java
+++ b/decision/src/main/java/org/radishspur/decision/move/TakeBackReason.java
@@ -1,21 +1,21 @@
 package org.radishspur.decision.move;
 
 /**
- * Lists why a version is taken back.
+ * Lists why a move is rolled back to the old version.
  */
 public enum TakeBackReason {
-    /** The move isn't taken back. */
+    /** The move isn't rolled back. */
     NONE,
-    /** Its first answers, or several in a row, all failed. */
+    /** The first requests to the new version, or several in a row, all failed. */
     FAILS_OUTRIGHT,
-    /** It fails more often than the old version. */
+    /** The new version fails more often than the old one. */
     FAILS_MORE,
-    /** It is slower than the old version. */
+    /** The new version is slower than the old one. */
     SLOWER,
-    /** At the time asked for, its answers gave more reason for doubt than for trust. */
+    /** At the requested completion time there was too much evidence of a fault to complete the move. */
     IN_DOUBT,
-    /** An operator asked for the old version again. */
+    /** An operator set the route to the old version again. */
     BY_OPERATOR,
-    /** An operator asked for yet another version. */
+    /** An operator set the route to a third version. */
     SUPERSEDED
 }
--- a/decision/src/main/java/org/radishspur/decision/move/VersionWatch.java
+++ b/decision/src/main/java/org/radishspur/decision/move/VersionWatch.java
@@ -1,167 +1,198 @@
 package org.radishspur.decision.move;
 
 /**
- * Watches the answers of a new version against those of the old one on the same route over the same time.
+ * Compares the outcomes of a new version with those of the old one on the same route over the same time. It detects a new
+ * version that fails outright, fails more often, or is slower.
+ *
+ * <p>Logarithms are natural. The slowness of an answer is its duration divided by the expected duration of such a request.
  */
 public final class VersionWatch {
+    /** The sum of log likelihood ratios that proves a higher failure rate. */
     private static final double FAILURE_THRESHOLD = 13;
+
+    /** The sum of log likelihood ratios that proves slowness. */
     private static final double SLOWNESS_THRESHOLD = 14;
-    private static final double LEAST_FAILURE_RATE = 0.001;
-    private static final double FAILURE_PRIOR = 1_000;
-    private static final double FAILURE_RISE = 8;
-    private static final double LEAST_BAD_RATE = 0.01;
+
+    /** The lowest failure rate that is assumed for the old version, as a share of its requests. */
+    private static final double MIN_FAILURE_RATE = 0.001;
+
+    /** The old version's failure rate starts at one failure in this number of assumed outcomes. */
+    private static final double FAILURE_PRIOR_OUTCOMES = 1_000;
+
+    /** The failure rate of a faulty version, as a multiple of the old version's rate. */
+    private static final double FAULTY_FAILURE_FACTOR = 8;
+
+    /** The lowest failure rate of a faulty version, as a share of its requests. */
+    private static final double MIN_FAULTY_FAILURE_RATE = 0.01;
 
     /**
-     * The slowness that the watch looks for, as a logarithm. Half of it counts as no slowness at all: an upstream that gets
-     * few requests takes a tenth longer than a busy one of the same version, as its caches and connections are cold.
+     * The logarithm of the slowness to detect. Up to half of it counts against a fault, because an upstream that gets few
+     * requests takes a tenth longer than a busy one of the same version: its caches and connections are cold.
      */
-    private static final double SLOWNESS = Math.log(1.2);
+    private static final double FAULTY_LOG_SLOWNESS = Math.log(1.2);
 
     /**
-     * The least spread that is assumed between the times of one version. Guards against a good version taken back for a few
-     * milliseconds: times of a quiet pool differ so little that any lasting difference, however small, would be proof.
+     * The lowest standard deviation that is assumed for the log slowness of one version. Durations in a quiet pool differ so
+     * little that a constant difference of a few milliseconds would otherwise prove a good version slow.
      */
-    private static final double LEAST_SPREAD = 0.2;
+    private static final double MIN_LOG_DEVIATION = 0.2;
 
-    private static final double FIRST_SPREAD = 0.4;
+    /** The standard deviation of log slowness that is assumed before the first answer of the old version. */
+    private static final double INITIAL_LOG_DEVIATION = 0.4;
 
-    /** The slowness that the first answer of an upstream may show on top, as a logarithm. */
-    private static final double WARM_UP = Math.log(1.5);
+    /** The logarithm of the additional slowness that is allowed to the first answer of an upstream. */
+    private static final double INITIAL_WARM_UP_LOG_SLOWNESS = Math.log(1.5);
 
-    /** The number of answers in which the allowance for a start falls to a third. */
+    /** The number of answers after which the allowance for warm-up has fallen to about a third (1/e). */
     private static final double WARM_UP_ANSWERS = 60;
 
-    private static final double OUTLIER = 2;
-
-    /** How much of the proof one moment may give, since whatever slows one of its answers slows them all. */
-    private static final double MOST_FROM_MOMENT = SLOWNESS_THRESHOLD / 10;
-
-    private static final long MOMENT_MILLIS = 1_000;
-    private static final double GAIN = 0.004;
-    private static final int CONTROLS_NEEDED = 20;
-    private static final double RARE_FAILURE = 0.02;
-    private static final int OUTRIGHT_WHERE_RARE = 1;
-    private static final int OUTRIGHT = 3;
-    private static final int IN_A_ROW = 4;
-
-    private final Cusum failures = new Cusum(FAILURE_THRESHOLD);
-    private final Cusum slowness = new Cusum(SLOWNESS_THRESHOLD);
-    private double controlMean;
-    private double controlVariance = FIRST_SPREAD * FIRST_SPREAD;
-    private long controls;
-    private long controlFailures;
-    private long answers;
-    private long failuresInRow;
-    private long samplesInStage;
-    private long moment = Long.MIN_VALUE;
-    private double fromMoment;
+    /** Limits the influence of one answer: the excess log slowness, and the squared deviation in the variance. */
+    private static final double OUTLIER_LIMIT = 2;
+
+    /** The most evidence of slowness from one period, since a stall of the host slows all answers of the period. */
+    private static final double MAX_EVIDENCE_PER_PERIOD = SLOWNESS_THRESHOLD / 10;
+
+    /** The length of such a period, in milliseconds. */
+    private static final long EVIDENCE_PERIOD_MILLIS = 1_000;
+
+    /** The lowest weight of a new answer in the old version's mean and variance. */
+    private static final double MIN_AVERAGE_GAIN = 0.004;
+
+    /** The number of outcomes of the old version before durations are compared. */
+    private static final int MIN_OLD_OUTCOMES = 20;
+
+    /** Below this failure rate of the old version, a share of its requests, failures count as rare. */
+    private static final double RARE_FAILURE_RATE = 0.02;
+
+    /** So many failures before the first success prove a fault if failures of the old version are rare. */
+    private static final int INITIAL_FAILURES_LIMIT_IF_RARE = 1;
+
+    /** So many failures before the first success prove a fault if failures of the old version are common. */
+    private static final int INITIAL_FAILURES_LIMIT = 3;
+
+    /** So many failures in a row prove a fault at any time. */
+    private static final int CONSECUTIVE_FAILURES_LIMIT = 4;
+
+    private final Cusum failureTest = new Cusum(FAILURE_THRESHOLD);
+    private final Cusum slownessTest = new Cusum(SLOWNESS_THRESHOLD);
+    private double oldMean;
+    private double oldVariance = INITIAL_LOG_DEVIATION * INITIAL_LOG_DEVIATION;
+    private long oldOutcomes;
+    private long oldFailures;
+    private long newSuccesses;
+    private long consecutiveFailures;
+    private long outcomesInStage;
+    private long currentPeriod = Long.MIN_VALUE;
+    private double periodEvidence;
 
     /**
-     * Takes an ending of the old version.
+     * Records the outcome of a request to the old version.
      *
-     * @param failed whether it failed.
-     * @param logSlowness the logarithm of the time that it took against the time that such a request should take.
+     * @param failed whether the request failed.
+     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it failed.
      */
     public void observeOld(boolean failed, double logSlowness) {
-        controls++;
-        controlFailures += failed ? 1 : 0;
+        oldOutcomes++;
+        oldFailures += failed ? 1 : 0;
         if (!failed) {
-            double gain = Math.max(GAIN, 1.0 / controls);
-            double difference = logSlowness - controlMean;
-            controlMean += gain * difference;
-            controlVariance += gain * (Math.min(difference * difference, OUTLIER) - controlVariance);
+            double gain = Math.max(MIN_AVERAGE_GAIN, 1.0 / oldOutcomes);
+            double difference = logSlowness - oldMean;
+            oldMean += gain * difference;
+            oldVariance += gain * (Math.min(difference * difference, OUTLIER_LIMIT) - oldVariance);
         }
     }
 
     /**
-     * Takes an ending of the new version.
+     * Records the outcome of a request to the new version.
      *
-     * @param failed whether it failed.
-     * @param logSlowness the logarithm of the time that it took against the time that such a request should take.
-     * @param earlierAnswers how many answers the same upstream had given before.
-     * @param now the clock in milliseconds.
+     * @param failed whether the request failed.
+     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it failed.
+     * @param earlierAnswers the number of earlier answers of the same upstream.
+     * @param now the current time in milliseconds.
      */
     public void observeNew(boolean failed, double logSlowness, int earlierAnswers, long now) {
-        samplesInStage++;
-        answers += failed ? 0 : 1;
-        failuresInRow = failed ? failuresInRow + 1 : 0;
-        double usual = usualFailureRate();
-        double bad = Math.min(0.5, Math.max(LEAST_BAD_RATE, FAILURE_RISE * usual));
-        failures.add(failed ? Math.log(bad / usual) : Math.log((1 - bad) / (1 - usual)));
-        if (!failed && controls >= CONTROLS_NEEDED) {
-            double variance = Math.max(LEAST_SPREAD * LEAST_SPREAD, controlVariance);
-            double excess = logSlowness - controlMean - warmUp(earlierAnswers);
-            double shift = Math.max(-OUTLIER, Math.min(OUTLIER, excess));
-            addSlowness(SLOWNESS / variance * (shift - SLOWNESS / 2), now);
+        outcomesInStage++;
+        newSuccesses += failed ? 0 : 1;
+        consecutiveFailures = failed ? consecutiveFailures + 1 : 0;
+        double oldRate = oldFailureRate();
+        double faultyRate = Math.min(0.5, Math.max(MIN_FAULTY_FAILURE_RATE, FAULTY_FAILURE_FACTOR * oldRate));
+        failureTest.add(failed ? Math.log(faultyRate / oldRate) : Math.log((1 - faultyRate) / (1 - oldRate)));
+        if (!failed && oldOutcomes >= MIN_OLD_OUTCOMES) {
+            double variance = Math.max(MIN_LOG_DEVIATION * MIN_LOG_DEVIATION, oldVariance);
+            double excessSlowness = logSlowness - oldMean - warmUpLogSlowness(earlierAnswers);
+            double limitedSlowness = Math.max(-OUTLIER_LIMIT, Math.min(OUTLIER_LIMIT, excessSlowness));
+            addSlownessEvidence(FAULTY_LOG_SLOWNESS / variance * (limitedSlowness - FAULTY_LOG_SLOWNESS / 2), now);
         }
     }
 
     /**
-     * Takes evidence of slowness, up to the bound for one moment.
+     * Adds evidence of slowness, up to the limit for one period.
      *
-     * <p>Guards against a good version taken back for one stall of its host, which slows all answers that come meanwhile.
+     * <p>Without the limit a good version would be rolled back for one stall of its host, which slows all answers meanwhile.
      */
-    private void addSlowness(double evidence, long now) {
-        if (now / MOMENT_MILLIS != moment) {
-            moment = now / MOMENT_MILLIS;
-            fromMoment = 0;
+    private void addSlownessEvidence(double evidence, long now) {
+        if (now / EVIDENCE_PERIOD_MILLIS != currentPeriod) {
+            currentPeriod = now / EVIDENCE_PERIOD_MILLIS;
+            periodEvidence = 0;
         }
-        double bounded = Math.min(evidence, MOST_FROM_MOMENT - fromMoment);
-        fromMoment = Math.max(0, fromMoment + bounded);
-        slowness.add(bounded);
+        double bounded = Math.min(evidence, MAX_EVIDENCE_PER_PERIOD - periodEvidence);
+        periodEvidence = Math.max(0, periodEvidence + bounded);
+        slownessTest.add(bounded);
     }
 
     /**
-     * Returns the slowness that an upstream may show as it has just started, as a logarithm.
+     * Returns the logarithm of the additional slowness that is allowed while an upstream warms up.
      *
-     * <p>Guards against a good version taken back while its code isn't compiled and its caches are empty: its first hundred
-     * answers are slower than those of the old version, the more so on a busy host.
+     * <p>Its code isn't compiled yet and its caches are empty, so its first hundred answers are slower than those of the old
+     * version, the more so on a busy host. Without the allowance a good version would be rolled back.
      */
-    private static double warmUp(int earlierAnswers) {
-        return WARM_UP * Math.exp(-earlierAnswers / WARM_UP_ANSWERS);
+    private static double warmUpLogSlowness(int earlierAnswers) {
+        return INITIAL_WARM_UP_LOG_SLOWNESS * Math.exp(-earlierAnswers / WARM_UP_ANSWERS);
     }
 
-    private double usualFailureRate() {
-        return Math.max(LEAST_FAILURE_RATE, (controlFailures + 1) / (controls + FAILURE_PRIOR));
+    private double oldFailureRate() {
+        return Math.max(MIN_FAILURE_RATE, (oldFailures + 1) / (oldOutcomes + FAILURE_PRIOR_OUTCOMES));
     }
 
-    /** Begins the count of samples anew, as after a step; the evidence stays. */
+    /** Resets the number of outcomes for a new stage; the evidence of a fault stays. */
     public void beginStage() {
-        samplesInStage = 0;
+        outcomesInStage = 0;
     }
 
     /**
-     * Returns how many answers of the new version have come in this step.
+     * Returns how many outcomes of the new version were recorded in this stage.
      *
-     * @return the number.
+     * @return the number of outcomes, failures included.
      */
-    public long samplesInStage() {
-        return samplesInStage;
+    public long outcomesInStage() {
+        return outcomesInStage;
     }
 
     /**
-     * Returns how near the watch is to taking the version back.
+     * Returns the evidence that the new version fails more often or is slower.
      *
-     * @return 0 without any sign, 1 when a fault is found.
+     * @return the evidence as a share of what proves a fault; 0 without evidence, 1 or more if a fault is detected.
      */
-    public double doubt() {
-        return Math.max(failures.doubt(), slowness.doubt());
+    public double evidenceLevel() {
+        return Math.max(failureTest.thresholdShare(), slownessTest.thresholdShare());
     }
 
     /**
-     * Returns the fault that was found.
+     * Returns the fault that was detected.
      *
-     * @return the fault, or {@link TakeBackReason#NONE}.
+     * @return the reason for a rollback, or {@link TakeBackReason#NONE} without a fault.
      */
     public TakeBackReason verdict() {
-        int first = usualFailureRate() < RARE_FAILURE ? OUTRIGHT_WHERE_RARE : OUTRIGHT;
-        boolean outright = answers == 0 && failuresInRow >= first || failuresInRow >= IN_A_ROW;
-        if (outright) {
+        int initialFailuresLimit =
+                oldFailureRate() < RARE_FAILURE_RATE ? INITIAL_FAILURES_LIMIT_IF_RARE : INITIAL_FAILURES_LIMIT;
+        boolean failsOutright = newSuccesses == 0 && consecutiveFailures >= initialFailuresLimit
+                || consecutiveFailures >= CONSECUTIVE_FAILURES_LIMIT;
+        if (failsOutright) {
             return TakeBackReason.FAILS_OUTRIGHT;
         }
-        if (failures.isFound()) {
+        if (failureTest.isChangeDetected()) {
             return TakeBackReason.FAILS_MORE;
         }
-        return slowness.isFound() ? TakeBackReason.SLOWER : TakeBackReason.NONE;
+        return slownessTest.isChangeDetected() ? TakeBackReason.SLOWER : TakeBackReason.NONE;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/move/package-info.java
+++ b/decision/src/main/java/org/radishspur/decision/move/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Moves routes to new upstream versions step by step, watches what the new version does, and takes it back.
+ * Moves routes to new upstream versions in stages, compares the answers of the new version with those of the old one, and
+ * rolls the route back if the new version is faulty.
  */
 package org.radishspur.decision.move;
--- a/decision/src/test/java/org/radishspur/decision/move/SplitCounterTest.java
+++ b/decision/src/test/java/org/radishspur/decision/move/SplitCounterTest.java
@@ -11,7 +11,7 @@
 
 class SplitCounterTest {
     @Property(seed = "12", tries = 200, shrinking = ShrinkingMode.OFF)
-    void theNewVersionNeverGetsMoreThanItsShareAndOneRequest(
+    void theNewVersionGetsAtMostOneRequestMoreThanItsShare(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 99) int percent) {
         Random random = new Random(seed);
         VersionSplit split = new VersionSplit(1, "old", "new", percent / 100.0);
@@ -28,7 +28,7 @@
     }
 
     @Property(seed = "13", tries = 20, shrinking = ShrinkingMode.OFF)
-    void aHaltedVersionGetsNothingUntilAnotherMove(@ForAll @IntRange(min = 0, max = 100) int percent) {
+    void aHaltedVersionGetsNoRequestsUntilTheNextMove(@ForAll @IntRange(min = 0, max = 100) int percent) {
         SplitCounter counter = new SplitCounter(VersionSplit.ANY);
         counter.change(new VersionSplit(1, "old", "new", 0.5));
         counter.halt();
--- a/decision/src/test/java/org/radishspur/decision/move/VersionWatchPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/move/VersionWatchPropertyTest.java
@@ -10,24 +10,24 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class VersionWatchPropertyTest {
-    private static final int CONTROLS = 500;
-    private static final double SPREAD = 0.3;
+    private static final int OLD_ANSWERS = 500;
+    private static final double LOG_DEVIATION = 0.3;
     private static final int USUAL_MILLIS = 20;
-    private static final long RUN_MILLIS = 60_000;
-    private static final long SECOND = 1_000;
+    private static final long OBSERVATION_MILLIS = 60_000;
+    private static final long SECOND_MILLIS = 1_000;
 
     private final VersionWatch watch = new VersionWatch();
 
-    /** Shows the watch a minute of answers, and returns the first fault that it found. */
-    private TakeBackReason watchAnswers(int answersPerSecond, long seed, Host host) {
+    /** Records a minute of answers, and returns the first detected fault. */
+    private TakeBackReason firstDetectedFault(int answersPerSecond, long seed, Host host) {
         Random random = new Random(seed);
-        for (int control = 0; control < CONTROLS; control++) {
-            watch.observeOld(false, random.nextGaussian() * SPREAD);
+        for (int oldAnswer = 0; oldAnswer < OLD_ANSWERS; oldAnswer++) {
+            watch.observeOld(false, random.nextGaussian() * LOG_DEVIATION);
         }
-        for (int answer = 0; answer < answersPerSecond * RUN_MILLIS / SECOND; answer++) {
-            long sentAt = answer * SECOND / answersPerSecond;
-            double logSlowness = host.logSlowness(sentAt) + random.nextGaussian() * SPREAD;
-            watch.observeNew(false, logSlowness, answer, host.endsAt(sentAt));
+        for (int answer = 0; answer < answersPerSecond * OBSERVATION_MILLIS / SECOND_MILLIS; answer++) {
+            long sentAt = answer * SECOND_MILLIS / answersPerSecond;
+            double logSlowness = host.logSlowness(sentAt) + random.nextGaussian() * LOG_DEVIATION;
+            watch.observeNew(false, logSlowness, answer, host.answeredAt(sentAt));
             if (watch.verdict() != TakeBackReason.NONE) {
                 return watch.verdict();
             }
@@ -35,51 +35,52 @@
         return TakeBackReason.NONE;
     }
 
-    /** Guards against a good version taken back for one stall of its host, of whatever length up to five seconds. */
+    /** Guards against a good version that is rolled back for one stall of its host, of any length up to five seconds. */
     @Property(tries = 300, seed = "35")
-    void oneStallProvesNothing(
+    void oneStallOfTheHostIsNoFaultOfTheVersion(
             @ForAll @IntRange(min = 1, max = 200) int answersPerSecond,
-            @ForAll @LongRange(min = 0, max = 50_000) long stallAt,
+            @ForAll @LongRange(min = 0, max = 50_000) long stalledFrom,
             @ForAll @LongRange(min = 0, max = 5_000) long stallMillis,
             @ForAll long seed) {
         Host stalled = new Host() {
             @Override
             public double logSlowness(long sentAt) {
-                return Math.log(1 + (endsAt(sentAt) - sentAt) / (double) USUAL_MILLIS);
+                return Math.log(1 + (answeredAt(sentAt) - sentAt) / (double) USUAL_MILLIS);
             }
 
             @Override
-            public long endsAt(long sentAt) {
-                return sentAt >= stallAt ? Math.max(sentAt, stallAt + stallMillis) : sentAt;
+            public long answeredAt(long sentAt) {
+                return sentAt >= stalledFrom ? Math.max(sentAt, stalledFrom + stallMillis) : sentAt;
             }
         };
-        assertThat(watchAnswers(answersPerSecond, seed, stalled)).isEqualTo(TakeBackReason.NONE);
+        assertThat(firstDetectedFault(answersPerSecond, seed, stalled)).isEqualTo(TakeBackReason.NONE);
     }
 
-    /** Guards against a slow host that answers late all through a stall, so that the stall has many moments. */
+    /** Guards against a good version that is rolled back because its host is slow for five evidence periods. */
     @Property(tries = 300, seed = "36")
-    void fiveSecondsOfStarvationProveNothing(
+    void fiveSecondsOfCpuStarvationAreNoFaultOfTheVersion(
             @ForAll @IntRange(min = 1, max = 200) int answersPerSecond,
-            @ForAll @LongRange(min = 0, max = 50_000) long starvedAt,
+            @ForAll @LongRange(min = 0, max = 50_000) long starvedFrom,
             @ForAll long seed) {
-        Host starved = sentAt -> sentAt >= starvedAt && sentAt < starvedAt + 5 * SECOND ? Math.log(5) : 0;
-        assertThat(watchAnswers(answersPerSecond, seed, starved)).isEqualTo(TakeBackReason.NONE);
+        Host starved = sentAt -> sentAt >= starvedFrom && sentAt < starvedFrom + 5 * SECOND_MILLIS ? Math.log(5) : 0;
+        assertThat(firstDetectedFault(answersPerSecond, seed, starved)).isEqualTo(TakeBackReason.NONE);
     }
 
-    /** Guards against a bound on one moment that lets a version which stays slow go on. */
+    /** Guards against a limit of evidence per period that keeps a slow version from being detected. */
     @Property(tries = 100, seed = "37")
-    void aVersionThatStaysTwiceAsSlowIsFoundWithinAMinute(
+    void aVersionThatStaysTwiceAsSlowIsDetectedWithinAMinute(
             @ForAll @IntRange(min = 2, max = 200) int answersPerSecond, @ForAll long seed) {
-        assertThat(watchAnswers(answersPerSecond, seed, sentAt -> Math.log(2))).isEqualTo(TakeBackReason.SLOWER);
+        assertThat(firstDetectedFault(answersPerSecond, seed, sentAt -> Math.log(2)))
+                .isEqualTo(TakeBackReason.SLOWER);
     }
 
     /**
-     * Says how a host that is in trouble answers.
+     * Describes how a faulty host delays the answers of its upstreams.
      */
     private interface Host {
         double logSlowness(long sentAt);
 
-        default long endsAt(long sentAt) {
+        default long answeredAt(long sentAt) {
             return sentAt;
         }
     }
