--- a/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
@@ -3,8 +3,9 @@
 import java.util.Optional;
 
 /**
- * Decides when a move advances to its next stage, is complete, or is rolled back. Each decision is a proposal, which the
- * replicated state accepts only if the move still has the state and the stage that the proposal names.
+ * Decides when a move advances to its next stage, is complete, or is rolled back. Each decision is a proposal. The
+ * replicated state accepts a rollback unless the move is final, and any other proposal only if the move still has the state
+ * and the stage that the proposal names.
  *
  * <p>Time shares refer to the time from the start of a move to the time at which it is to be complete.
  */
--- a/decision/src/test/java/org/radishspur/decision/slot/Workload.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/Workload.java
@@ -60,8 +60,8 @@
      * Describes one kind of request.
      *
      * @param share the share of this kind among all requests.
-     * @param events scales the random number of events in an answer; 0 for a plain call.
-     * @param tokens scales the random number of prompt tokens.
+     * @param events the approximate mean number of events in an answer; 0 for a plain call.
+     * @param tokens the approximate mean number of prompt tokens.
      * @param targetMillis the target for the first byte, in milliseconds after arrival.
      * @param deadlineMillis the deadline of the complete answer, in milliseconds after arrival.
      */
