--- a/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
@@ -34,7 +34,7 @@
         long ejected = upstreams.values().stream()
                 .filter(other -> other != upstream && other.isMember() && !other.isUsable(now))
                 .count();
-        boolean withinShare = ejected + 1 <= Math.max(1, members * options.largestEjectedShare());
+        boolean withinShare = ejected + 1 <= Math.max(1, members * options.maxEjectedShare());
         boolean certain = cause == PermitAction.EjectionCause.UNREACHABLE;
         boolean allowed = (certain || withinShare) && ejected + 1 < members;
         if (allowed && upstream.isUsable(now)) {
@@ -49,7 +49,7 @@
      * <p>Guards against a pool emptied in two steps: the cap on ejections held when an upstream was ejected, but the
      * others have left the pool since.
      */
-    void readmitIfEmptied(long now) {
+    void readmitOneIfAllEjected(long now) {
         boolean emptied = upstreams.values().stream().noneMatch(upstream -> upstream.isUsable(now));
         if (emptied) {
             upstreams.values().stream()
@@ -60,12 +60,12 @@
     }
 
     /** Names what an upstream is compared by: whether a new version is too slow is for its move to judge. */
-    private static String kindOf(UpstreamState upstream) {
+    private static String comparisonGroup(UpstreamState upstream) {
         return upstream.row().hardware() + '/' + upstream.row().version();
     }
 
     /** Compares upstreams with their siblings of the same hardware and version, counting requests that are overdue. */
-    void findSlow(long now) {
+    void ejectSlowUpstreams(long now) {
         Map<String, List<Double>> byHardware = new HashMap<>();
         for (UpstreamState upstream : upstreams.values()) {
             for (UpstreamState.InFlight flight : upstream.inFlight().values()) {
@@ -75,9 +75,9 @@
                     upstream.speed().learnOverdue(least);
                 }
             }
-            if (upstream.isUsable(now) && upstream.speed().isSettled()) {
+            if (upstream.isUsable(now) && upstream.speed().hasEnoughSamples()) {
                 byHardware
-                        .computeIfAbsent(kindOf(upstream), key -> new ArrayList<>())
+                        .computeIfAbsent(comparisonGroup(upstream), key -> new ArrayList<>())
                         .add(upstream.speed().outputMicros());
             }
         }
@@ -89,9 +89,9 @@
             }
         });
         for (UpstreamState upstream : upstreams.values()) {
-            Double median = medians.get(kindOf(upstream));
+            Double median = medians.get(comparisonGroup(upstream));
             boolean evaluated =
-                    median != null && upstream.isUsable(now) && upstream.speed().isSettled();
+                    median != null && upstream.isUsable(now) && upstream.speed().hasEnoughSamples();
             if (evaluated && upstream.speed().outputMicros() > options.slowFactor() * median) {
                 eject(upstream, PermitAction.EjectionCause.SLOW, now);
             }
--- a/decision/src/main/java/org/radishspur/decision/permit/LengthEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
@@ -6,11 +6,11 @@
 /**
  * Learns how far the answers of each route and organisation stray from the lengths that were announced for them.
  */
-final class LengthEstimate {
-    private static final double GAIN = 0.1;
-    private static final double SMALLEST = 0.01;
-    private static final double GREATEST = 100;
-    private static final int REMEMBERED = 20_000;
+final class OutputLengthCorrection {
+    private static final double SMOOTHING = 0.1;
+    private static final double MIN_FACTOR = 0.01;
+    private static final double MAX_FACTOR = 100;
+    private static final int MAX_KEYS = 20_000;
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -19,7 +19,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > REMEMBERED;
+            return size() > MAX_KEYS;
         }
     };
 
@@ -31,8 +31,8 @@
     }
 
     void learn(PermitRequest request, int announcedTokens, int outputTokens) {
-        double seen = Math.max(SMALLEST, Math.min(GREATEST, outputTokens / (double) Math.max(1, announcedTokens)));
-        factors.merge(keyOf(request), seen, (known, fresh) -> known + GAIN * (fresh - known));
+        double seen = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, outputTokens / (double) Math.max(1, announcedTokens)));
+        factors.merge(keyOf(request), seen, (known, fresh) -> known + SMOOTHING * (fresh - known));
     }
 
     private static String keyOf(PermitRequest request) {
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -26,34 +26,34 @@
  */
 public final class PoolScheduler {
     private static final double MICROS_PER_MILLI = 1_000;
-    private static final int HEADS_TRIED_PER_TIER = 8;
-    private static final int FINISHED_REMEMBERED = 20_000;
-    private static final long SHORTEST_RETRY_MILLIS = 100;
-    private static final long LONGEST_RETRY_MILLIS = 60_000;
-    private static final long HOUSEKEEPING_MICROS = 100_000;
-    private static final int MOST_PASSES = 8;
-    private static final double WORTHWHILE_SHARE = 0.1;
+    private static final int MAX_CANDIDATES_PER_TIER = 8;
+    private static final int MAX_FINISHED_ATTEMPTS = 20_000;
+    private static final long MIN_RETRY_AFTER_MILLIS = 100;
+    private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+    private static final long HOUSEKEEPING_INTERVAL_MICROS = 100_000;
+    private static final int MAX_TIMES_PASSED_OVER = 8;
+    private static final double MIN_CACHED_SHARE_GAIN = 0.1;
 
     private final SchedulerOptions options;
-    private final LengthEstimate lengths = new LengthEstimate();
-    private final CostAccuracy accuracy = new CostAccuracy();
+    private final OutputLengthCorrection outputLengths = new OutputLengthCorrection();
+    private final CostCorrection costCorrection = new CostCorrection();
     private final WaitingQueue queue = new WaitingQueue();
     private final Map<String, UpstreamState> upstreams = new LinkedHashMap<>();
     private Set<String> evacuated = Set.of();
     private final Map<PermitId, String> inFlight = new HashMap<>();
-    private final Map<PermitId, Integer> announced = new HashMap<>();
-    private final FinishedAttempts finished = new FinishedAttempts(FINISHED_REMEMBERED);
-    private final SuspectWatch suspects;
+    private final Map<PermitId, Integer> announcedOutputTokens = new HashMap<>();
+    private final FinishedAttempts finishedAttempts = new FinishedAttempts(MAX_FINISHED_ATTEMPTS);
+    private final CrashSuspects suspects;
     private final PoolSpeeds speeds = new PoolSpeeds();
-    private final VersionDesk versions = new VersionDesk();
-    private final HeadRoom headRoom = new HeadRoom();
+    private final VersionRouting versions = new VersionRouting();
+    private final SlotReserve slotReserve = new SlotReserve();
     private final List<PermitAction> actions = new ArrayList<>();
     private final Ejector ejector;
-    private final UpstreamChoice choice;
+    private final UpstreamSelector selector;
     private PoolRow row;
     private long sequence;
-    private long heldUntil;
-    private long housekeepingAt;
+    private long grantsPausedUntil;
+    private long nextHousekeepingAt;
 
     /**
      * Creates the scheduler of a pool.
@@ -64,9 +64,9 @@
      */
     public PoolScheduler(PoolRow row, SchedulerOptions options, String owner) {
         this.options = options;
-        this.suspects = new SuspectWatch(owner);
+        this.suspects = new CrashSuspects(owner);
         this.ejector = new Ejector(options, upstreams, actions);
-        this.choice = new UpstreamChoice(suspects, versions, speeds);
+        this.selector = new UpstreamSelector(suspects, versions, speeds);
         configure(row);
     }
 
@@ -103,7 +103,7 @@
      * @param until the clock in microseconds.
      */
     public void holdUntil(long until) {
-        heldUntil = until;
+        grantsPausedUntil = until;
     }
 
     /**
@@ -118,20 +118,20 @@
             actions.add(new PermitAction.Grant(request.id(), dispatched));
             return;
         }
-        if (queue.contains(request.id()) || finished.contains(request.id())) {
+        if (queue.contains(request.id()) || finishedAttempts.contains(request.id())) {
             return;
         }
-        headRoom.arrived(request.tier(), now);
+        slotReserve.arrived(request.tier(), now);
         if (suspects.isRefused(request.fingerprint())) {
             refuse(
                     request.id(),
                     Refusal.notRun(
                             RefusalReason.CRASH_SUSPECT,
                             "The request was in flight at repeated crashes.",
-                            LONGEST_RETRY_MILLIS));
+                            MAX_RETRY_AFTER_MILLIS));
             return;
         }
-        Work work = lengths.correct(request);
+        Work work = outputLengths.correct(request);
         PermitRequest corrected = new PermitRequest(
                 request.id(),
                 request.tier(),
@@ -140,7 +140,7 @@
                 request.deadlineAt(),
                 work,
                 request.fingerprint());
-        announced.put(request.id(), request.work().outputTokens());
+        announcedOutputTokens.put(request.id(), request.work().outputTokens());
         admit(corrected, now);
     }
 
@@ -152,7 +152,7 @@
      */
     public void cancel(PermitId id, long now) {
         if (queue.remove(id) != null) {
-            forget(id);
+            markFinished(id);
         } else {
             finish(id, PermitOutcome.of(PermitOutcome.Ending.CANCELLED), now);
         }
@@ -183,13 +183,13 @@
         if (name == null) {
             return;
         }
-        speeds.refreshIfOld(upstreams.values(), now);
+        speeds.refreshIfStale(upstreams.values(), now);
         UpstreamState upstream = upstreams.get(name);
         UpstreamState.InFlight flight = upstream.end(id);
-        Integer tokens = announced.get(id);
-        forget(id);
-        headRoom.released(now);
-        judge(upstream, flight, outcome, now);
+        Integer tokens = announcedOutputTokens.get(id);
+        markFinished(id);
+        slotReserve.released(now);
+        recordOutcome(upstream, flight, outcome, now);
         versions.ended(
                 flight.request().route(),
                 upstream,
@@ -199,12 +199,12 @@
         if (outcome.ending() == PermitOutcome.Ending.ANSWERED) {
             PermitRequest request = flight.request();
             if (tokens != null) {
-                lengths.learn(request, tokens, outcome.outputTokens());
+                outputLengths.learn(request, tokens, outcome.outputTokens());
             }
             double estimated =
                     costOf(request.work().promptTokens(), request.work().outputTokens());
             double actual = costOf(request.work().promptTokens(), outcome.outputTokens());
-            accuracy.learn(estimated, actual);
+            costCorrection.learn(estimated, actual);
             queue.tier(request.tier()).charge(request.organisation(), actual - estimated);
         }
     }
@@ -218,7 +218,7 @@
      */
     public void register(PermitRequest request, String upstream, long now) {
         UpstreamState state = upstreams.get(upstream);
-        if (state == null || inFlight.containsKey(request.id()) || finished.contains(request.id())) {
+        if (state == null || inFlight.containsKey(request.id()) || finishedAttempts.contains(request.id())) {
             return;
         }
         queue.remove(request.id());
@@ -241,12 +241,12 @@
                 .filter(id -> upstreams.get(inFlight.get(id)).inFlight().get(id).elapsed(now) > graceMicros)
                 .toList();
         leaked.forEach(id -> finish(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED), now));
-        queue.idsOf(node, incarnation).stream()
+        queue.idsOfEntry(node, incarnation).stream()
                 .filter(id -> !known.contains(id))
                 .toList()
                 .forEach(id -> {
                     queue.remove(id);
-                    forget(id);
+                    markFinished(id);
                 });
     }
 
@@ -257,16 +257,16 @@
      * @param incarnation which run of its process is gone.
      */
     public void entryLost(String node, long incarnation) {
-        queue.idsOf(node, incarnation).forEach(id -> {
+        queue.idsOfEntry(node, incarnation).forEach(id -> {
             queue.remove(id);
-            forget(id);
+            markFinished(id);
         });
         List<PermitId> lapsed = inFlight.keySet().stream()
                 .filter(id -> id.node().equals(node) && id.incarnation() == incarnation)
                 .toList();
         for (PermitId id : lapsed) {
             upstreams.get(inFlight.remove(id)).end(id);
-            forget(id);
+            markFinished(id);
         }
     }
 
@@ -278,7 +278,7 @@
     public void leaving(String upstream) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.leave();
+            state.markLeaving();
             speeds.expire();
         }
     }
@@ -308,7 +308,7 @@
     public void loadReported(String upstream, int running, int waiting, long now) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.reported(running, waiting, now);
+            state.loadReported(running, waiting, now);
         }
     }
 
@@ -320,10 +320,10 @@
      * @param added the blocks that the engine has taken in.
      * @param removed the blocks that the engine has dropped.
      */
-    public void cacheReported(String upstream, long number, List<Long> added, List<Long> removed) {
+    public void cacheChanged(String upstream, long number, List<Long> added, List<Long> removed) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.prefixes().observe(number, added, removed);
+            state.prefixes().applyCacheEvent(number, added, removed);
         }
     }
 
@@ -343,8 +343,8 @@
      * @param crashes the number of crashes by fingerprint.
      */
     public void suspects(Map<String, Integer> crashes) {
-        suspects.replace(crashes);
-        for (Waiting waiting : queue.all()) {
+        suspects.replaceAgreedCounts(crashes);
+        for (WaitingRequest waiting : queue.all()) {
             if (suspects.isRefused(waiting.request.fingerprint())) {
                 queue.remove(waiting.request.id());
                 refuse(
@@ -352,7 +352,7 @@
                         Refusal.notRun(
                                 RefusalReason.CRASH_SUSPECT,
                                 "The request was in flight at repeated crashes.",
-                                LONGEST_RETRY_MILLIS));
+                                MAX_RETRY_AFTER_MILLIS));
             }
         }
     }
@@ -363,7 +363,7 @@
      * @param splits the splits by route; a route that is left out uses any version.
      */
     public void versions(Map<String, VersionSplit> splits) {
-        versions.replace(splits);
+        versions.replaceSplits(splits);
     }
 
     /**
@@ -392,16 +392,16 @@
      * @return the decisions since the last call.
      */
     public List<PermitAction> decide(long now) {
-        for (Waiting expired : queue.expire(now)) {
+        for (WaitingRequest expired : queue.expire(now)) {
             refuseForDeadline(expired.request, now);
         }
-        if (now >= housekeepingAt) {
-            housekeepingAt = now + HOUSEKEEPING_MICROS;
-            ejector.findSlow(now);
-            queue.forgetIdle();
+        if (now >= nextHousekeepingAt) {
+            nextHousekeepingAt = now + HOUSEKEEPING_INTERVAL_MICROS;
+            ejector.ejectSlowUpstreams(now);
+            queue.removeIdleOrganisations();
         }
-        ejector.readmitIfEmptied(now);
-        if (now >= heldUntil) {
+        ejector.readmitOneIfAllEjected(now);
+        if (now >= grantsPausedUntil) {
             grantAll(now);
         }
         List<PermitAction> decided = new ArrayList<>(actions);
@@ -415,7 +415,7 @@
      * @return the clock in microseconds.
      */
     public long nextWakeAt() {
-        return Math.min(queue.nextExpiry(), housekeepingAt);
+        return Math.min(queue.nextExpiry(), nextHousekeepingAt);
     }
 
     /**
@@ -453,7 +453,7 @@
     }
 
     private void admit(PermitRequest request, long now) {
-        double service = fastestMicros(request.work(), now);
+        double service = shortestServiceMicros(request.work(), now);
         if (service == Double.MAX_VALUE) {
             refuse(
                     request.id(),
@@ -462,57 +462,59 @@
         }
         double cost = costOf(request.work().promptTokens(), request.work().outputTokens());
         double wait = expectedWaitMicros(request.tier());
-        if (now + options.caution() * (wait + service) > request.deadlineAt()) {
+        if (now + options.deadlineMargin() * (wait + service) > request.deadlineAt()) {
             refuseForDeadline(request, now);
             return;
         }
-        long latestStart = (long) (request.deadlineAt() - options.caution() * service);
+        long latestStart = (long) (request.deadlineAt() - options.deadlineMargin() * service);
         queue.add(
-                new Waiting(request, sequence++, cost, latestStart),
+                new WaitingRequest(request, sequence++, cost, latestStart),
                 row.organisationWeights().getOrDefault(request.organisation(), 1.0));
         if (queue.size() > row.queueLimit()) {
-            shed();
+            shedOne();
         }
     }
 
     /** Sheds one request of the lowest tier that waits, which may be the one that has just come. */
-    private void shed() {
-        Waiting victim = queue.leastDeserving();
+    private void shedOne() {
+        WaitingRequest victim = queue.nextToShed();
         queue.remove(victim.request.id());
         refuse(
                 victim.request.id(),
                 Refusal.notRun(
                         RefusalReason.OVERLOADED,
                         "The queue of the pool is full.",
-                        retryMillis(victim.request.tier())));
+                        retryAfterMillis(victim.request.tier())));
     }
 
     private void refuseForDeadline(PermitRequest request, long now) {
         String detail = "The request can't be finished within the "
                 + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms that it has left.";
-        refuse(request.id(), Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryMillis(request.tier())));
+        refuse(
+                request.id(),
+                Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryAfterMillis(request.tier())));
     }
 
-    private long retryMillis(Tier tier) {
+    private long retryAfterMillis(Tier tier) {
         double wait = expectedWaitMicros(tier) / MICROS_PER_MILLI;
-        return (long) Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, wait));
+        return (long) Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, wait));
     }
 
     private void refuse(PermitId id, Refusal refusal) {
-        forget(id);
+        markFinished(id);
         actions.add(new PermitAction.Refuse(id, refusal));
     }
 
-    private void forget(PermitId id) {
-        announced.remove(id);
-        finished.add(id);
+    private void markFinished(PermitId id) {
+        announcedOutputTokens.remove(id);
+        finishedAttempts.add(id);
     }
 
     private void grantAll(long now) {
         if (queue.size() == 0) {
             return;
         }
-        speeds.refreshIfOld(upstreams.values(), now);
+        speeds.refreshIfStale(upstreams.values(), now);
         int capacity = 0;
         List<UpstreamState> usable = new ArrayList<>();
         for (UpstreamState upstream : speeds.fastestFirst()) {
@@ -524,10 +526,10 @@
             }
         }
         for (Tier tier : Tier.values()) {
-            int reserved = headRoom.reservedAgainst(tier, capacity, options.headRoomShare(), inFlight.size(), now);
+            int reserved = slotReserve.reservedSlots(tier, capacity, options.maxReservedShare(), inFlight.size(), now);
             boolean granted = true;
             while (granted && queue.tier(tier).size() > 0) {
-                List<UpstreamState> open = openBeyond(reserved, usable, now);
+                List<UpstreamState> open = withUnreservedSlots(reserved, usable, now);
                 granted = !open.isEmpty() && grantOne(tier, open, now);
             }
         }
@@ -537,7 +539,7 @@
      * Lists the upstreams that have slots beyond the reserved ones. The fastest free slots are the reserved ones, since
      * the most urgent requests may have no time for a slow upstream.
      */
-    private static List<UpstreamState> openBeyond(int reserved, List<UpstreamState> fastestFirst, long now) {
+    private static List<UpstreamState> withUnreservedSlots(int reserved, List<UpstreamState> fastestFirst, long now) {
         List<UpstreamState> open = new ArrayList<>();
         int left = reserved;
         for (UpstreamState upstream : fastestFirst) {
@@ -554,28 +556,28 @@
      * Grants one request of a tier that fits an open upstream; returns whether there was one.
      *
      * <p>Usually that is the first one. Another organisation's next request may go before it if the upstream holds more
-     * of its prompt, but nobody is passed over more than {@link #MOST_PASSES} times in a row.
+     * of its prompt, but nobody is passed over more than {@link #MAX_TIMES_PASSED_OVER} times in a row.
      */
     private boolean grantOne(Tier tier, List<UpstreamState> open, long now) {
-        Iterator<Waiting> heads = queue.tier(tier).heads();
-        Waiting first = null;
-        Waiting best = null;
+        Iterator<WaitingRequest> heads = queue.tier(tier).heads();
+        WaitingRequest first = null;
+        WaitingRequest best = null;
         UpstreamState bestUpstream = null;
         double bestHeld = -1;
-        for (int tried = 0; tried < HEADS_TRIED_PER_TIER && heads.hasNext(); tried++) {
-            Waiting candidate = heads.next();
-            UpstreamState upstream = choice.choose(candidate.request, open, now);
+        for (int tried = 0; tried < MAX_CANDIDATES_PER_TIER && heads.hasNext(); tried++) {
+            WaitingRequest candidate = heads.next();
+            UpstreamState upstream = selector.choose(candidate.request, open, now);
             if (upstream == null) {
                 continue;
             }
             first = first == null ? candidate : first;
-            double held = upstream.heldShare(candidate.request.work());
-            if (held > bestHeld + WORTHWHILE_SHARE) {
+            double held = upstream.cachedShare(candidate.request.work());
+            if (held > bestHeld + MIN_CACHED_SHARE_GAIN) {
                 best = candidate;
                 bestUpstream = upstream;
                 bestHeld = held;
             }
-            if (!options.reusesPrefixes() || first.passes >= MOST_PASSES) {
+            if (!options.reusesPrefixes() || first.timesPassedOver >= MAX_TIMES_PASSED_OVER) {
                 break;
             }
         }
@@ -583,14 +585,14 @@
             return false;
         }
         if (best != first) {
-            first.passes++;
+            first.timesPassedOver++;
         }
         grant(best, bestUpstream, now);
         return true;
     }
 
-    private void grant(Waiting waiting, UpstreamState upstream, long now) {
-        queue.take(waiting);
+    private void grant(WaitingRequest waiting, UpstreamState upstream, long now) {
+        queue.removeGranted(waiting);
         PermitRequest request = waiting.request;
         boolean apart = suspects.isSuspect(request.fingerprint());
         if (apart) {
@@ -598,12 +600,12 @@
         }
         inFlight.put(request.id(), upstream.name());
         versions.granted(request.route(), upstream.row().version());
-        speeds.granted(upstream.heldShare(request.work()));
+        speeds.granted(upstream.cachedShare(request.work()));
         upstream.start(request, apart, now);
         actions.add(new PermitAction.Grant(request.id(), upstream.name()));
     }
 
-    private void judge(UpstreamState upstream, UpstreamState.InFlight flight, PermitOutcome outcome, long now) {
+    private void recordOutcome(UpstreamState upstream, UpstreamState.InFlight flight, PermitOutcome outcome, long now) {
         PermitRequest request = flight.request();
         suspects.ended(request.id());
         switch (outcome.ending()) {
@@ -615,13 +617,13 @@
             }
             case DRAINING -> leaving(upstream.name());
             case CONNECTION_LOST -> {
-                String crash = suspects.crashOf(upstream.name(), now);
-                suspects.suspect(request.fingerprint(), crash);
+                String crash = suspects.crashIdFor(upstream.name(), now);
+                suspects.recordCrash(request.fingerprint(), crash);
                 actions.add(new PermitAction.Suspect(request.fingerprint(), crash));
             }
             default -> {}
         }
-        if (outcome.ending().isFailure() && upstream.fail()) {
+        if (outcome.ending().isFailure() && upstream.recordFailure()) {
             boolean unreachable = outcome.ending() == PermitOutcome.Ending.UNREACHABLE;
             ejector.eject(
                     upstream,
@@ -634,14 +636,14 @@
      * Returns how long the request takes at best. An upstream of which little is known counts as able to do anything:
      * refusing on a guess would keep it from ever being measured.
      */
-    private double fastestMicros(Work work, long now) {
-        speeds.refreshIfOld(upstreams.values(), now);
-        return speeds.fastestMicros(work, now);
+    private double shortestServiceMicros(Work work, long now) {
+        speeds.refreshIfStale(upstreams.values(), now);
+        return speeds.shortestServiceMicros(work, now);
     }
 
     /** Returns how long a new request of a tier would wait, or 0 as long as too little is known to say. */
     private double expectedWaitMicros(Tier tier) {
-        return speeds.isKnown() ? queue.costAhead(tier) * accuracy.factor() / speeds.serviceRate() : 0;
+        return speeds.isAnyMeasured() ? queue.costAhead(tier) * costCorrection.factor() / speeds.serviceRate() : 0;
     }
 
     private double costOf(int promptTokens, int outputTokens) {
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -13,17 +13,17 @@
  * doesn't look at every upstream again and again.
  */
 final class PoolSpeeds {
-    private static final long VALID_MICROS = 20_000;
-    private static final int FASTEST_TRIED = 4;
-    private static final double GAIN = 0.02;
+    private static final long MAX_AGE_MICROS = 20_000;
+    private static final int FASTEST_COMPARED = 4;
+    private static final double SMOOTHING = 0.02;
 
     private List<UpstreamState> fastestFirst = List.of();
     private double meanPrefillMicros;
     private double meanOutputMicros;
     private double serviceRate = 1;
-    private double typicalHeldShare;
-    private boolean known;
-    private boolean anyUnknown;
+    private double meanCachedShare;
+    private boolean anyMeasured;
+    private boolean anyUnmeasured;
     private long refreshedAt = Long.MIN_VALUE / 2;
 
     /** Makes the sums anew with the next use. */
@@ -31,8 +31,8 @@
         refreshedAt = Long.MIN_VALUE / 2;
     }
 
-    void refreshIfOld(Collection<UpstreamState> upstreams, long now) {
-        if (now - refreshedAt < VALID_MICROS) {
+    void refreshIfStale(Collection<UpstreamState> upstreams, long now) {
+        if (now - refreshedAt < MAX_AGE_MICROS) {
             return;
         }
         refreshedAt = now;
@@ -40,16 +40,16 @@
         double prefill = 0;
         double output = 0;
         double rate = 0;
-        known = false;
-        anyUnknown = false;
+        anyMeasured = false;
+        anyUnmeasured = false;
         for (UpstreamState upstream : upstreams) {
             if (upstream.isMember()) {
                 members.add(upstream);
                 prefill += upstream.speed().prefillMicros();
                 output += upstream.speed().outputMicros();
                 rate += upstream.limit() / upstream.speed().outputMicros();
-                known |= upstream.speed().isSettled();
-                anyUnknown |= !upstream.speed().isSettled();
+                anyMeasured |= upstream.speed().hasEnoughSamples();
+                anyUnmeasured |= !upstream.speed().hasEnoughSamples();
             }
         }
         int count = Math.max(1, members.size());
@@ -62,7 +62,7 @@
 
     /** Learns how much of a prompt the chosen upstream held. */
     void granted(double heldShare) {
-        typicalHeldShare += GAIN * (heldShare - typicalHeldShare);
+        meanCachedShare += SMOOTHING * (heldShare - meanCachedShare);
     }
 
     List<UpstreamState> fastestFirst() {
@@ -70,8 +70,8 @@
     }
 
     /** Returns whether at least one upstream has been measured. */
-    boolean isKnown() {
-        return known;
+    boolean isAnyMeasured() {
+        return anyMeasured;
     }
 
     /** Returns how much cost the pool works off in a microsecond when all slots are full. */
@@ -88,18 +88,18 @@
      * Returns how long a request takes at best, if as much of its prompt is held as usual: 0 as long as an upstream has
      * not been measured, and the greatest number where there is no upstream.
      */
-    double fastestMicros(Work work, long now) {
+    double shortestServiceMicros(Work work, long now) {
         if (fastestFirst.isEmpty()) {
             return Double.MAX_VALUE;
         }
-        if (anyUnknown) {
+        if (anyUnmeasured) {
             return 0;
         }
-        int uncached = (int) Math.ceil(work.promptTokens() * (1 - typicalHeldShare));
+        int uncached = (int) Math.ceil(work.promptTokens() * (1 - meanCachedShare));
         double fastest = Double.MAX_VALUE;
-        for (int index = 0; index < Math.min(FASTEST_TRIED, fastestFirst.size()); index++) {
+        for (int index = 0; index < Math.min(FASTEST_COMPARED, fastestFirst.size()); index++) {
             UpstreamState upstream = fastestFirst.get(index);
-            fastest = Math.min(fastest, upstream.unqueuedMicros(uncached, work.outputTokens(), now));
+            fastest = Math.min(fastest, upstream.serviceMicros(uncached, work.outputTokens(), now));
         }
         return fastest;
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -5,26 +5,26 @@
  *
  * @param reusesPrefixes whether the choice of an upstream counts what its cache holds.
  * @param initialLimit the number of requests that an upstream of unknown strength may run at once.
- * @param caution the factor by which an estimate is stretched before it is held against a deadline.
- * @param headRoomShare the greatest share of the slots that is kept free for more urgent tiers.
+ * @param deadlineMargin the factor by which an estimate is stretched before it is held against a deadline.
+ * @param maxReservedShare the greatest share of the slots that is kept free for more urgent tiers.
  * @param slowFactor how many times slower than its siblings an upstream must be to be ejected.
  * @param failuresToEject how many failures in a row eject an upstream.
- * @param ejectionMicros how long the first ejection lasts; each further one in a row lasts twice as long.
- * @param longestEjectionMicros how long an ejection lasts at most.
- * @param largestEjectedShare the greatest share of a pool that may be ejected at once.
- * @param prefixBlocks how many blocks each upstream's cache is taken to hold.
+ * @param firstEjectionMicros how long the first ejection lasts; each further one in a row lasts twice as long.
+ * @param maxEjectionMicros how long an ejection lasts at most.
+ * @param maxEjectedShare the greatest share of a pool that may be ejected at once.
+ * @param cacheBlocks how many blocks each upstream's cache is taken to hold.
  */
 public record SchedulerOptions(
         boolean reusesPrefixes,
         int initialLimit,
-        double caution,
-        double headRoomShare,
+        double deadlineMargin,
+        double maxReservedShare,
         double slowFactor,
         int failuresToEject,
-        long ejectionMicros,
-        long longestEjectionMicros,
-        double largestEjectedShare,
-        int prefixBlocks) {
+        long firstEjectionMicros,
+        long maxEjectionMicros,
+        double maxEjectedShare,
+        int cacheBlocks) {
     /** The policy as it was settled by the experiments in docs/DESIGN.md. */
     public static final SchedulerOptions STANDARD =
             new SchedulerOptions(true, 8, 1.1, 0.25, 4.0, 3, 1_000_000, 30_000_000, 0.34, 8_192);
@@ -39,13 +39,13 @@
         return new SchedulerOptions(
                 reuses,
                 initialLimit,
-                caution,
-                headRoomShare,
+                deadlineMargin,
+                maxReservedShare,
                 slowFactor,
                 failuresToEject,
-                ejectionMicros,
-                longestEjectionMicros,
-                largestEjectedShare,
-                prefixBlocks);
+                firstEjectionMicros,
+                maxEjectionMicros,
+                maxEjectedShare,
+                cacheBlocks);
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
@@ -13,7 +13,7 @@
     private final Map<String, Organisation> organisations = new HashMap<>();
     private final TreeSet<Organisation> byVirtualTime = new TreeSet<>(Organisation::compareVirtualTime);
     private final TreeSet<Organisation> byQueuedCost = new TreeSet<>(Organisation::compareQueuedCost);
-    private double virtualNow;
+    private double virtualClock;
     private double queuedCost;
     private int size;
 
@@ -25,35 +25,35 @@
         return size == 0 ? 0 : queuedCost;
     }
 
-    void add(Waiting waiting, double weight) {
+    void add(WaitingRequest waiting, double weight) {
         Organisation organisation = organisations.computeIfAbsent(waiting.request.organisation(), Organisation::new);
-        detach(organisation);
+        removeFromOrders(organisation);
         if (organisation.requests.isEmpty()) {
-            organisation.virtualTime = Math.max(organisation.virtualTime, virtualNow);
+            organisation.virtualTime = Math.max(organisation.virtualTime, virtualClock);
         }
         organisation.weight = weight;
         organisation.requests.add(waiting);
         organisation.queuedCost += waiting.cost;
         queuedCost += waiting.cost;
         size++;
-        attach(organisation);
+        addToOrders(organisation);
     }
 
-    void remove(Waiting waiting) {
+    void remove(WaitingRequest waiting) {
         Organisation organisation = organisations.get(waiting.request.organisation());
-        detach(organisation);
+        removeFromOrders(organisation);
         if (organisation.requests.remove(waiting)) {
             organisation.queuedCost -= waiting.cost;
             queuedCost -= waiting.cost;
             size--;
         }
-        attach(organisation);
+        addToOrders(organisation);
     }
 
     /** Takes a request out because it is granted, and charges its organisation. */
-    void take(Waiting waiting) {
+    void removeGranted(WaitingRequest waiting) {
         Organisation organisation = organisations.get(waiting.request.organisation());
-        virtualNow = Math.max(virtualNow, organisation.virtualTime);
+        virtualClock = Math.max(virtualClock, organisation.virtualTime);
         remove(waiting);
         charge(organisation.name, waiting.cost);
     }
@@ -62,19 +62,19 @@
     void charge(String name, double cost) {
         Organisation organisation = organisations.get(name);
         if (organisation != null) {
-            detach(organisation);
+            removeFromOrders(organisation);
             organisation.virtualTime += cost / organisation.weight;
-            attach(organisation);
+            addToOrders(organisation);
         }
     }
 
     /** Forgets organisations that wait for nothing and that the virtual clock has passed. */
-    void forgetIdle() {
-        organisations.values().removeIf(idle -> idle.requests.isEmpty() && idle.virtualTime <= virtualNow);
+    void removeIdleOrganisations() {
+        organisations.values().removeIf(idle -> idle.requests.isEmpty() && idle.virtualTime <= virtualClock);
     }
 
     /** Returns the next request of each organisation, the least served organisation first. */
-    Iterator<Waiting> heads() {
+    Iterator<WaitingRequest> heads() {
         Iterator<Organisation> order = byVirtualTime.iterator();
         return new Iterator<>() {
             @Override
@@ -83,25 +83,25 @@
             }
 
             @Override
-            public Waiting next() {
+            public WaitingRequest next() {
                 return order.next().requests.first();
             }
         };
     }
 
     /** Returns the request that is shed first: the latest deadline of the organisation that has most waiting. */
-    Waiting leastDeserving() {
+    WaitingRequest nextToShed() {
         return byQueuedCost.last().requests.last();
     }
 
-    private void detach(Organisation organisation) {
+    private void removeFromOrders(Organisation organisation) {
         if (!organisation.requests.isEmpty()) {
             byVirtualTime.remove(organisation);
             byQueuedCost.remove(organisation);
         }
     }
 
-    private void attach(Organisation organisation) {
+    private void addToOrders(Organisation organisation) {
         if (!organisation.requests.isEmpty()) {
             byVirtualTime.add(organisation);
             byQueuedCost.add(organisation);
@@ -113,7 +113,7 @@
      */
     private static final class Organisation {
         private final String name;
-        private final TreeSet<Waiting> requests = new TreeSet<>(Waiting::byDeadline);
+        private final TreeSet<WaitingRequest> requests = new TreeSet<>(WaitingRequest::compareDeadline);
         private double virtualTime;
         private double queuedCost;
         private double weight = 1;
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionDesk.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -12,15 +12,15 @@
 /**
  * Keeps the routes of one pool to the versions that they may use, and watches the new ones.
  */
-final class VersionDesk {
-    private static final double MOST_SLOWNESS = 12;
+final class VersionRouting {
+    private static final double MAX_LOG_SLOWNESS = 12;
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final Map<String, SplitCounter> counters = new HashMap<>();
     private final Map<String, VersionWatch> watches = new HashMap<>();
     private final Map<String, Long> watchedMoves = new HashMap<>();
 
-    void replace(Map<String, VersionSplit> splits) {
+    void replaceSplits(Map<String, VersionSplit> splits) {
         counters.keySet().retainAll(splits.keySet());
         watches.keySet().retainAll(splits.keySet());
         watchedMoves.keySet().retainAll(splits.keySet());
@@ -56,13 +56,13 @@
     }
 
     /** Returns whether the next request of a route is to go to the new version if that has a free slot. */
-    boolean isNewDue(String route) {
+    boolean isNewVersionDue(String route) {
         SplitCounter counter = counters.get(route);
         return counter != null && counter.split().moveId() > 0 && counter.isNewDue();
     }
 
     /** Returns whether an upstream runs the new version of a route. */
-    boolean isNew(String route, String version) {
+    boolean isNewVersion(String route, String version) {
         return counters.get(route).split().allows(version, true);
     }
 
@@ -89,9 +89,9 @@
         boolean failed = outcome.ending().isFailure();
         double reference = SpeedEstimate.referenceMicros(promptTokens, Math.max(1, outcome.outputTokens()));
         double slowness = Math.log(Math.max(1, outcome.totalMicros()) / reference);
-        double bounded = Math.max(-MOST_SLOWNESS, Math.min(MOST_SLOWNESS, slowness));
+        double bounded = Math.max(-MAX_LOG_SLOWNESS, Math.min(MAX_LOG_SLOWNESS, slowness));
         if (counter.split().allows(upstream.row().version(), true)) {
-            int earlierAnswers = upstream.answers() - (failed ? 0 : 1);
+            int earlierAnswers = upstream.answerCount() - (failed ? 0 : 1);
             watch(route).observeNew(failed, bounded, earlierAnswers, now / MICROS_PER_MILLI);
         } else {
             watch(route).observeOld(failed, bounded);
--- a/decision/src/main/java/org/radishspur/decision/permit/WaitingQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/WaitingQueue.java
@@ -14,8 +14,8 @@
  */
 final class WaitingQueue {
     private final TierQueue[] tiers = new TierQueue[Tier.values().length];
-    private final Map<PermitId, Waiting> byId = new HashMap<>();
-    private final TreeSet<Waiting> byLatestStart = new TreeSet<>(Waiting::byLatestStart);
+    private final Map<PermitId, WaitingRequest> byId = new HashMap<>();
+    private final TreeSet<WaitingRequest> byLatestStart = new TreeSet<>(WaitingRequest::compareLatestStart);
 
     WaitingQueue() {
         for (int tier = 0; tier < tiers.length; tier++) {
@@ -35,15 +35,15 @@
         return tiers[tier.ordinal()];
     }
 
-    void add(Waiting waiting, double weight) {
+    void add(WaitingRequest waiting, double weight) {
         byId.put(waiting.request.id(), waiting);
         byLatestStart.add(waiting);
         tier(waiting.request.tier()).add(waiting, weight);
     }
 
     /** Removes a request and returns it, or null where it isn't waiting. */
-    Waiting remove(PermitId id) {
-        Waiting waiting = byId.remove(id);
+    WaitingRequest remove(PermitId id) {
+        WaitingRequest waiting = byId.remove(id);
         if (waiting != null) {
             byLatestStart.remove(waiting);
             tier(waiting.request.tier()).remove(waiting);
@@ -51,25 +51,25 @@
         return waiting;
     }
 
-    void take(Waiting waiting) {
+    void removeGranted(WaitingRequest waiting) {
         byId.remove(waiting.request.id());
         byLatestStart.remove(waiting);
-        tier(waiting.request.tier()).take(waiting);
+        tier(waiting.request.tier()).removeGranted(waiting);
     }
 
     /** Returns the request of the lowest tier that deserves its place least. */
-    Waiting leastDeserving() {
+    WaitingRequest nextToShed() {
         for (int tier = tiers.length - 1; tier >= 0; tier--) {
             if (tiers[tier].size() > 0) {
-                return tiers[tier].leastDeserving();
+                return tiers[tier].nextToShed();
             }
         }
         throw new IllegalStateException("nothing waits");
     }
 
     /** Removes and returns the requests that can't be finished in time any more. */
-    List<Waiting> expire(long now) {
-        List<Waiting> expired = new ArrayList<>();
+    List<WaitingRequest> expire(long now) {
+        List<WaitingRequest> expired = new ArrayList<>();
         while (!byLatestStart.isEmpty() && byLatestStart.first().latestStart < now) {
             expired.add(remove(byLatestStart.first().request.id()));
         }
@@ -90,19 +90,19 @@
         return cost;
     }
 
-    List<PermitId> idsOf(String node, long incarnation) {
+    List<PermitId> idsOfEntry(String node, long incarnation) {
         return byId.keySet().stream()
                 .filter(id -> id.node().equals(node) && id.incarnation() == incarnation)
                 .toList();
     }
 
-    List<Waiting> all() {
+    List<WaitingRequest> all() {
         return List.copyOf(byId.values());
     }
 
-    void forgetIdle() {
+    void removeIdleOrganisations() {
         for (TierQueue tier : tiers) {
-            tier.forgetIdle();
+            tier.removeIdleOrganisations();
         }
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
@@ -8,15 +8,15 @@
  * nothing about the present bound, and is ignored.
  */
 public final class ConcurrencyLimit {
-    private static final double SHRINK = 0.85;
-    private static final double QUICK_GROWTH = 0.6;
-    private static final double SLOW_GROWTH = 3;
-    private static final double NEAR = 0.95;
+    private static final double DECREASE_FACTOR = 0.85;
+    private static final double FAST_INCREASE = 0.6;
+    private static final double SLOW_INCREASE = 3;
+    private static final double FAST_INCREASE_SHARE = 0.95;
 
     private final int ceiling;
     private double limit;
-    private long changedAt = Long.MIN_VALUE / 2;
-    private double congestedAt = Double.MAX_VALUE;
+    private long decreasedAt = Long.MIN_VALUE / 2;
+    private double lastCongestedLimit = Double.MAX_VALUE;
 
     /**
      * Creates a limit.
@@ -39,15 +39,17 @@
      * @return whether the bound shrank.
      */
     public boolean learn(boolean congested, long startedAt, int inFlight, long now) {
-        if (startedAt < changedAt) {
+        if (startedAt < decreasedAt) {
             return false;
         }
         if (congested) {
-            congestedAt = limit;
-            limit = Math.max(1, Math.min(limit, inFlight) * SHRINK);
-            changedAt = now;
+            lastCongestedLimit = limit;
+            limit = Math.max(1, Math.min(limit, inFlight) * DECREASE_FACTOR);
+            decreasedAt = now;
         } else if (inFlight >= (int) limit) {
-            limit = Math.min(ceiling, limit + (limit < NEAR * congestedAt ? QUICK_GROWTH : SLOW_GROWTH / limit));
+            limit = Math.min(
+                    ceiling,
+                    limit + (limit < FAST_INCREASE_SHARE * lastCongestedLimit ? FAST_INCREASE : SLOW_INCREASE / limit));
         }
         return congested;
     }
@@ -57,15 +59,15 @@
      *
      * @param running the number of requests that it runs.
      */
-    public void saturatedAt(int running) {
-        congestedAt = running + 1;
-        limit = Math.max(1, Math.min(limit, congestedAt));
+    public void capAtRunning(int running) {
+        lastCongestedLimit = running + 1;
+        limit = Math.max(1, Math.min(limit, lastCongestedLimit));
     }
 
     /**
      * Starts again from one request at a time, as after an ejection.
      */
-    public void restart() {
+    public void reset() {
         limit = 1;
     }
 
--- a/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
@@ -9,14 +9,14 @@
  * events, which come late and with gaps.
  */
 public final class PrefixIndex {
-    private static final double GAP_PENALTY = 0.5;
-    private static final double RECOVERY = 1.05;
+    private static final double GAP_FACTOR = 0.5;
+    private static final double RECOVERY_FACTOR = 1.05;
     private static final double LOAD_FACTOR = 0.75;
     private static final int INITIAL_CAPACITY = 64;
 
     private final LinkedHashMap<Long, Boolean> blocks;
     private long lastSequence = -1;
-    private double trust = 1;
+    private double confidence = 1;
 
     /**
      * Creates an empty index.
@@ -52,12 +52,12 @@
      * @param added the blocks that the engine has taken in.
      * @param removed the blocks that the engine has dropped.
      */
-    public void observe(long sequence, List<Long> added, List<Long> removed) {
+    public void applyCacheEvent(long sequence, List<Long> added, List<Long> removed) {
         if (lastSequence >= 0 && sequence <= lastSequence) {
             return;
         }
         boolean gap = lastSequence >= 0 && sequence != lastSequence + 1;
-        trust = gap ? trust * GAP_PENALTY : Math.min(1, trust * RECOVERY);
+        confidence = gap ? confidence * GAP_FACTOR : Math.min(1, confidence * RECOVERY_FACTOR);
         lastSequence = sequence;
         removed.forEach(blocks::remove);
         dispatched(added);
@@ -69,7 +69,7 @@
     public void clear() {
         blocks.clear();
         lastSequence = -1;
-        trust = 1;
+        confidence = 1;
     }
 
     /**
@@ -83,6 +83,6 @@
         while (held < prefix.size() && blocks.containsKey(prefix.get(held))) {
             held++;
         }
-        return held * trust;
+        return held * confidence;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -4,16 +4,16 @@
  * Learns how fast one upstream works, from the measures of the requests that it ran.
  */
 public final class SpeedEstimate {
-    private static final double GAIN = 0.15;
+    private static final double SMOOTHING = 0.15;
     private static final double INITIAL_PREFILL_MICROS = 200;
     private static final double INITIAL_OUTPUT_MICROS = 20_000;
     private static final double INITIAL_SERVICE_MICROS = 2_000;
-    private static final double BEST_DRIFT = 1.0002;
-    private static final int STEP_TOKENS = 256;
-    private static final double SLOW_OUTPUT = 2.5;
-    private static final double SLOW_PREFILL = 8;
-    private static final double CALM = 0.6;
-    private static final double INSIGNIFICANT_MICROS = 5_000;
+    private static final double BEST_DECAY_FACTOR = 1.0002;
+    private static final int STEP_OVERHEAD_TOKENS = 256;
+    private static final double SLOW_OUTPUT_FACTOR = 2.5;
+    private static final double SLOW_PREFILL_FACTOR = 8;
+    private static final double RESET_SHARE = 0.6;
+    private static final double MIN_CONGESTED_OUTPUT_MICROS = 5_000;
 
     private double prefillMicros = INITIAL_PREFILL_MICROS;
     private double outputMicros;
@@ -39,9 +39,9 @@
      */
     public void learnFirstToken(int uncachedTokens, long micros) {
         prefillSamples++;
-        double perToken = micros / (double) (uncachedTokens + STEP_TOKENS);
-        prefillMicros += Math.max(GAIN, 1.0 / prefillSamples) * (perToken - prefillMicros);
-        bestPrefillMicros = Math.min(bestPrefillMicros * BEST_DRIFT, prefillMicros);
+        double perToken = micros / (double) (uncachedTokens + STEP_OVERHEAD_TOKENS);
+        prefillMicros += Math.max(SMOOTHING, 1.0 / prefillSamples) * (perToken - prefillMicros);
+        bestPrefillMicros = Math.min(bestPrefillMicros * BEST_DECAY_FACTOR, prefillMicros);
     }
 
     /**
@@ -53,8 +53,8 @@
     public void learnOutput(long micros, int outputTokens) {
         samples++;
         double perToken = micros / (double) Math.max(1, outputTokens);
-        outputMicros += Math.max(GAIN, 1.0 / samples) * (perToken - outputMicros);
-        bestOutputMicros = Math.min(bestOutputMicros * BEST_DRIFT, outputMicros);
+        outputMicros += Math.max(SMOOTHING, 1.0 / samples) * (perToken - outputMicros);
+        bestOutputMicros = Math.min(bestOutputMicros * BEST_DECAY_FACTOR, outputMicros);
     }
 
     /**
@@ -63,7 +63,7 @@
      * @param perOutputMicros the least time for each token that the request can still turn out to have had.
      */
     public void learnOverdue(double perOutputMicros) {
-        outputMicros += GAIN * Math.max(0, perOutputMicros - outputMicros);
+        outputMicros += SMOOTHING * Math.max(0, perOutputMicros - outputMicros);
     }
 
     /**
@@ -88,7 +88,7 @@
      * @return the time in microseconds.
      */
     public static double micros(int uncachedTokens, double prefillMicros, int outputTokens, double outputMicros) {
-        int prompt = uncachedTokens == 0 ? 0 : uncachedTokens + STEP_TOKENS;
+        int prompt = uncachedTokens == 0 ? 0 : uncachedTokens + STEP_OVERHEAD_TOKENS;
         return prompt * prefillMicros + outputTokens * outputMicros;
     }
 
@@ -131,15 +131,16 @@
      * @return whether the upstream has more to do than does it good.
      */
     public boolean isCongested(boolean nothingWaits) {
-        boolean slowOutput = outputMicros > SLOW_OUTPUT * bestOutputMicros && outputMicros > INSIGNIFICANT_MICROS;
-        boolean slowPrefill = prefillMicros > SLOW_PREFILL * bestPrefillMicros;
+        boolean slowOutput =
+                outputMicros > SLOW_OUTPUT_FACTOR * bestOutputMicros && outputMicros > MIN_CONGESTED_OUTPUT_MICROS;
+        boolean slowPrefill = prefillMicros > SLOW_PREFILL_FACTOR * bestPrefillMicros;
         return slowOutput || slowPrefill && !nothingWaits;
     }
 
     /** Forgets the signs of congestion, once something was done about it; only fresh ones count from here on. */
-    public void forgetCongestion() {
-        outputMicros = Math.min(outputMicros, bestOutputMicros * CALM * SLOW_OUTPUT);
-        prefillMicros = Math.min(prefillMicros, bestPrefillMicros * CALM * SLOW_PREFILL);
+    public void resetCongestion() {
+        outputMicros = Math.min(outputMicros, bestOutputMicros * RESET_SHARE * SLOW_OUTPUT_FACTOR);
+        prefillMicros = Math.min(prefillMicros, bestPrefillMicros * RESET_SHARE * SLOW_PREFILL_FACTOR);
     }
 
     /**
@@ -147,7 +148,7 @@
      *
      * @return whether it does.
      */
-    public boolean isSettled() {
+    public boolean hasEnoughSamples() {
         return samples >= 5;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -14,11 +14,11 @@
  * Holds what the scheduler knows of one upstream.
  */
 public final class UpstreamState {
-    private static final double FADE_MICROS = 5_000_000;
+    private static final double MEASUREMENT_FADE_MICROS = 5_000_000;
     private static final long REPORT_VALID_MICROS = 6_000_000;
-    private static final double HELD_UP_SHARE = 0.3;
-    private static final double FAILURE_PENALTY = 4;
-    private static final double MOST_HOPEFUL = 0.1;
+    private static final double PREFILL_DELAY_SHARE = 0.3;
+    private static final double PENALTY_PER_FAILURE = 4;
+    private static final double MIN_FADING_FACTOR = 0.1;
 
     private final SchedulerOptions options;
     private final Map<PermitId, InFlight> inFlight = new HashMap<>();
@@ -31,17 +31,17 @@
     private Set<String> evacuated = Set.of();
     private boolean removed;
     private long ejectedUntil;
-    private int ejectionsInRow;
-    private int failuresInRow;
-    private int answers;
+    private int consecutiveEjections;
+    private int consecutiveFailures;
+    private int answerCount;
     private int answersSinceEjection;
     private int externalLoad;
-    private int recentPeak;
-    private int pendingPrefill;
-    private boolean exclusive;
-    private long learnedAt;
-    private long reportedAt;
-    private boolean reportedCalm;
+    private int recentPeakInFlight;
+    private int pendingPrefillTokens;
+    private boolean runsExclusive;
+    private long lastMeasuredAt;
+    private long lastReportAt;
+    private boolean reportedNoneWaiting;
 
     /**
      * Creates the state of an upstream that has run nothing yet.
@@ -56,7 +56,7 @@
         this.options = options;
         this.speed = new SpeedEstimate(engine);
         this.limit = new ConcurrencyLimit(options.initialLimit(), ceiling);
-        this.prefixes = new PrefixIndex(options.prefixBlocks());
+        this.prefixes = new PrefixIndex(options.cacheBlocks());
     }
 
     /**
@@ -128,7 +128,7 @@
      * @return the number of free slots.
      */
     public int freeSlots(long now) {
-        if (!isUsable(now) || exclusive) {
+        if (!isUsable(now) || runsExclusive) {
             return 0;
         }
         return Math.max(0, limit.value() - inFlight.size() - externalLoad);
@@ -191,7 +191,7 @@
      * @return the time in microseconds.
      */
     public double expectedMicros(Work work) {
-        int ahead = pendingPrefill;
+        int ahead = pendingPrefillTokens;
         return speed.expectedMicros(uncachedTokens(work) + ahead, work.outputTokens());
     }
 
@@ -206,11 +206,11 @@
      * @param now the clock in microseconds.
      * @return the time in microseconds.
      */
-    public double hopefulMicros(Work work, long now) {
+    public double selectionMicros(Work work, long now) {
         // Computing a prompt holds up every other request of the batch, which costs the pool more than the request
         // itself.
-        double heldUp = uncachedTokens(work) * speed.prefillMicros() * inFlight.size() * HELD_UP_SHARE;
-        return (expectedMicros(work) + heldUp) * fading(now) * (1 + FAILURE_PENALTY * failuresInRow);
+        double heldUp = uncachedTokens(work) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
+        return (expectedMicros(work) + heldUp) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
     }
 
     /**
@@ -219,7 +219,7 @@
      * @param work the request.
      * @return the share, 0 where there is no prompt.
      */
-    public double heldShare(Work work) {
+    public double cachedShare(Work work) {
         return work.promptTokens() == 0 ? 0 : 1 - uncachedTokens(work) / (double) work.promptTokens();
     }
 
@@ -231,31 +231,31 @@
      * @param now the clock in microseconds.
      * @return the time in microseconds.
      */
-    public double unqueuedMicros(int uncachedTokens, int outputTokens, long now) {
-        return speed.expectedMicros(uncachedTokens, outputTokens) * fading(now);
+    public double serviceMicros(int uncachedTokens, int outputTokens, long now) {
+        return speed.expectedMicros(uncachedTokens, outputTokens) * fadingFactor(now);
     }
 
-    private double fading(long now) {
+    private double fadingFactor(long now) {
         if (!inFlight.isEmpty()) {
             return 1;
         }
-        double unmeasured = Math.max(0, now - learnedAt) / FADE_MICROS;
-        return Math.max(MOST_HOPEFUL, 1 / (1 + unmeasured));
+        double unmeasured = Math.max(0, now - lastMeasuredAt) / MEASUREMENT_FADE_MICROS;
+        return Math.max(MIN_FADING_FACTOR, 1 / (1 + unmeasured));
     }
 
     /**
      * Puts a request in flight.
      *
      * @param request the request.
-     * @param alone whether the upstream may run nothing else meanwhile.
+     * @param exclusive whether the upstream may run nothing else meanwhile.
      * @param now the clock in microseconds.
      */
-    public void start(PermitRequest request, boolean alone, long now) {
+    public void start(PermitRequest request, boolean exclusive, long now) {
         int uncached = uncachedTokens(request.work());
-        inFlight.put(request.id(), new InFlight(request, now, uncached, expectedMicros(request.work()), alone));
-        pendingPrefill += uncached;
-        exclusive |= alone;
-        recentPeak = Math.max(recentPeak, inFlight.size());
+        inFlight.put(request.id(), new InFlight(request, now, uncached, expectedMicros(request.work()), exclusive));
+        pendingPrefillTokens += uncached;
+        runsExclusive |= exclusive;
+        recentPeakInFlight = Math.max(recentPeakInFlight, inFlight.size());
         prefixes.dispatched(request.work().prefix());
     }
 
@@ -268,25 +268,25 @@
     public void firstToken(PermitId id, long now) {
         InFlight flight = inFlight.get(id);
         if (flight != null && !flight.prefilled) {
-            prefilled(flight);
+            markPrefilled(flight);
             if (flight.uncachedTokens > 0) {
                 speed.learnFirstToken(flight.uncachedTokens, flight.elapsed(now));
-                learnLimit(flight, inFlight.size(), now);
+                adjustLimit(flight, inFlight.size(), now);
             }
         }
     }
 
-    private void learnLimit(InFlight flight, int running, long now) {
-        boolean calm = reportedCalm && now - reportedAt < REPORT_VALID_MICROS;
+    private void adjustLimit(InFlight flight, int running, long now) {
+        boolean calm = reportedNoneWaiting && now - lastReportAt < REPORT_VALID_MICROS;
         if (limit.learn(speed.isCongested(calm), flight.startedAt, running, now)) {
-            speed.forgetCongestion();
+            speed.resetCongestion();
         }
     }
 
-    private void prefilled(InFlight flight) {
+    private void markPrefilled(InFlight flight) {
         if (!flight.prefilled) {
             flight.prefilled = true;
-            pendingPrefill -= flight.uncachedTokens;
+            pendingPrefillTokens -= flight.uncachedTokens;
         }
     }
 
@@ -299,8 +299,8 @@
     public InFlight end(PermitId id) {
         InFlight flight = inFlight.remove(id);
         if (flight != null) {
-            prefilled(flight);
-            exclusive &= !flight.alone;
+            markPrefilled(flight);
+            runsExclusive &= !flight.exclusive;
         }
         return flight;
     }
@@ -315,14 +315,14 @@
      * @param now the clock in microseconds.
      */
     public void learn(InFlight flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
-        learnedAt = now;
+        lastMeasuredAt = now;
         speed.learnOutput(flight.uncachedTokens > 0 ? totalMicros - firstTokenMicros : totalMicros, outputTokens);
-        learnLimit(flight, inFlight.size() + 1, now);
-        failuresInRow = 0;
-        answers++;
+        adjustLimit(flight, inFlight.size() + 1, now);
+        consecutiveFailures = 0;
+        answerCount++;
         answersSinceEjection++;
         if (answersSinceEjection > options.failuresToEject()) {
-            ejectionsInRow = 0;
+            consecutiveEjections = 0;
         }
     }
 
@@ -331,8 +331,8 @@
      *
      * @return the number.
      */
-    public int answers() {
-        return answers;
+    public int answerCount() {
+        return answerCount;
     }
 
     /**
@@ -340,9 +340,10 @@
      *
      * @return whether there have been enough in a row to eject the upstream.
      */
-    public boolean fail() {
-        failuresInRow++;
-        return failuresInRow >= options.failuresToEject() || answersSinceEjection == 0 && ejectionsInRow > 0;
+    public boolean recordFailure() {
+        consecutiveFailures++;
+        return consecutiveFailures >= options.failuresToEject()
+                || answersSinceEjection == 0 && consecutiveEjections > 0;
     }
 
     /**
@@ -351,12 +352,12 @@
      * @param now the clock in microseconds.
      */
     public void eject(long now) {
-        long length = options.ejectionMicros() << Math.min(ejectionsInRow, Integer.SIZE / 2);
-        ejectedUntil = now + Math.min(length, options.longestEjectionMicros());
-        ejectionsInRow++;
-        failuresInRow = 0;
+        long length = options.firstEjectionMicros() << Math.min(consecutiveEjections, Integer.SIZE / 2);
+        ejectedUntil = now + Math.min(length, options.maxEjectionMicros());
+        consecutiveEjections++;
+        consecutiveFailures = 0;
         answersSinceEjection = 0;
-        limit.restart();
+        limit.reset();
     }
 
     /** Ends the ejection; the upstream is still probed with one request at a time. */
@@ -376,7 +377,7 @@
     /**
      * Notes that the upstream is leaving. That holds, whatever a stale host list says, until a later incarnation shows.
      */
-    public void leave() {
+    public void markLeaving() {
         leaving = true;
     }
 
@@ -390,8 +391,8 @@
             incarnation = seen;
             leaving = false;
             ejectedUntil = 0;
-            failuresInRow = 0;
-            answers = 0;
+            consecutiveFailures = 0;
+            answerCount = 0;
             prefixes.clear();
         }
     }
@@ -404,13 +405,13 @@
      * @param waiting the number of requests that the upstream says wait inside it.
      * @param now the clock in microseconds.
      */
-    public void reported(int running, int waiting, long now) {
-        reportedAt = now;
-        reportedCalm = waiting == 0;
-        externalLoad = Math.max(0, running + waiting - recentPeak);
-        recentPeak = inFlight.size();
+    public void loadReported(int running, int waiting, long now) {
+        lastReportAt = now;
+        reportedNoneWaiting = waiting == 0;
+        externalLoad = Math.max(0, running + waiting - recentPeakInFlight);
+        recentPeakInFlight = inFlight.size();
         if (waiting > 0) {
-            limit.saturatedAt(running);
+            limit.capAtRunning(running);
         }
     }
 
@@ -422,16 +423,16 @@
         private final long startedAt;
         private final int uncachedTokens;
         private final double expectedMicros;
-        private final boolean alone;
+        private final boolean exclusive;
         private boolean prefilled;
         private boolean overdue;
 
-        InFlight(PermitRequest request, long startedAt, int uncachedTokens, double expectedMicros, boolean alone) {
+        InFlight(PermitRequest request, long startedAt, int uncachedTokens, double expectedMicros, boolean exclusive) {
             this.request = request;
             this.startedAt = startedAt;
             this.uncachedTokens = uncachedTokens;
             this.expectedMicros = expectedMicros;
-            this.alone = alone;
+            this.exclusive = exclusive;
         }
 
         /**
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
@@ -115,7 +115,7 @@
         private void report() {
             String upstream = "u" + random.nextInt(4);
             scheduler.loadReported(upstream, random.nextInt(8), random.nextInt(3), now);
-            scheduler.cacheReported(upstream, random.nextInt(1_000), List.of(1L, 2L), List.of(3L));
+            scheduler.cacheChanged(upstream, random.nextInt(1_000), List.of(1L, 2L), List.of(3L));
             scheduler.firstToken(any(sent.keySet()), now);
         }
 
