--- a/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
@@ -1,10 +1,11 @@
 package org.radishspur.decision.permit;
 
 /**
- * Learns how the true cost of requests compares with what was estimated when they arrived, so that a queue full of
- * requests with badly announced lengths doesn't look much longer or shorter than it is.
+ * Learns the ratio of the actual to the estimated cost of requests. It corrects the expected wait of a queue whose
+ * requests announced wrong answer lengths.
  */
 final class CostCorrection {
+    /** The least weight of a new sample in the moving means. */
     private static final double SMOOTHING = 0.02;
 
     private double meanEstimatedCost = 1;
@@ -13,11 +14,12 @@
 
     void learn(double estimatedCost, double actualCost) {
         samples++;
-        double gain = Math.max(SMOOTHING, 1.0 / samples);
-        meanEstimatedCost += gain * (estimatedCost - meanEstimatedCost);
-        meanActualCost += gain * (actualCost - meanActualCost);
+        double weight = Math.max(SMOOTHING, 1.0 / samples);
+        meanEstimatedCost += weight * (estimatedCost - meanEstimatedCost);
+        meanActualCost += weight * (actualCost - meanActualCost);
     }
 
+    /** Returns the mean actual cost divided by the mean estimated cost. */
     double factor() {
         return meanActualCost / Math.max(1, meanEstimatedCost);
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
@@ -8,11 +8,13 @@
 import org.radishspur.model.request.PermitId;
 
 /**
- * Knows which requests were in flight at crashes. A suspect runs apart from all others; one that was in flight at two
- * crashes is refused.
+ * Keeps the crash suspects: requests that were in flight when an upstream crashed. A suspect runs on an upstream without
+ * other requests, one suspect of a pool at a time; a request that was in flight at two crashes is refused.
  */
 final class CrashSuspects {
     private static final int CRASHES_TO_REFUSE = 2;
+
+    /** The time after the first lost connection of an upstream within which further ones belong to the same crash. */
     private static final long CRASH_WINDOW_MICROS = 2_000_000;
 
     private final String owner;
@@ -46,7 +48,10 @@
         running.remove(id);
     }
 
-    /** Names the crash that a lost connection belongs to: all that one upstream loses at about one time are one. */
+    /**
+     * Returns the identifier of the crash that a lost connection belongs to. The connections that an upstream loses within
+     * a short time belong to the same crash.
+     */
     String crashIdFor(String upstream, long now) {
         Crash crash = latestCrash.get(upstream);
         if (crash == null || now - crash.at() > CRASH_WINDOW_MICROS) {
@@ -60,36 +65,36 @@
         localCrashes.computeIfAbsent(fingerprint, key -> new HashSet<>()).add(crash);
     }
 
-    /** Forgets a suspect that ran to its end; returns whether it was one. */
+    /** Clears a request that was answered to the end; returns whether it was a suspect. */
     boolean clear(String fingerprint) {
-        boolean known = isSuspect(fingerprint);
+        boolean wasSuspect = isSuspect(fingerprint);
         localCrashes.remove(fingerprint);
         if (agreedCounts.containsKey(fingerprint)) {
             agreedCounts = new HashMap<>(agreedCounts);
             agreedCounts.remove(fingerprint);
         }
-        return known;
+        return wasSuspect;
     }
 
     /**
-     * Takes over what all owners agree on. What was seen here stays until the others have heard of it and forgotten it:
-     * a second crash must count on top of the first one at once, before the agreed number grows.
+     * Replaces the crash counts that all owners agree on. A suspect that was found here is kept until it has been in the
+     * agreed counts and left them again, so that a second crash counts at once, before the agreed count grows.
      */
     void replaceAgreedCounts(Map<String, Integer> crashes) {
-        localCrashes.keySet().removeIf(seen -> agreedCounts.containsKey(seen) && !crashes.containsKey(seen));
+        localCrashes.keySet().removeIf(suspect -> agreedCounts.containsKey(suspect) && !crashes.containsKey(suspect));
         agreedCounts = crashes;
     }
 
     private int crashCountOf(String fingerprint) {
-        int here = localCrashes.getOrDefault(fingerprint, Set.of()).size();
-        return Math.max(here, agreedCounts.getOrDefault(fingerprint, 0));
+        int localCount = localCrashes.getOrDefault(fingerprint, Set.of()).size();
+        return Math.max(localCount, agreedCounts.getOrDefault(fingerprint, 0));
     }
 
     /**
-     * Remembers the latest crash of an upstream.
+     * The latest crash of an upstream.
      *
-     * @param id what tells it from others.
-     * @param at when its first sign came, in microseconds.
+     * @param id the identifier of the crash.
+     * @param at when its first lost connection was reported, in microseconds.
      */
     private record Crash(String id, long at) {}
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
@@ -9,9 +9,11 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Ejects upstreams that fail or are much slower than their siblings, and sees to it that a pool is never emptied.
+ * Ejects upstreams that fail or are much slower than comparable ones. Never leaves a pool that has members without a
+ * usable upstream.
  */
 final class Ejector {
+    /** From how many times its expected time on a request in flight is overdue. */
     private static final double OVERDUE_FACTOR = 3;
 
     private final SchedulerOptions options;
@@ -25,18 +27,19 @@
     }
 
     /**
-     * Ejects an upstream, unless too much of the pool would be ejected at once. That bound is there for judgements, which
-     * may be wrong; an upstream to which no connection can be made serves nobody, and goes unless it is the last.
+     * Ejects an upstream unless too large a share of the pool would be ejected at once. The share limits the damage of a
+     * wrong decision about failures or speed. It doesn't apply to an upstream to which no connection can be made, since
+     * that can serve no request; such an upstream is kept only if it is the last usable one.
      */
     void eject(UpstreamState upstream, PermitAction.EjectionCause cause, long now) {
-        long members =
+        long memberCount =
                 upstreams.values().stream().filter(UpstreamState::isMember).count();
-        long ejected = upstreams.values().stream()
+        long ejectedCount = upstreams.values().stream()
                 .filter(other -> other != upstream && other.isMember() && !other.isUsable(now))
                 .count();
-        boolean withinShare = ejected + 1 <= Math.max(1, members * options.maxEjectedShare());
-        boolean certain = cause == PermitAction.EjectionCause.UNREACHABLE;
-        boolean allowed = (certain || withinShare) && ejected + 1 < members;
+        boolean withinShare = ejectedCount + 1 <= Math.max(1, memberCount * options.maxEjectedShare());
+        boolean unreachable = cause == PermitAction.EjectionCause.UNREACHABLE;
+        boolean allowed = (unreachable || withinShare) && ejectedCount + 1 < memberCount;
         if (allowed && upstream.isUsable(now)) {
             upstream.eject(now);
             actions.add(new PermitAction.Ejected(upstream.name(), cause));
@@ -44,14 +47,13 @@
     }
 
     /**
-     * Ends the ejection of the upstream whose turn is next if no other one is left.
+     * Readmits the upstream whose ejection ends first if no upstream of the pool is usable.
      *
-     * <p>Guards against a pool emptied in two steps: the cap on ejections held when an upstream was ejected, but the
-     * others have left the pool since.
+     * <p>The checks at an ejection can't prevent this state: the upstreams that were usable then may leave the pool later.
      */
     void readmitOneIfAllEjected(long now) {
-        boolean emptied = upstreams.values().stream().noneMatch(upstream -> upstream.isUsable(now));
-        if (emptied) {
+        boolean noneUsable = upstreams.values().stream().noneMatch(upstream -> upstream.isUsable(now));
+        if (noneUsable) {
             upstreams.values().stream()
                     .filter(UpstreamState::isMember)
                     .min(Comparator.comparingLong(UpstreamState::ejectedUntil))
@@ -59,40 +61,46 @@
         }
     }
 
-    /** Names what an upstream is compared by: whether a new version is too slow is for its move to judge. */
+    /**
+     * Returns the key of the upstreams that one is compared with: those of the same hardware and version. Versions are
+     * kept apart because the move to a new version checks its speed itself.
+     */
     private static String comparisonGroup(UpstreamState upstream) {
         return upstream.row().hardware() + '/' + upstream.row().version();
     }
 
-    /** Compares upstreams with their siblings of the same hardware and version, counting requests that are overdue. */
+    /**
+     * Ejects the upstreams that are much slower than the median of those with the same hardware and version. Requests in
+     * flight that are overdue count before they end.
+     */
     void ejectSlowUpstreams(long now) {
-        Map<String, List<Double>> byHardware = new HashMap<>();
+        Map<String, List<Double>> outputMicrosByGroup = new HashMap<>();
         for (UpstreamState upstream : upstreams.values()) {
             for (UpstreamState.InFlight flight : upstream.inFlight().values()) {
                 if (flight.becameOverdue(OVERDUE_FACTOR, now)) {
-                    double least = flight.elapsed(now)
+                    double minMicrosPerToken = flight.elapsed(now)
                             / (double) Math.max(1, flight.request().work().outputTokens());
-                    upstream.speed().learnOverdue(least);
+                    upstream.speed().learnOverdue(minMicrosPerToken);
                 }
             }
             if (upstream.isUsable(now) && upstream.speed().hasEnoughSamples()) {
-                byHardware
+                outputMicrosByGroup
                         .computeIfAbsent(comparisonGroup(upstream), key -> new ArrayList<>())
                         .add(upstream.speed().outputMicros());
             }
         }
         Map<String, Double> medians = new HashMap<>();
-        byHardware.forEach((hardware, times) -> {
+        outputMicrosByGroup.forEach((group, times) -> {
             if (times.size() > 1) {
                 times.sort(Comparator.naturalOrder());
-                medians.put(hardware, times.get((times.size() - 1) / 2));
+                medians.put(group, times.get((times.size() - 1) / 2));
             }
         });
         for (UpstreamState upstream : upstreams.values()) {
             Double median = medians.get(comparisonGroup(upstream));
-            boolean evaluated =
+            boolean comparable =
                     median != null && upstream.isUsable(now) && upstream.speed().hasEnoughSamples();
-            if (evaluated && upstream.speed().outputMicros() > options.slowFactor() * median) {
+            if (comparable && upstream.speed().outputMicros() > options.slowFactor() * median) {
                 eject(upstream, PermitAction.EjectionCause.SLOW, now);
             }
         }
--- a/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
@@ -4,13 +4,19 @@
 import java.util.Map;
 
 /**
- * Learns how far the answers of each route and organisation stray from the lengths that were announced for them.
+ * Learns the ratio of actual to announced answer length for each route and organisation, and corrects announced lengths
+ * by it.
  */
 final class OutputLengthCorrection {
+    /** The weight of a new sample in the moving mean. */
     private static final double SMOOTHING = 0.1;
+
     private static final double MIN_FACTOR = 0.01;
     private static final double MAX_FACTOR = 100;
+
+    /** The number of pairs of route and organisation that are kept; the least recently used is dropped first. */
     private static final int MAX_KEYS = 20_000;
+
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -23,7 +29,7 @@
         }
     };
 
-    /** Returns the work of a request with the length of its answer corrected. */
+    /** Returns the size of a request with the corrected length of its answer. */
     Work correct(PermitRequest request) {
         double factor = factors.getOrDefault(keyOf(request), 1.0);
         Work work = request.work();
@@ -31,8 +37,8 @@
     }
 
     void learn(PermitRequest request, int announcedTokens, int outputTokens) {
-        double seen = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, outputTokens / (double) Math.max(1, announcedTokens)));
-        factors.merge(keyOf(request), seen, (known, fresh) -> known + SMOOTHING * (fresh - known));
+        double ratio = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, outputTokens / (double) Math.max(1, announcedTokens)));
+        factors.merge(keyOf(request), ratio, (mean, sample) -> mean + SMOOTHING * (sample - mean));
     }
 
     private static String keyOf(PermitRequest request) {
--- a/decision/src/main/java/org/radishspur/decision/permit/PermitAction.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PermitAction.java
@@ -4,12 +4,12 @@
 import org.radishspur.model.request.PermitId;
 
 /**
- * Tells the surroundings of a scheduler what it has decided.
+ * A decision of a {@link PoolScheduler} that its caller has to carry out.
  */
 public sealed interface PermitAction {
 
     /**
-     * Lets a request be dispatched to one upstream.
+     * Permits the dispatch of a request to one upstream.
      *
      * @param id the attempt.
      * @param upstream the name of the upstream.
@@ -17,10 +17,10 @@
     record Grant(PermitId id, String upstream) implements PermitAction {}
 
     /**
-     * Ends a request that has not been dispatched.
+     * Refuses a request that has not been dispatched.
      *
      * @param id the attempt.
-     * @param refusal the final answer.
+     * @param refusal the reason, and when to retry.
      */
     record Refuse(PermitId id, Refusal refusal) implements PermitAction {}
 
@@ -28,19 +28,19 @@
      * Reports that a request was in flight when an upstream crashed.
      *
      * @param fingerprint the digest of the request's content.
-     * @param crashId what tells this crash from others.
+     * @param crashId the identifier of the crash, the same for all requests that were in flight at it.
      */
     record Suspect(String fingerprint, String crashId) implements PermitAction {}
 
     /**
-     * Reports that a suspect ran to its end.
+     * Reports that a crash suspect was answered to the end, so that it is no suspect any more.
      *
      * @param fingerprint the digest of the request's content.
      */
     record Cleared(String fingerprint) implements PermitAction {}
 
     /**
-     * Reports that an upstream gets no work for a while.
+     * Reports that an upstream is ejected: it gets no requests for a while.
      *
      * @param upstream the name of the upstream.
      * @param cause why it was ejected.
@@ -48,14 +48,14 @@
     record Ejected(String upstream, EjectionCause cause) implements PermitAction {}
 
     /**
-     * Names why an upstream is ejected.
+     * The reason why an upstream is ejected.
      */
     enum EjectionCause {
         /** No connection to it could be made, several times in a row. */
         UNREACHABLE,
         /** It failed several times in a row. */
         FAILING,
-        /** It is much slower than its siblings. */
+        /** It is much slower than other upstreams of the same hardware and version. */
         SLOW
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/PermitOutcome.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PermitOutcome.java
@@ -1,22 +1,22 @@
 package org.radishspur.decision.permit;
 
 /**
- * Tells how a permit was used.
+ * The outcome of the attempt that a permit was granted for.
  *
  * @param ending how the attempt ended.
- * @param firstTokenMicros the time from dispatch to the first byte of the answer, or 0 where none came.
+ * @param firstTokenMicros the time from dispatch to the first byte of the answer, or 0 where none was received.
  * @param totalMicros the time from dispatch to the end.
  * @param outputTokens the number of tokens in the answer.
  */
 public record PermitOutcome(Ending ending, long firstTokenMicros, long totalMicros, int outputTokens) {
 
     /**
-     * Names the ways in which an attempt ends.
+     * The ways in which an attempt ends.
      */
     public enum Ending {
-        /** The upstream answered to the end. */
+        /** The upstream sent its whole answer. */
         ANSWERED,
-        /** The upstream answered, but with a failure of its own. */
+        /** The upstream answered with an error of its own. */
         FAILED,
         /** The upstream did not admit the request. */
         NOT_ADMITTED,
@@ -24,19 +24,19 @@
         DRAINING,
         /** No connection to the upstream could be made. */
         UNREACHABLE,
-        /** The connection broke while the request was in flight. */
+        /** The connection was lost while the request was in flight. */
         CONNECTION_LOST,
-        /** The upstream stayed silent for too long. */
+        /** The upstream sent nothing within the time allowed. */
         TIMED_OUT,
-        /** The caller went away, or the deadline passed, and the request was cancelled. */
+        /** The request was cancelled because the caller disconnected or the deadline passed. */
         CANCELLED,
         /** The permit was not used. */
         UNUSED;
 
         /**
-         * Returns whether the ending speaks against the health of the upstream.
+         * Returns whether the ending counts as a failure of the upstream in its health checks.
          *
-         * @return whether it counts as a failure of the upstream.
+         * @return whether it counts as a failure.
          */
         public boolean isFailure() {
             return this == FAILED || this == UNREACHABLE || this == CONNECTION_LOST || this == TIMED_OUT;
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Creates the outcome of an attempt that has no measures worth learning from.
+     * Creates the outcome of an attempt without times or token counts; these are set to 0.
      *
      * @param ending how the attempt ended.
      * @return the outcome.
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -21,17 +21,27 @@
 import org.radishspur.model.table.UpstreamRow;
 
 /**
- * Decides for one pool which waiting request runs next and where. Events and the clock go in, {@link PermitAction}s
- * come out of {@link #decide}. The owner's control thread calls it; all times are in microseconds.
+ * Decides for one pool which waiting request runs next and on which upstream. Callers report events with the current
+ * time; {@link #decide} returns the resulting {@link PermitAction}s. Instances are used by one thread, the control thread
+ * of the pool's owner. All times are in microseconds unless a name gives another unit.
  */
 public final class PoolScheduler {
     private static final double MICROS_PER_MILLI = 1_000;
+
+    /** How many organisations are considered for a grant, each with its next request. */
     private static final int MAX_CANDIDATES_PER_TIER = 8;
+
     private static final int MAX_FINISHED_ATTEMPTS = 20_000;
     private static final long MIN_RETRY_AFTER_MILLIS = 100;
     private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+
+    /** The interval at which slow upstreams are looked for and idle organisations removed. */
     private static final long HOUSEKEEPING_INTERVAL_MICROS = 100_000;
+
+    /** How often a request that is first in order may wait for requests with a larger cached share. */
     private static final int MAX_TIMES_PASSED_OVER = 8;
+
+    /** By how much the cached share of a prompt must be larger for its request to be preferred. */
     private static final double MIN_CACHED_SHARE_GAIN = 0.1;
 
     private final SchedulerOptions options;
@@ -40,8 +50,13 @@
     private final WaitingQueue queue = new WaitingQueue();
     private final Map<String, UpstreamState> upstreams = new LinkedHashMap<>();
     private Set<String> evacuated = Set.of();
+
+    /** The name of the upstream of each attempt in flight. */
     private final Map<PermitId, String> inFlight = new HashMap<>();
+
+    /** The answer length that each attempt announced, before its correction. */
     private final Map<PermitId, Integer> announcedOutputTokens = new HashMap<>();
+
     private final FinishedAttempts finishedAttempts = new FinishedAttempts(MAX_FINISHED_ATTEMPTS);
     private final CrashSuspects suspects;
     private final PoolSpeeds speeds = new PoolSpeeds();
@@ -60,7 +75,7 @@
      *
      * @param row the pool.
      * @param options the scheduling policy.
-     * @param owner a text that no other owner of the pool has had, for naming crashes.
+     * @param owner a text that no other owner of the pool has used, for the identifiers of crashes.
      */
     public PoolScheduler(PoolRow row, SchedulerOptions options, String owner) {
         this.options = options;
@@ -71,15 +86,16 @@
     }
 
     /**
-     * Takes over a changed row of the pool.
+     * Applies a changed row of the pool. An upstream that the row no longer names gets no new requests and is kept while
+     * it has requests in flight.
      *
      * @param changed the row.
      */
     public void configure(PoolRow changed) {
         row = changed;
-        Map<String, UpstreamRow> present = new HashMap<>();
+        Map<String, UpstreamRow> rowsByName = new HashMap<>();
         for (UpstreamRow upstream : changed.upstreams()) {
-            present.put(upstream.name(), upstream);
+            rowsByName.put(upstream.name(), upstream);
             UpstreamState state = upstreams.get(upstream.name());
             if (state == null) {
                 upstreams.put(upstream.name(), create(upstream));
@@ -88,34 +104,35 @@
             }
         }
         upstreams.values().stream()
-                .filter(state -> !present.containsKey(state.name()))
+                .filter(state -> !rowsByName.containsKey(state.name()))
                 .forEach(UpstreamState::remove);
         upstreams
                 .values()
-                .removeIf(state ->
-                        !present.containsKey(state.name()) && state.inFlight().isEmpty());
+                .removeIf(state -> !rowsByName.containsKey(state.name())
+                        && state.inFlight().isEmpty());
         speeds.expire();
     }
 
     /**
-     * Grants nothing until a time, so that entries can first register what they have in flight from an earlier owner.
+     * Grants no permit until a time, so that entries can first register the permits that an earlier owner granted them.
      *
-     * @param until the clock in microseconds.
+     * @param until the time in microseconds.
      */
     public void holdUntil(long until) {
         grantsPausedUntil = until;
     }
 
     /**
-     * Takes a request for a permit; one that is known already changes nothing, except that a lost grant is repeated.
+     * Queues or refuses a request for a permit. A repeated request changes nothing, but if it is in flight, its grant is
+     * sent again.
      *
      * @param request the request.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void arrive(PermitRequest request, long now) {
-        String dispatched = inFlight.get(request.id());
-        if (dispatched != null) {
-            actions.add(new PermitAction.Grant(request.id(), dispatched));
+        String grantedUpstream = inFlight.get(request.id());
+        if (grantedUpstream != null) {
+            actions.add(new PermitAction.Grant(request.id(), grantedUpstream));
             return;
         }
         if (queue.contains(request.id()) || finishedAttempts.contains(request.id())) {
@@ -127,7 +144,7 @@
                     request.id(),
                     Refusal.notRun(
                             RefusalReason.CRASH_SUSPECT,
-                            "The request was in flight at repeated crashes.",
+                            "The request was in flight at several upstream crashes.",
                             MAX_RETRY_AFTER_MILLIS));
             return;
         }
@@ -145,10 +162,10 @@
     }
 
     /**
-     * Withdraws a request, whether it waits or is in flight.
+     * Cancels a request that waits or is in flight.
      *
      * @param id the attempt.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void cancel(PermitId id, long now) {
         if (queue.remove(id) != null) {
@@ -159,10 +176,10 @@
     }
 
     /**
-     * Notes that the first token of an answer has come.
+     * Records that the first token of an answer was received.
      *
      * @param id the attempt.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void firstToken(PermitId id, long now) {
         String upstream = inFlight.get(id);
@@ -172,11 +189,11 @@
     }
 
     /**
-     * Takes a permit back.
+     * Releases a permit and learns from its outcome.
      *
      * @param id the attempt; one that is not in flight changes nothing.
      * @param outcome how the permit was used.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void finish(PermitId id, PermitOutcome outcome, long now) {
         String name = inFlight.remove(id);
@@ -210,11 +227,11 @@
     }
 
     /**
-     * Learns of permits that an earlier owner granted and that are still in use.
+     * Registers a permit that an earlier owner granted and that is still in use.
      *
      * @param request the request in flight.
      * @param upstream the upstream that runs it.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void register(PermitRequest request, String upstream, long now) {
         UpstreamState state = upstreams.get(upstream);
@@ -227,13 +244,15 @@
     }
 
     /**
-     * Takes back permits that their entry process doesn't know of, because a message got lost.
+     * Releases the permits and removes the waiting requests of an entry process that the process itself doesn't list. Such
+     * a difference arises when a message is lost.
      *
      * @param node the entry node.
-     * @param incarnation which run of its process lists its permits.
-     * @param known every attempt that the process has going on.
-     * @param graceMicros how long a permit may be on its way.
-     * @param now the clock in microseconds.
+     * @param incarnation the incarnation of its process that sent the list.
+     * @param known all attempts that the process has waiting or in flight.
+     * @param graceMicros the time after its grant in which a permit is kept although it is not listed, since the grant may
+     *     not have been received yet.
+     * @param now the current time in microseconds.
      */
     public void reconcile(String node, long incarnation, Set<PermitId> known, long graceMicros, long now) {
         List<PermitId> leaked = inFlight.keySet().stream()
@@ -251,27 +270,27 @@
     }
 
     /**
-     * Lets everything of an entry process lapse, since it is gone.
+     * Drops all waiting requests and permits of an entry process that has been lost.
      *
      * @param node the entry node.
-     * @param incarnation which run of its process is gone.
+     * @param incarnation the incarnation of its process that has been lost.
      */
     public void entryLost(String node, long incarnation) {
         queue.idsOfEntry(node, incarnation).forEach(id -> {
             queue.remove(id);
             markFinished(id);
         });
-        List<PermitId> lapsed = inFlight.keySet().stream()
+        List<PermitId> attempts = inFlight.keySet().stream()
                 .filter(id -> id.node().equals(node) && id.incarnation() == incarnation)
                 .toList();
-        for (PermitId id : lapsed) {
+        for (PermitId id : attempts) {
             upstreams.get(inFlight.remove(id)).end(id);
             markFinished(id);
         }
     }
 
     /**
-     * Notes that an upstream is leaving, by its own word, by the host list or by a refusal.
+     * Records that an upstream is leaving, as reported by itself, by the host list or by a refusal.
      *
      * @param upstream the name of the upstream.
      */
@@ -284,10 +303,10 @@
     }
 
     /**
-     * Notes that an upstream was seen alive.
+     * Records that an upstream was seen alive.
      *
      * @param upstream the name of the upstream.
-     * @param incarnation which run of its process was seen.
+     * @param incarnation the incarnation of its process that was seen.
      */
     public void seen(String upstream, long incarnation) {
         UpstreamState state = upstreams.get(upstream);
@@ -298,12 +317,12 @@
     }
 
     /**
-     * Takes an upstream's report of its load, which lags.
+     * Applies an upstream's report of its load, which is stale by the time that it took to arrive.
      *
      * @param upstream the name of the upstream.
-     * @param running the number of requests that it says it runs.
-     * @param waiting the number of requests that it says wait inside it.
-     * @param now the clock in microseconds.
+     * @param running the number of requests that it reports as running.
+     * @param waiting the number of requests that it reports as waiting in its own queue.
+     * @param now the current time in microseconds.
      */
     public void loadReported(String upstream, int running, int waiting, long now) {
         UpstreamState state = upstreams.get(upstream);
@@ -313,12 +332,12 @@
     }
 
     /**
-     * Takes an engine's report of changes in its cache.
+     * Applies an engine's report of changes in its cache.
      *
      * @param upstream the name of the upstream.
-     * @param number the number of the report.
-     * @param added the blocks that the engine has taken in.
-     * @param removed the blocks that the engine has dropped.
+     * @param number the sequence number of the report.
+     * @param added the blocks that the engine has added to its cache.
+     * @param removed the blocks that the engine has evicted.
      */
     public void cacheChanged(String upstream, long number, List<Long> added, List<Long> removed) {
         UpstreamState state = upstreams.get(upstream);
@@ -328,7 +347,7 @@
     }
 
     /**
-     * Sets the failure domains whose upstreams get no new request. What runs there goes on.
+     * Sets the failure domains whose upstreams get no new requests. Requests in flight there continue.
      *
      * @param failureDomains the evacuated failure domains.
      */
@@ -338,7 +357,8 @@
     }
 
     /**
-     * Takes over the crash suspects that all owners agree on.
+     * Replaces the crash suspects that all owners agree on, and refuses the waiting requests among them that have been in
+     * flight at too many crashes.
      *
      * @param crashes the number of crashes by fingerprint.
      */
@@ -351,33 +371,34 @@
                         waiting.request.id(),
                         Refusal.notRun(
                                 RefusalReason.CRASH_SUSPECT,
-                                "The request was in flight at repeated crashes.",
+                                "The request was in flight at several upstream crashes.",
                                 MAX_RETRY_AFTER_MILLIS));
             }
         }
     }
 
     /**
-     * Takes over which versions serve each route.
+     * Replaces the versions that serve each route.
      *
-     * @param splits the splits by route; a route that is left out uses any version.
+     * @param splits the splits by route; a route without a split uses any version.
      */
     public void versions(Map<String, VersionSplit> splits) {
         versions.replaceSplits(splits);
     }
 
     /**
-     * Returns what the new version of a move has shown here.
+     * Returns what this scheduler has observed of the new version during a move.
      *
      * @param route the route.
-     * @return the watch, empty as long as the new version has answered nothing.
+     * @return the watch, without observations as long as the new version has answered no request.
      */
     public VersionWatch watch(String route) {
         return versions.watch(route);
     }
 
     /**
-     * Gives the new version of a route nothing more under its present move, without waiting for anybody's agreement.
+     * Stops granting requests of a route to the new version of its present move. This takes effect before the other owners
+     * agree.
      *
      * @param route the route.
      */
@@ -386,9 +407,10 @@
     }
 
     /**
-     * Gives up what can't be finished in time, grants what can be granted, and returns all that was decided.
+     * Refuses the requests that can no longer meet their deadlines, grants permits for free slots and returns all
+     * decisions.
      *
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      * @return the decisions since the last call.
      */
     public List<PermitAction> decide(long now) {
@@ -410,9 +432,9 @@
     }
 
     /**
-     * Returns when {@link #decide} has something to do although no event comes.
+     * Returns when {@link #decide} has to be called at the latest, even without a new event.
      *
-     * @return the clock in microseconds.
+     * @return the time in microseconds.
      */
     public long nextWakeAt() {
         return Math.min(queue.nextExpiry(), nextHousekeepingAt);
@@ -455,9 +477,7 @@
     private void admit(PermitRequest request, long now) {
         double service = shortestServiceMicros(request.work(), now);
         if (service == Double.MAX_VALUE) {
-            refuse(
-                    request.id(),
-                    Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool has no upstream to give work to.", 1_000));
+            refuse(request.id(), Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool has no usable upstream.", 1_000));
             return;
         }
         double cost = costOf(request.work().promptTokens(), request.work().outputTokens());
@@ -475,21 +495,21 @@
         }
     }
 
-    /** Sheds one request of the lowest tier that waits, which may be the one that has just come. */
+    /** Sheds one request of the least urgent tier that has any, which may be the one just added. */
     private void shedOne() {
-        WaitingRequest victim = queue.nextToShed();
-        queue.remove(victim.request.id());
+        WaitingRequest rejected = queue.nextToShed();
+        queue.remove(rejected.request.id());
         refuse(
-                victim.request.id(),
+                rejected.request.id(),
                 Refusal.notRun(
                         RefusalReason.OVERLOADED,
                         "The queue of the pool is full.",
-                        retryAfterMillis(victim.request.tier())));
+                        retryAfterMillis(rejected.request.tier())));
     }
 
     private void refuseForDeadline(PermitRequest request, long now) {
-        String detail = "The request can't be finished within the "
-                + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms that it has left.";
+        String detail = "The request can't be finished within the remaining "
+                + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms.";
         refuse(
                 request.id(),
                 Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryAfterMillis(request.tier())));
@@ -529,53 +549,53 @@
             int reserved = slotReserve.reservedSlots(tier, capacity, options.maxReservedShare(), inFlight.size(), now);
             boolean granted = true;
             while (granted && queue.tier(tier).size() > 0) {
-                List<UpstreamState> open = withUnreservedSlots(reserved, usable, now);
-                granted = !open.isEmpty() && grantOne(tier, open, now);
+                List<UpstreamState> available = withUnreservedSlots(reserved, usable, now);
+                granted = !available.isEmpty() && grantOne(tier, available, now);
             }
         }
     }
 
     /**
-     * Lists the upstreams that have slots beyond the reserved ones. The fastest free slots are the reserved ones, since
-     * the most urgent requests may have no time for a slow upstream.
+     * Returns the upstreams that have free slots besides the reserved ones. The free slots of the fastest upstreams are
+     * reserved, since the most urgent requests may be unable to meet their deadlines on a slow one.
      */
     private static List<UpstreamState> withUnreservedSlots(int reserved, List<UpstreamState> fastestFirst, long now) {
-        List<UpstreamState> open = new ArrayList<>();
-        int left = reserved;
+        List<UpstreamState> available = new ArrayList<>();
+        int remainingReserve = reserved;
         for (UpstreamState upstream : fastestFirst) {
             int slots = upstream.freeSlots(now);
-            if (slots > left) {
-                open.add(upstream);
+            if (slots > remainingReserve) {
+                available.add(upstream);
             }
-            left = Math.max(0, left - slots);
+            remainingReserve = Math.max(0, remainingReserve - slots);
         }
-        return open;
+        return available;
     }
 
     /**
-     * Grants one request of a tier that fits an open upstream; returns whether there was one.
+     * Grants one request of a tier for which one of the available upstreams is selected; returns whether there was one.
      *
-     * <p>Usually that is the first one. Another organisation's next request may go before it if the upstream holds more
-     * of its prompt, but nobody is passed over more than {@link #MAX_TIMES_PASSED_OVER} times in a row.
+     * <p>This is usually the first such request in order. The next request of another organisation is granted before it if
+     * a larger share of its prompt is cached, but no request is passed over more than {@link #MAX_TIMES_PASSED_OVER} times.
      */
-    private boolean grantOne(Tier tier, List<UpstreamState> open, long now) {
+    private boolean grantOne(Tier tier, List<UpstreamState> available, long now) {
         Iterator<WaitingRequest> heads = queue.tier(tier).heads();
         WaitingRequest first = null;
         WaitingRequest best = null;
         UpstreamState bestUpstream = null;
-        double bestHeld = -1;
+        double bestCached = -1;
         for (int tried = 0; tried < MAX_CANDIDATES_PER_TIER && heads.hasNext(); tried++) {
             WaitingRequest candidate = heads.next();
-            UpstreamState upstream = selector.choose(candidate.request, open, now);
+            UpstreamState upstream = selector.choose(candidate.request, available, now);
             if (upstream == null) {
                 continue;
             }
             first = first == null ? candidate : first;
-            double held = upstream.cachedShare(candidate.request.work());
-            if (held > bestHeld + MIN_CACHED_SHARE_GAIN) {
+            double cached = upstream.cachedShare(candidate.request.work());
+            if (cached > bestCached + MIN_CACHED_SHARE_GAIN) {
                 best = candidate;
                 bestUpstream = upstream;
-                bestHeld = held;
+                bestCached = cached;
             }
             if (!options.reusesPrefixes() || first.timesPassedOver >= MAX_TIMES_PASSED_OVER) {
                 break;
@@ -594,14 +614,14 @@
     private void grant(WaitingRequest waiting, UpstreamState upstream, long now) {
         queue.removeGranted(waiting);
         PermitRequest request = waiting.request;
-        boolean apart = suspects.isSuspect(request.fingerprint());
-        if (apart) {
+        boolean exclusive = suspects.isSuspect(request.fingerprint());
+        if (exclusive) {
             suspects.started(request.id());
         }
         inFlight.put(request.id(), upstream.name());
         versions.granted(request.route(), upstream.row().version());
         speeds.granted(upstream.cachedShare(request.work()));
-        upstream.start(request, apart, now);
+        upstream.start(request, exclusive, now);
         actions.add(new PermitAction.Grant(request.id(), upstream.name()));
     }
 
@@ -617,9 +637,9 @@
             }
             case DRAINING -> leaving(upstream.name());
             case CONNECTION_LOST -> {
-                String crash = suspects.crashIdFor(upstream.name(), now);
-                suspects.recordCrash(request.fingerprint(), crash);
-                actions.add(new PermitAction.Suspect(request.fingerprint(), crash));
+                String crashId = suspects.crashIdFor(upstream.name(), now);
+                suspects.recordCrash(request.fingerprint(), crashId);
+                actions.add(new PermitAction.Suspect(request.fingerprint(), crashId));
             }
             default -> {}
         }
@@ -633,15 +653,15 @@
     }
 
     /**
-     * Returns how long the request takes at best. An upstream of which little is known counts as able to do anything:
-     * refusing on a guess would keep it from ever being measured.
+     * Returns the shortest time that an upstream of the pool takes for a request. It is 0 as long as the speed of any
+     * upstream is unknown: a refusal based on a guess would keep that upstream from ever being measured.
      */
     private double shortestServiceMicros(Work work, long now) {
         speeds.refreshIfStale(upstreams.values(), now);
         return speeds.shortestServiceMicros(work, now);
     }
 
-    /** Returns how long a new request of a tier would wait, or 0 as long as too little is known to say. */
+    /** Returns the expected wait of a new request of a tier, or 0 as long as no upstream has been measured. */
     private double expectedWaitMicros(Tier tier) {
         return speeds.isAnyMeasured() ? queue.costAhead(tier) * costCorrection.factor() / speeds.serviceRate() : 0;
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -9,12 +9,16 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Sums up the speeds of a pool's upstreams. The sums are made anew at most every few milliseconds, so that a decision
- * doesn't look at every upstream again and again.
+ * Caches aggregates over the speeds of a pool's upstreams, so that not every decision iterates over all upstreams.
  */
 final class PoolSpeeds {
+    /** The age from which the aggregates are computed again. */
     private static final long MAX_AGE_MICROS = 20_000;
+
+    /** The number of upstreams that are compared for the shortest service time, those with the fastest output first. */
     private static final int FASTEST_COMPARED = 4;
+
+    /** The weight of a new sample in the moving mean. */
     private static final double SMOOTHING = 0.02;
 
     private List<UpstreamState> fastestFirst = List.of();
@@ -26,7 +30,7 @@
     private boolean anyUnmeasured;
     private long refreshedAt = Long.MIN_VALUE / 2;
 
-    /** Makes the sums anew with the next use. */
+    /** Has the aggregates computed again at the next use. */
     void expire() {
         refreshedAt = Long.MIN_VALUE / 2;
     }
@@ -60,33 +64,34 @@
         fastestFirst = members;
     }
 
-    /** Learns how much of a prompt the chosen upstream held. */
-    void granted(double heldShare) {
-        meanCachedShare += SMOOTHING * (heldShare - meanCachedShare);
+    /** Learns which share of its prompt a granted request found in the cache of its upstream. */
+    void granted(double cachedShare) {
+        meanCachedShare += SMOOTHING * (cachedShare - meanCachedShare);
     }
 
     List<UpstreamState> fastestFirst() {
         return fastestFirst;
     }
 
-    /** Returns whether at least one upstream has been measured. */
+    /** Returns whether the speed of at least one upstream is known from enough requests. */
     boolean isAnyMeasured() {
         return anyMeasured;
     }
 
-    /** Returns how much cost the pool works off in a microsecond when all slots are full. */
+    /** Returns how much cost the pool completes in a microsecond while all slots are in use, at least 1. */
     double serviceRate() {
         return serviceRate;
     }
 
-    /** Returns the cost of a request: the time that an average upstream would take, in microseconds. */
+    /** Returns the cost of a request: the time that an upstream of average speed takes for it, in microseconds. */
     double costOf(int promptTokens, int outputTokens) {
         return Math.max(1, SpeedEstimate.micros(promptTokens, meanPrefillMicros, outputTokens, meanOutputMicros));
     }
 
     /**
-     * Returns how long a request takes at best, if as much of its prompt is held as usual: 0 as long as an upstream has
-     * not been measured, and the greatest number where there is no upstream.
+     * Returns the shortest time in microseconds that one of the fastest upstreams takes for a request, if the usual share
+     * of its prompt is cached. Returns 0 as long as the speed of any upstream is unknown, and {@link Double#MAX_VALUE}
+     * where there is no upstream.
      */
     double shortestServiceMicros(Work work, long now) {
         if (fastestFirst.isEmpty()) {
--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -1,18 +1,18 @@
 package org.radishspur.decision.permit;
 
 /**
- * Holds the constants of the scheduling policy; times are in microseconds.
+ * The parameters of the scheduling policy. Times are in microseconds.
  *
- * @param reusesPrefixes whether the choice of an upstream counts what its cache holds.
- * @param initialLimit the number of requests that an upstream of unknown strength may run at once.
- * @param deadlineMargin the factor by which an estimate is stretched before it is held against a deadline.
+ * @param reusesPrefixes whether the choice of an upstream considers which prompt prefixes are in its cache.
+ * @param initialLimit the number of requests that an upstream may run at once before its speed has been measured.
+ * @param deadlineMargin the factor by which an estimated time is multiplied before it is compared with a deadline.
  * @param maxReservedShare the greatest share of the slots that is kept free for more urgent tiers.
- * @param slowFactor how many times slower than its siblings an upstream must be to be ejected.
+ * @param slowFactor how many times slower than the median of comparable upstreams an upstream is ejected.
  * @param failuresToEject how many failures in a row eject an upstream.
- * @param firstEjectionMicros how long the first ejection lasts; each further one in a row lasts twice as long.
- * @param maxEjectionMicros how long an ejection lasts at most.
+ * @param firstEjectionMicros how long the first ejection lasts; each further one in a row is twice as long.
+ * @param maxEjectionMicros the longest time that an ejection lasts.
  * @param maxEjectedShare the greatest share of a pool that may be ejected at once.
- * @param cacheBlocks how many blocks each upstream's cache is taken to hold.
+ * @param cacheBlocks the number of prompt blocks that the cache of each upstream is assumed to hold.
  */
 public record SchedulerOptions(
         boolean reusesPrefixes,
@@ -25,14 +25,14 @@
         long maxEjectionMicros,
         double maxEjectedShare,
         int cacheBlocks) {
-    /** The policy as it was settled by the experiments in docs/DESIGN.md. */
+    /** The default policy; docs/DESIGN.md describes the experiments that its values come from. */
     public static final SchedulerOptions STANDARD =
             new SchedulerOptions(true, 8, 1.1, 0.25, 4.0, 3, 1_000_000, 30_000_000, 0.34, 8_192);
 
     /**
      * Returns this policy with or without the reuse of prefixes.
      *
-     * @param reuses whether prefixes count.
+     * @param reuses whether the choice of an upstream considers cached prefixes.
      * @return the changed policy.
      */
     public SchedulerOptions withPrefixes(boolean reuses) {
--- a/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
@@ -3,13 +3,19 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Works out how many slots to keep free for more urgent tiers. Dispatched work is not interrupted, so a slot that a bulk
- * request has just taken is lost to an urgent one that comes a moment later.
+ * Computes how many slots to keep free for more urgent tiers. A dispatched request is not preempted, so a slot that a
+ * bulk request has just taken is not available to an urgent request that arrives a moment later.
  */
 final class SlotReserve {
+    /** The weight of a new sample in the moving means. */
     private static final double SMOOTHING = 0.05;
+
+    /** How many slots are reserved for each arrival that is expected. */
     private static final double ARRIVAL_MARGIN = 2;
+
+    /** Added before rounding down, so that a fraction of at least 0.05 slots is rounded up. */
     private static final double ROUNDING_OFFSET = 0.95;
+
     private static final double MICROS_PER_SECOND = 1_000_000;
 
     private final double[] meanArrivalGapMicros = new double[Tier.values().length];
@@ -35,18 +41,20 @@
         lastReleaseMicros = now;
     }
 
-    /** Returns the number of free slots that a tier must leave: as many as more urgent requests come before the next
-     * slot is released, within a bound. */
-    int reservedSlots(Tier tier, int capacity, double greatestShare, int inUse, long now) {
+    /**
+     * Returns the number of free slots that a tier must not use. It grows with the number of more urgent requests that
+     * are expected before the next slot is released, up to a share of the capacity, and is 0 while the pool is idle.
+     */
+    int reservedSlots(Tier tier, int capacity, double maxShare, int inUse, long now) {
         if (inUse == 0) {
             return 0;
         }
-        double expected = 0;
+        double expectedArrivals = 0;
         for (int index = 0; index < tier.ordinal(); index++) {
             double gap = Math.max(meanArrivalGapMicros[index], (now - lastArrivalMicros[index]) / 2.0);
-            expected += meanReleaseGapMicros / Math.max(1, gap);
+            expectedArrivals += meanReleaseGapMicros / Math.max(1, gap);
         }
-        return (int)
-                Math.min(Math.floor(ARRIVAL_MARGIN * expected + ROUNDING_OFFSET), Math.floor(capacity * greatestShare));
+        return (int) Math.min(
+                Math.floor(ARRIVAL_MARGIN * expectedArrivals + ROUNDING_OFFSET), Math.floor(capacity * maxShare));
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * Holds the waiting requests of one tier: start-time fair queueing between organisations (Goyal, Vin and Cheng 1996),
- * and the earliest deadline first within one.
+ * The queue of one tier. Shares the upstreams between organisations by start-time fair queueing (Goyal, Vin and Cheng
+ * 1996) and orders the requests of one organisation by the earliest deadline.
  */
 final class TierQueue {
     private final Map<String, Organisation> organisations = new HashMap<>();
@@ -50,7 +50,7 @@
         addToOrders(organisation);
     }
 
-    /** Takes a request out because it is granted, and charges its organisation. */
+    /** Removes a request that is granted, and charges its estimated cost to its organisation. */
     void removeGranted(WaitingRequest waiting) {
         Organisation organisation = organisations.get(waiting.request.organisation());
         virtualClock = Math.max(virtualClock, organisation.virtualTime);
@@ -58,7 +58,10 @@
         charge(organisation.name, waiting.cost);
     }
 
-    /** Corrects what an organisation was charged, once the true cost is known. */
+    /**
+     * Charges a cost to an organisation. Once the actual cost of a request is known, the difference to its estimated cost
+     * is charged, which may be negative.
+     */
     void charge(String name, double cost) {
         Organisation organisation = organisations.get(name);
         if (organisation != null) {
@@ -68,12 +71,12 @@
         }
     }
 
-    /** Forgets organisations that wait for nothing and that the virtual clock has passed. */
+    /** Removes the organisations that have no waiting request and whose virtual time the virtual clock has reached. */
     void removeIdleOrganisations() {
         organisations.values().removeIf(idle -> idle.requests.isEmpty() && idle.virtualTime <= virtualClock);
     }
 
-    /** Returns the next request of each organisation, the least served organisation first. */
+    /** Returns the next request of each organisation, the organisation with the least virtual time first. */
     Iterator<WaitingRequest> heads() {
         Iterator<Organisation> order = byVirtualTime.iterator();
         return new Iterator<>() {
@@ -89,7 +92,7 @@
         };
     }
 
-    /** Returns the request that is shed first: the latest deadline of the organisation that has most waiting. */
+    /** Returns the request to shed next: the one with the latest deadline of the organisation with the most queued cost. */
     WaitingRequest nextToShed() {
         return byQueuedCost.last().requests.last();
     }
@@ -109,7 +112,7 @@
     }
 
     /**
-     * Holds the waiting requests of one organisation.
+     * The waiting requests of one organisation.
      */
     private static final class Organisation {
         private final String name;
--- a/decision/src/main/java/org/radishspur/decision/permit/UpstreamSelector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/UpstreamSelector.java
@@ -6,10 +6,13 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Chooses the upstream that is expected to finish a request first, among those that may run it.
+ * Selects the upstream that is expected to finish a request first, among those that may run it.
  */
 final class UpstreamSelector {
+    /** The factor on the expected time of a request within which its deadline counts as at risk. */
     private static final double LATENESS_MARGIN = 1.3;
+
+    /** From how many times the shortest service time of the pool on an upstream counts as much slower. */
     private static final double MUCH_SLOWER_FACTOR = 1.4;
 
     private final CrashSuspects suspects;
@@ -22,29 +25,29 @@
         this.speeds = speeds;
     }
 
-    /** Returns the chosen upstream, or null where the request had better wait. */
-    UpstreamState choose(PermitRequest request, List<UpstreamState> open, long now) {
+    /** Returns the selected upstream, or null where waiting is better for the request. */
+    UpstreamState choose(PermitRequest request, List<UpstreamState> available, long now) {
         if (versions.isNewVersionDue(request.route())) {
-            List<UpstreamState> fresh = new ArrayList<>(open);
-            fresh.removeIf(upstream ->
+            List<UpstreamState> newVersion = new ArrayList<>(available);
+            newVersion.removeIf(upstream ->
                     !versions.isNewVersion(request.route(), upstream.row().version()));
-            UpstreamState chosen = chooseAmong(request, fresh, now);
+            UpstreamState chosen = chooseAmong(request, newVersion, now);
             if (chosen != null) {
                 return chosen;
             }
         }
-        return chooseAmong(request, open, now);
+        return chooseAmong(request, available, now);
     }
 
-    private UpstreamState chooseAmong(PermitRequest request, List<UpstreamState> open, long now) {
-        boolean apart = suspects.isSuspect(request.fingerprint());
-        if (apart && suspects.isAnyRunning()) {
+    private UpstreamState chooseAmong(PermitRequest request, List<UpstreamState> available, long now) {
+        boolean exclusive = suspects.isSuspect(request.fingerprint());
+        if (exclusive && suspects.isAnyRunning()) {
             return null;
         }
         UpstreamState best = null;
         double bestMicros = Double.MAX_VALUE;
-        for (UpstreamState upstream : open) {
-            boolean fits = (!apart || upstream.inFlight().isEmpty())
+        for (UpstreamState upstream : available) {
+            boolean fits = (!exclusive || upstream.inFlight().isEmpty())
                     && versions.allows(request.route(), upstream.row().version());
             double micros = fits ? upstream.selectionMicros(request.work(), now) : Double.MAX_VALUE;
             if (micros < bestMicros) {
@@ -56,16 +59,17 @@
     }
 
     /**
-     * Returns whether a request had better take an upstream than wait for another one. It doesn't take one that would be
-     * late, nor one on which it may well be late while much faster ones only happen to be busy.
+     * Returns whether running a request on an upstream now is better than waiting for another upstream. Waiting is better
+     * if the upstream is expected to miss the deadline, or if it puts the deadline at risk and the pool has much faster
+     * upstreams that are busy at the moment. An upstream whose speed is unknown is always used.
      */
     private boolean isBetterThanWaiting(PermitRequest request, UpstreamState upstream, long now) {
         if (!upstream.speed().hasEnoughSamples()) {
             return true;
         }
         double expected = upstream.expectedMicros(request.work());
-        boolean risky = now + LATENESS_MARGIN * expected > request.deadlineAt();
+        boolean atRisk = now + LATENESS_MARGIN * expected > request.deadlineAt();
         boolean muchSlower = expected > MUCH_SLOWER_FACTOR * speeds.shortestServiceMicros(request.work(), now);
-        return now + expected <= request.deadlineAt() && !(risky && muchSlower);
+        return now + expected <= request.deadlineAt() && !(atRisk && muchSlower);
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -10,10 +10,13 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Keeps the routes of one pool to the versions that they may use, and watches the new ones.
+ * Restricts the routes of one pool to the versions that they may use, and passes the outcomes of attempts during the move
+ * to a new version to its watch.
  */
 final class VersionRouting {
+    /** The bound on the logarithm of the ratio of actual to reference time. */
     private static final double MAX_LOG_SLOWNESS = 12;
+
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final Map<String, SplitCounter> counters = new HashMap<>();
@@ -55,7 +58,7 @@
                 || split.allows(version, false) && counter.mayUseOld();
     }
 
-    /** Returns whether the next request of a route is to go to the new version if that has a free slot. */
+    /** Returns whether the next request of a route has to go to the new version if an upstream of it has a free slot. */
     boolean isNewVersionDue(String route) {
         SplitCounter counter = counters.get(route);
         return counter != null && counter.split().moveId() > 0 && counter.isNewDue();
@@ -74,16 +77,16 @@
     }
 
     /**
-     * Shows the watch of a route how an attempt ended; endings that say nothing about the upstream are left out.
+     * Passes the outcome of an attempt to the watch of its route, unless the outcome says nothing about the upstream.
      *
-     * <p>Guards against a good version taken back as slower: times are compared with a yardstick that never changes. Held
-     * against learnt speeds, the old version's times seem to drift while the pool learns how fast the new one is.
+     * <p>Times are compared with a reference that never changes. Compared with learnt speeds, the times of the old version
+     * would seem to drift while the pool learns the speed of the new one, and a good version would be taken back as slower.
      */
     void ended(String route, UpstreamState upstream, PermitOutcome outcome, int promptTokens, long now) {
         SplitCounter counter = counters.get(route);
-        boolean telling = outcome.ending() == PermitOutcome.Ending.ANSWERED
+        boolean relevant = outcome.ending() == PermitOutcome.Ending.ANSWERED
                 || outcome.ending().isFailure() && outcome.ending() != PermitOutcome.Ending.UNREACHABLE;
-        if (counter == null || counter.split().moveId() == 0 || !telling) {
+        if (counter == null || counter.split().moveId() == 0 || !relevant) {
             return;
         }
         boolean failed = outcome.ending().isFailure();
--- a/decision/src/main/java/org/radishspur/decision/permit/WaitingQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/WaitingQueue.java
@@ -10,7 +10,7 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Holds all waiting requests of a pool, by tier.
+ * The waiting requests of a pool, by tier.
  */
 final class WaitingQueue {
     private final TierQueue[] tiers = new TierQueue[Tier.values().length];
@@ -41,7 +41,7 @@
         tier(waiting.request.tier()).add(waiting, weight);
     }
 
-    /** Removes a request and returns it, or null where it isn't waiting. */
+    /** Removes a request and returns it; returns null where it isn't waiting. */
     WaitingRequest remove(PermitId id) {
         WaitingRequest waiting = byId.remove(id);
         if (waiting != null) {
@@ -57,17 +57,17 @@
         tier(waiting.request.tier()).removeGranted(waiting);
     }
 
-    /** Returns the request of the lowest tier that deserves its place least. */
+    /** Returns the request to shed next, which is of the least urgent tier that has any. */
     WaitingRequest nextToShed() {
         for (int tier = tiers.length - 1; tier >= 0; tier--) {
             if (tiers[tier].size() > 0) {
                 return tiers[tier].nextToShed();
             }
         }
-        throw new IllegalStateException("nothing waits");
+        throw new IllegalStateException("the queue is empty");
     }
 
-    /** Removes and returns the requests that can't be finished in time any more. */
+    /** Removes and returns the requests that can no longer be finished before their deadlines. */
     List<WaitingRequest> expire(long now) {
         List<WaitingRequest> expired = new ArrayList<>();
         while (!byLatestStart.isEmpty() && byLatestStart.first().latestStart < now) {
@@ -76,12 +76,12 @@
         return expired;
     }
 
-    /** Returns when the next request can't be finished in time any more. */
+    /** Returns when the next request expires, in microseconds; {@link Long#MAX_VALUE} where none waits. */
     long nextExpiry() {
         return byLatestStart.isEmpty() ? Long.MAX_VALUE : byLatestStart.first().latestStart + 1;
     }
 
-    /** Returns the cost of everything that goes before a new request of a tier. */
+    /** Returns the total cost of the requests in this and the more urgent tiers, which a new request waits for. */
     double costAhead(Tier tier) {
         double cost = 0;
         for (int ahead = 0; ahead <= tier.ordinal(); ahead++) {
--- a/decision/src/main/java/org/radishspur/decision/permit/WaitingRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/WaitingRequest.java
@@ -1,7 +1,7 @@
 package org.radishspur.decision.permit;
 
 /**
- * Holds one request in the queue.
+ * A request in the queue.
  */
 final class WaitingRequest {
     final PermitRequest request;
@@ -9,7 +9,7 @@
     final double cost;
     final long latestStart;
 
-    /** How often another organisation's request has gone before this one although this one was first. */
+    /** How often a request of another organisation was granted although this one was first in order. */
     int timesPassedOver;
 
     WaitingRequest(PermitRequest request, long sequence, double cost, long latestStart) {
--- a/decision/src/main/java/org/radishspur/decision/permit/package-info.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Orders the requests that wait for one pool and grants them permits for its upstreams.
+ * The scheduler of a pool: orders the waiting requests and grants them permits for the upstreams.
  */
 package org.radishspur.decision.permit;
--- a/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
@@ -1,16 +1,22 @@
 package org.radishspur.decision.upstream;
 
 /**
- * Bounds how many requests one upstream runs at once. The bound shrinks by a share at each sign of congestion, and grows
- * quickly again up to where congestion last showed, slowly from there on.
+ * An adaptive limit on the number of requests that one upstream runs at once. The limit is multiplied by a factor below 1
+ * when the upstream is congested. It grows fast up to near the value at which congestion last occurred, and slowly above.
  *
- * <p>Guards against swinging to and fro: a sign from a request that was started before the bound last shrank says
- * nothing about the present bound, and is ignored.
+ * <p>Requests that were dispatched before the last decrease are ignored: they ran under the previous limit and would make
+ * the limit oscillate.
  */
 public final class ConcurrencyLimit {
     private static final double DECREASE_FACTOR = 0.85;
+
+    /** The fast increase, at each measurement without congestion while the limit is reached. */
     private static final double FAST_INCREASE = 0.6;
+
+    /** The slow increase, which is divided by the limit. */
     private static final double SLOW_INCREASE = 3;
+
+    /** The share of the last congested limit up to which the limit grows fast. */
     private static final double FAST_INCREASE_SHARE = 0.95;
 
     private final int ceiling;
@@ -21,8 +27,8 @@
     /**
      * Creates a limit.
      *
-     * @param initial the first bound.
-     * @param ceiling the bound that is never exceeded.
+     * @param initial the initial limit.
+     * @param ceiling the greatest value that the limit may reach.
      */
     public ConcurrencyLimit(int initial, int ceiling) {
         this.ceiling = ceiling;
@@ -30,13 +36,13 @@
     }
 
     /**
-     * Learns how an upstream served a request.
+     * Adjusts the limit after a measurement of a request.
      *
      * @param congested whether the upstream shows congestion.
      * @param startedAt when the request was dispatched, in microseconds.
      * @param inFlight the number of requests in flight, the observed one included.
-     * @param now the clock in microseconds.
-     * @return whether the bound shrank.
+     * @param now the current time in microseconds.
+     * @return whether the limit was decreased.
      */
     public boolean learn(boolean congested, long startedAt, int inFlight, long now) {
         if (startedAt < decreasedAt) {
@@ -55,9 +61,10 @@
     }
 
     /**
-     * Learns from the upstream's own report that requests wait inside it, so that it can't run more than it does.
+     * Lowers the limit to at most one above the number of running requests. Called when the upstream reports that requests
+     * wait in its own queue, so that it can't run more.
      *
-     * @param running the number of requests that it runs.
+     * @param running the number of requests that the upstream reports as running.
      */
     public void capAtRunning(int running) {
         lastCongestedLimit = running + 1;
@@ -65,14 +72,14 @@
     }
 
     /**
-     * Starts again from one request at a time, as after an ejection.
+     * Resets the limit to one request at a time, as for the probes after an ejection.
      */
     public void reset() {
         limit = 1;
     }
 
     /**
-     * Returns the bound.
+     * Returns the limit.
      *
      * @return the number of requests, at least 1.
      */
--- a/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
@@ -5,12 +5,16 @@
 import java.util.Map;
 
 /**
- * Guesses which prompt blocks an engine has in its cache: from what was dispatched to it, corrected by the engine's own
- * events, which come late and with gaps.
+ * Estimates which prompt blocks an engine has in its cache. The estimate is based on the prompts that were dispatched to
+ * the engine and corrected by the engine's own cache events, which are late and may be incomplete.
  */
 public final class PrefixIndex {
+    /** The factor on the confidence at a gap in the sequence of events. */
     private static final double GAP_FACTOR = 0.5;
+
+    /** The factor on the confidence at each event without a gap. */
     private static final double RECOVERY_FACTOR = 1.05;
+
     private static final double LOAD_FACTOR = 0.75;
     private static final int INITIAL_CAPACITY = 64;
 
@@ -21,7 +25,7 @@
     /**
      * Creates an empty index.
      *
-     * @param capacity how many blocks the engine is taken to hold.
+     * @param capacity the number of blocks that the cache of the engine is assumed to hold.
      */
     public PrefixIndex(int capacity) {
         blocks = new LinkedHashMap<>(INITIAL_CAPACITY, (float) LOAD_FACTOR, true) {
@@ -35,7 +39,7 @@
     }
 
     /**
-     * Notes that a prompt was dispatched to the engine.
+     * Records that a prompt was dispatched to the engine, which then has its blocks in the cache.
      *
      * @param prefix the digests of the prompt's blocks.
      */
@@ -46,11 +50,11 @@
     }
 
     /**
-     * Corrects the guess by an event of the engine.
+     * Corrects the estimate by a cache event of the engine. An event that is not newer than the last one is ignored.
      *
-     * @param sequence the number of the event; a number left out lowers the trust in the index.
-     * @param added the blocks that the engine has taken in.
-     * @param removed the blocks that the engine has dropped.
+     * @param sequence the sequence number of the event; a gap lowers the confidence in the estimate.
+     * @param added the blocks that the engine has added to its cache.
+     * @param removed the blocks that the engine has evicted.
      */
     public void applyCacheEvent(long sequence, List<Long> added, List<Long> removed) {
         if (lastSequence >= 0 && sequence <= lastSequence) {
@@ -64,7 +68,7 @@
     }
 
     /**
-     * Forgets everything, as after a restart of the engine.
+     * Removes all blocks, as after a restart of the engine.
      */
     public void clear() {
         blocks.clear();
@@ -73,16 +77,16 @@
     }
 
     /**
-     * Counts the leading blocks of a prompt that the engine seems to hold.
+     * Estimates how many leading blocks of a prompt are in the engine's cache.
      *
      * @param prefix the digests of the prompt's blocks.
-     * @return the number of blocks, lowered where the index isn't trusted.
+     * @return the number of blocks, multiplied by the confidence in the estimate, which is at most 1.
      */
     public double cachedBlocks(List<Long> prefix) {
-        int held = 0;
-        while (held < prefix.size() && blocks.containsKey(prefix.get(held))) {
-            held++;
+        int cached = 0;
+        while (cached < prefix.size() && blocks.containsKey(prefix.get(cached))) {
+            cached++;
         }
-        return held * confidence;
+        return cached * confidence;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -1,18 +1,32 @@
 package org.radishspur.decision.upstream;
 
 /**
- * Learns how fast one upstream works, from the measures of the requests that it ran.
+ * Learns the speed of one upstream from the times of the requests that it ran.
  */
 public final class SpeedEstimate {
+    /** The least weight of a new sample in the moving means. */
     private static final double SMOOTHING = 0.15;
+
     private static final double INITIAL_PREFILL_MICROS = 200;
     private static final double INITIAL_OUTPUT_MICROS = 20_000;
     private static final double INITIAL_SERVICE_MICROS = 2_000;
+
+    /** The factor by which the best time rises with each sample, so that an outdated best time is replaced. */
     private static final double BEST_DECAY_FACTOR = 1.0002;
+
+    /** The wait for a step of the engine, as a number of prompt tokens that take the same time. */
     private static final int STEP_OVERHEAD_TOKENS = 256;
+
+    /** From how many times the best time on the time for each output token is a sign of congestion. */
     private static final double SLOW_OUTPUT_FACTOR = 2.5;
+
+    /** From how many times the best time on the time for each prompt token is a sign of congestion. */
     private static final double SLOW_PREFILL_FACTOR = 8;
+
+    /** The share of the congestion thresholds to which the times are lowered after a reaction to congestion. */
     private static final double RESET_SHARE = 0.6;
+
+    /** The time for each output token up to which output is never a sign of congestion. */
     private static final double MIN_CONGESTED_OUTPUT_MICROS = 5_000;
 
     private double prefillMicros = INITIAL_PREFILL_MICROS;
@@ -23,7 +37,7 @@
     private int prefillSamples;
 
     /**
-     * Creates an estimate of an upstream that has run nothing yet.
+     * Creates the estimate of an upstream that has not run a request yet.
      *
      * @param engine whether the upstream is a model engine.
      */
@@ -32,10 +46,10 @@
     }
 
     /**
-     * Learns from the first token of an answer.
+     * Learns from the time to the first token of an answer.
      *
      * @param uncachedTokens the number of prompt tokens that had to be computed.
-     * @param micros the time from dispatch to the first token.
+     * @param micros the time from dispatch to the first token in microseconds.
      */
     public void learnFirstToken(int uncachedTokens, long micros) {
         prefillSamples++;
@@ -45,9 +59,9 @@
     }
 
     /**
-     * Learns from an answer that came to its end.
+     * Learns from a complete answer.
      *
-     * @param micros the time that the tokens took, from the first one where there was a prompt.
+     * @param micros the time that the tokens took in microseconds, from the first one where there was a prompt.
      * @param outputTokens the number of tokens in the answer.
      */
     public void learnOutput(long micros, int outputTokens) {
@@ -58,9 +72,10 @@
     }
 
     /**
-     * Learns that a request has already taken longer than expected, without waiting for its end.
+     * Learns from a request in flight that has already taken longer than expected.
      *
-     * @param perOutputMicros the least time for each token that the request can still turn out to have had.
+     * @param perOutputMicros the time for each token if the request ended now, in microseconds: the least that it can still
+     *     be.
      */
     public void learnOverdue(double perOutputMicros) {
         outputMicros += SMOOTHING * Math.max(0, perOutputMicros - outputMicros);
@@ -78,13 +93,13 @@
     }
 
     /**
-     * Works out the time of a request from the times of its tokens. Even a prompt that is cached waits for a step of the
-     * engine, which counts as so many tokens.
+     * Computes the time of a request from the times for each token. Even a cached prompt waits for a step of the engine,
+     * which is added as a fixed number of prompt tokens. A request without a prompt has no such wait.
      *
      * @param uncachedTokens the number of prompt tokens that would have to be computed.
-     * @param prefillMicros the time for each of them.
+     * @param prefillMicros the time for each of them in microseconds.
      * @param outputTokens the number of tokens in the answer.
-     * @param outputMicros the time for each of them.
+     * @param outputMicros the time for each of them in microseconds.
      * @return the time in microseconds.
      */
     public static double micros(int uncachedTokens, double prefillMicros, int outputTokens, double outputMicros) {
@@ -93,11 +108,11 @@
     }
 
     /**
-     * Works out the time of a request on an imagined engine whose speed never changes, as a yardstick for comparing
-     * measures taken at different times.
+     * Computes the time of a request on a fictitious engine of constant speed. It serves as a reference for comparing
+     * requests that ran at different times.
      *
-     * @param promptTokens the length of the prompt.
-     * @param outputTokens the length of the answer.
+     * @param promptTokens the length of the prompt in tokens.
+     * @param outputTokens the length of the answer in tokens.
      * @return the time in microseconds.
      */
     public static double referenceMicros(int promptTokens, int outputTokens) {
@@ -123,12 +138,12 @@
     }
 
     /**
-     * Compares the present times with the best that this upstream has shown lately. First tokens that are late say that
-     * requests wait inside the engine; output that is slow says that it runs too many at once.
+     * Returns whether the upstream is congested, by comparing its present times with its best recent ones. Late first
+     * tokens mean that requests wait in the queue of the engine; slow output means that it runs too many requests at once.
      *
-     * @param nothingWaits whether the upstream itself says that no request waits inside it, so that late first tokens
-     *     have another reason.
-     * @return whether the upstream has more to do than does it good.
+     * @param nothingWaits whether the upstream reports that no request waits in its queue, so that late first tokens have
+     *     another cause.
+     * @return whether the upstream is congested.
      */
     public boolean isCongested(boolean nothingWaits) {
         boolean slowOutput =
@@ -137,16 +152,16 @@
         return slowOutput || slowPrefill && !nothingWaits;
     }
 
-    /** Forgets the signs of congestion, once something was done about it; only fresh ones count from here on. */
+    /** Clears the signs of congestion after the limit was lowered, so that only later measurements count. */
     public void resetCongestion() {
         outputMicros = Math.min(outputMicros, bestOutputMicros * RESET_SHARE * SLOW_OUTPUT_FACTOR);
         prefillMicros = Math.min(prefillMicros, bestPrefillMicros * RESET_SHARE * SLOW_PREFILL_FACTOR);
     }
 
     /**
-     * Returns whether the estimate rests on enough requests to be held against the upstream.
+     * Returns whether the estimate is based on enough requests to be used in decisions about the upstream.
      *
-     * @return whether it does.
+     * @return whether at least 5 answers were measured.
      */
     public boolean hasEnoughSamples() {
         return samples >= 5;
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -11,13 +11,22 @@
 import org.radishspur.model.table.UpstreamRow;
 
 /**
- * Holds what the scheduler knows of one upstream.
+ * The state that the scheduler keeps of one upstream.
  */
 public final class UpstreamState {
+    /** The time without a measurement after which an idle upstream counts as twice as fast as last measured. */
     private static final double MEASUREMENT_FADE_MICROS = 5_000_000;
+
+    /** How long a load report counts as evidence that no request waits in the upstream's queue. */
     private static final long REPORT_VALID_MICROS = 6_000_000;
+
+    /** The share of the time for computing a prompt by which each request in flight is delayed. */
     private static final double PREFILL_DELAY_SHARE = 0.3;
+
+    /** By how much each failure in a row raises the factor on the expected time. */
     private static final double PENALTY_PER_FAILURE = 4;
+
+    /** The least factor by which the measured time of an idle upstream is lowered. */
     private static final double MIN_FADING_FACTOR = 0.1;
 
     private final SchedulerOptions options;
@@ -44,9 +53,9 @@
     private boolean reportedNoneWaiting;
 
     /**
-     * Creates the state of an upstream that has run nothing yet.
+     * Creates the state of an upstream that has not run a request yet.
      *
-     * @param row the row of the pool's table.
+     * @param row the upstream's row in the row of the pool.
      * @param engine whether the upstream is a model engine.
      * @param ceiling the greatest number of requests that it may run at once.
      * @param options the scheduling policy.
@@ -78,7 +87,7 @@
     }
 
     /**
-     * Replaces the row, as after an edit of the pool.
+     * Replaces the row, as after an edit of the pool. A changed row also ends the state of leaving.
      *
      * @param changed the new row.
      */
@@ -88,13 +97,13 @@
         removed = false;
     }
 
-    /** Notes that the pool's row no longer names the upstream; requests in flight still return. */
+    /** Records that the pool's row no longer names the upstream. Requests in flight continue. */
     public void remove() {
         removed = true;
     }
 
     /**
-     * Sets the failure domains whose upstreams get no new request.
+     * Sets the failure domains whose upstreams get no new requests.
      *
      * @param failureDomains the evacuated failure domains.
      */
@@ -103,9 +112,9 @@
     }
 
     /**
-     * Returns whether the upstream may be given work now, apart from its limit.
+     * Returns whether the upstream may get new requests now. Its limit is not considered.
      *
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      * @return whether it is a member of the pool and not ejected.
      */
     public boolean isUsable(long now) {
@@ -113,18 +122,18 @@
     }
 
     /**
-     * Returns whether the upstream will be usable without anybody's doing, once its ejection ends.
+     * Returns whether the upstream is a member of the pool; a member is usable unless it is ejected.
      *
-     * @return whether it is part of the pool, not leaving, and stands in no evacuated failure domain.
+     * @return whether the pool's row names it, it is not leaving and its failure domain is not evacuated.
      */
     public boolean isMember() {
         return !leaving && !removed && !evacuated.contains(row.failureDomain());
     }
 
     /**
-     * Returns the number of requests that may be added now.
+     * Returns the number of requests that may be dispatched to the upstream now.
      *
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      * @return the number of free slots.
      */
     public int freeSlots(long now) {
@@ -144,7 +153,7 @@
     }
 
     /**
-     * Returns what is known of the upstream's speed.
+     * Returns the estimate of the upstream's speed.
      *
      * @return the estimate.
      */
@@ -153,7 +162,7 @@
     }
 
     /**
-     * Returns what is known of the upstream's cache.
+     * Returns the estimate of the upstream's cache.
      *
      * @return the index.
      */
@@ -173,7 +182,7 @@
     /**
      * Estimates how many prompt tokens the upstream would have to compute for a request.
      *
-     * @param work the request.
+     * @param work the size of the request.
      * @return the number of tokens, at least 1 where there is a prompt.
      */
     public int uncachedTokens(Work work) {
@@ -185,9 +194,10 @@
     }
 
     /**
-     * Estimates when the upstream would finish a request given to it now.
+     * Estimates how long a request would take if it were dispatched now, after the prompts that the upstream has yet to
+     * compute.
      *
-     * @param work the request.
+     * @param work the size of the request.
      * @return the time in microseconds.
      */
     public double expectedMicros(Work work) {
@@ -196,27 +206,27 @@
     }
 
     /**
-     * Estimates when an idle or busy upstream would finish a request, for choosing between upstreams.
+     * Rates how soon the upstream would finish a request, for selecting among upstreams: the expected time, raised by the
+     * delay of other requests and by failures, and lowered while the upstream is idle.
      *
-     * <p>Guards against shutting out an upstream for good because of one slow answer, as the first one after its start:
-     * an upstream that runs nothing is never measured again. The longer an idle upstream goes unmeasured, the less its
-     * old measures count against it.
+     * <p>An upstream that runs no request is not measured again, so that one slow answer, such as the first one after its
+     * start, would exclude it permanently. Therefore the rating of an idle upstream improves with the time since its last
+     * measurement.
      *
-     * @param work the request.
-     * @param now the clock in microseconds.
+     * @param work the size of the request.
+     * @param now the current time in microseconds.
      * @return the time in microseconds.
      */
     public double selectionMicros(Work work, long now) {
-        // Computing a prompt holds up every other request of the batch, which costs the pool more than the request
-        // itself.
-        double heldUp = uncachedTokens(work) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
-        return (expectedMicros(work) + heldUp) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
+        // Computing a prompt delays all other requests of the batch, which costs the pool more than the request itself.
+        double delay = uncachedTokens(work) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
+        return (expectedMicros(work) + delay) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
     }
 
     /**
-     * Returns the share of a prompt that the upstream seems to hold.
+     * Estimates the share of a prompt that is in the upstream's cache.
      *
-     * @param work the request.
+     * @param work the size of the request.
      * @return the share, 0 where there is no prompt.
      */
     public double cachedShare(Work work) {
@@ -224,11 +234,12 @@
     }
 
     /**
-     * Estimates how long a request would take if nothing were ahead of it, for deciding whether it can be in time.
+     * Estimates how long a request would take with no other prompt before it, for deciding whether it can meet its
+     * deadline.
      *
      * @param uncachedTokens the number of prompt tokens that would have to be computed.
      * @param outputTokens the number of tokens in the answer.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      * @return the time in microseconds.
      */
     public double serviceMicros(int uncachedTokens, int outputTokens, long now) {
@@ -239,16 +250,16 @@
         if (!inFlight.isEmpty()) {
             return 1;
         }
-        double unmeasured = Math.max(0, now - lastMeasuredAt) / MEASUREMENT_FADE_MICROS;
-        return Math.max(MIN_FADING_FACTOR, 1 / (1 + unmeasured));
+        double fade = Math.max(0, now - lastMeasuredAt) / MEASUREMENT_FADE_MICROS;
+        return Math.max(MIN_FADING_FACTOR, 1 / (1 + fade));
     }
 
     /**
-     * Puts a request in flight.
+     * Records the dispatch of a request.
      *
      * @param request the request.
-     * @param exclusive whether the upstream may run nothing else meanwhile.
-     * @param now the clock in microseconds.
+     * @param exclusive whether the upstream may run no other request at the same time.
+     * @param now the current time in microseconds.
      */
     public void start(PermitRequest request, boolean exclusive, long now) {
         int uncached = uncachedTokens(request.work());
@@ -260,10 +271,10 @@
     }
 
     /**
-     * Notes that the first token of a request has come, so that its prompt is computed.
+     * Records that the first token of an answer was received, which means that the prompt has been computed.
      *
      * @param id the attempt.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void firstToken(PermitId id, long now) {
         InFlight flight = inFlight.get(id);
@@ -277,8 +288,8 @@
     }
 
     private void adjustLimit(InFlight flight, int running, long now) {
-        boolean calm = reportedNoneWaiting && now - lastReportAt < REPORT_VALID_MICROS;
-        if (limit.learn(speed.isCongested(calm), flight.startedAt, running, now)) {
+        boolean noneWaiting = reportedNoneWaiting && now - lastReportAt < REPORT_VALID_MICROS;
+        if (limit.learn(speed.isCongested(noneWaiting), flight.startedAt, running, now)) {
             speed.resetCongestion();
         }
     }
@@ -291,10 +302,10 @@
     }
 
     /**
-     * Takes a request out of flight.
+     * Removes a request from those in flight.
      *
      * @param id the attempt.
-     * @return what was in flight, or null where the attempt is not known.
+     * @return the request in flight, or null where the attempt is not known.
      */
     public InFlight end(PermitId id) {
         InFlight flight = inFlight.remove(id);
@@ -306,13 +317,13 @@
     }
 
     /**
-     * Learns from an answer that came to its end.
+     * Learns from a complete answer.
      *
-     * @param flight what was in flight.
-     * @param firstTokenMicros the time to the first token.
-     * @param totalMicros the time to the end.
-     * @param outputTokens the number of tokens.
-     * @param now the clock in microseconds.
+     * @param flight the request that was in flight.
+     * @param firstTokenMicros the time from dispatch to the first token, in microseconds.
+     * @param totalMicros the time from dispatch to the end, in microseconds.
+     * @param outputTokens the number of tokens in the answer.
+     * @param now the current time in microseconds.
      */
     public void learn(InFlight flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
         lastMeasuredAt = now;
@@ -327,18 +338,19 @@
     }
 
     /**
-     * Returns how many answers this run of the upstream has given, as far as this scheduler has seen them.
+     * Returns the number of complete answers of the present incarnation of the upstream that this scheduler has recorded.
      *
-     * @return the number.
+     * @return the number of answers.
      */
     public int answerCount() {
         return answerCount;
     }
 
     /**
-     * Counts a failure.
+     * Records a failure.
      *
-     * @return whether there have been enough in a row to eject the upstream.
+     * @return whether the upstream has to be ejected: after enough failures in a row, or at the first one after an
+     *     ejection that no answer has followed.
      */
     public boolean recordFailure() {
         consecutiveFailures++;
@@ -347,13 +359,14 @@
     }
 
     /**
-     * Ejects the upstream for a while, longer each time in a row; afterwards it is probed with one request at a time.
+     * Ejects the upstream. Each further ejection in a row lasts twice as long, up to a bound; afterwards the upstream is
+     * probed with one request at a time.
      *
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void eject(long now) {
-        long length = options.firstEjectionMicros() << Math.min(consecutiveEjections, Integer.SIZE / 2);
-        ejectedUntil = now + Math.min(length, options.maxEjectionMicros());
+        long duration = options.firstEjectionMicros() << Math.min(consecutiveEjections, Integer.SIZE / 2);
+        ejectedUntil = now + Math.min(duration, options.maxEjectionMicros());
         consecutiveEjections++;
         consecutiveFailures = 0;
         answersSinceEjection = 0;
@@ -368,23 +381,25 @@
     /**
      * Returns when the ejection ends.
      *
-     * @return the clock in microseconds, in the past where the upstream isn't ejected.
+     * @return the time in microseconds, which is in the past where the upstream isn't ejected.
      */
     public long ejectedUntil() {
         return ejectedUntil;
     }
 
     /**
-     * Notes that the upstream is leaving. That holds, whatever a stale host list says, until a later incarnation shows.
+     * Records that the upstream is leaving. It stays so until a later incarnation is seen or its row changes; a stale host
+     * list that still names it has no effect.
      */
     public void markLeaving() {
         leaving = true;
     }
 
     /**
-     * Notes that the upstream was seen alive.
+     * Records that the upstream was seen alive. A later incarnation is no longer leaving or ejected, and its cache is
+     * empty.
      *
-     * @param seen which run of the upstream's process was seen.
+     * @param seen the incarnation of the upstream's process that was seen.
      */
     public void seen(long seen) {
         if (seen > incarnation) {
@@ -398,12 +413,12 @@
     }
 
     /**
-     * Corrects the count of requests by the upstream's own report, which lags. Only what is above everything that was
-     * in flight lately is counted as somebody else's load.
+     * Applies the upstream's own report of its load. Since the report is stale, only requests beyond the greatest number
+     * in flight since the previous report count as load from other sources.
      *
-     * @param running the number of requests that the upstream says it runs.
-     * @param waiting the number of requests that the upstream says wait inside it.
-     * @param now the clock in microseconds.
+     * @param running the number of requests that the upstream reports as running.
+     * @param waiting the number of requests that the upstream reports as waiting in its own queue.
+     * @param now the current time in microseconds.
      */
     public void loadReported(int running, int waiting, long now) {
         lastReportAt = now;
@@ -416,7 +431,7 @@
     }
 
     /**
-     * Holds one request in flight.
+     * A request in flight.
      */
     public static final class InFlight {
         private final PermitRequest request;
@@ -445,11 +460,11 @@
         }
 
         /**
-         * Tells, once, that the request has taken much longer than expected.
+         * Returns whether the request has become overdue since the last call. Returns true at most once.
          *
-         * @param factor how many times the expected time is much longer.
-         * @param now the clock in microseconds.
-         * @return whether that is news.
+         * @param factor from how many times its expected time on the request is overdue.
+         * @param now the current time in microseconds.
+         * @return whether it has become overdue.
          */
         public boolean becameOverdue(double factor, long now) {
             if (overdue || now - startedAt < factor * expectedMicros) {
@@ -462,7 +477,7 @@
         /**
          * Returns how long the request has been in flight.
          *
-         * @param now the clock in microseconds.
+         * @param now the current time in microseconds.
          * @return the time in microseconds.
          */
         public long elapsed(long now) {
--- a/decision/src/main/java/org/radishspur/decision/upstream/package-info.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps what is known of each upstream: its speed, its limit, its cache and its health.
+ * The state that the scheduler keeps of each upstream: its speed, its concurrency limit, its cache and its health.
  */
 package org.radishspur.decision.upstream;
--- a/decision/src/test/java/org/radishspur/decision/ArchitectureTest.java
+++ b/decision/src/test/java/org/radishspur/decision/ArchitectureTest.java
@@ -7,8 +7,9 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
 class ArchitectureTest {
+    /** Guards against decisions that a test or an experiment can't run with a simulated clock. */
     @Test
-    void decisionsTouchNeitherClocksNorTheNetworkNorFiles() {
+    void decisionsUseNoClockNetworkOrFile() {
         var classes = new ClassFileImporter()
                 .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                 .importPackages("org.radishspur.decision");
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
@@ -20,24 +20,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Drives a scheduler with random arrivals, endings, losses and stale reports.
+ * Runs a scheduler with random sequences of arrivals, outcomes, cancellations, lost entries and stale reports.
  */
 class PoolSchedulerPropertyTest {
     private static final int STEPS = 1_500;
-    private static final int CEILING = 6;
+    private static final int MAX_CONCURRENCY = 6;
 
+    /** Guards against lost or duplicate grants, leaked permits, missed deadlines and pools without a usable upstream. */
     @Property(seed = "77", tries = 150, shrinking = ShrinkingMode.OFF)
-    void promisesHoldUnderAnyOrderOfEvents(@ForAll long seed) {
-        new World(seed).run();
+    void invariantsHoldForRandomEventSequences(@ForAll long seed) {
+        new SchedulerModel(seed).run();
     }
 
     /**
-     * Keeps its own books on one scheduler and compares them with what the scheduler does.
+     * Tracks the expected state of one scheduler and compares it with the scheduler's actions.
      */
-    private static final class World {
+    private static final class SchedulerModel {
         private final Random random;
         private final PoolScheduler scheduler =
-                new PoolScheduler(PoolSchedulerTest.pool(4, 30, CEILING), SchedulerOptions.STANDARD, "owner");
+                new PoolScheduler(PoolSchedulerTest.pool(4, 30, MAX_CONCURRENCY), SchedulerOptions.STANDARD, "owner");
         private final Map<PermitId, PermitRequest> waiting = new HashMap<>();
         private final Map<PermitId, String> running = new HashMap<>();
         private final Map<PermitId, PermitRequest> sent = new HashMap<>();
@@ -45,27 +46,27 @@
         private long now = 1_000_000;
         private long sequence;
 
-        World(long seed) {
+        SchedulerModel(long seed) {
             random = new Random(seed);
         }
 
         void run() {
             for (int step = 0; step < STEPS; step++) {
                 now += random.nextInt(20_000);
-                happen();
-                check(scheduler.decide(now));
+                applyRandomEvent();
+                checkInvariants(scheduler.decide(now));
             }
-            drain();
+            answerAll();
         }
 
-        private void happen() {
+        private void applyRandomEvent() {
             switch (random.nextInt(16)) {
                 case 0, 1, 2, 3, 4, 5, 6 -> arrive();
                 case 7, 8, 9, 10, 11 -> finishOne();
                 case 12 -> cancelOne();
-                case 13 -> repeatOne();
-                case 14 -> report();
-                default -> loseOrLeave();
+                case 13 -> resendOne();
+                case 14 -> sendReports();
+                default -> loseEntryOrMarkLeaving();
             }
         }
 
@@ -82,7 +83,7 @@
         }
 
         private void finishOne() {
-            PermitId id = any(running.keySet());
+            PermitId id = pickRandom(running.keySet());
             if (id != null) {
                 Ending ending = random.nextInt(4) > 0
                         ? Ending.ANSWERED
@@ -97,7 +98,7 @@
         }
 
         private void cancelOne() {
-            PermitId id = any(random.nextBoolean() ? waiting.keySet() : running.keySet());
+            PermitId id = pickRandom(random.nextBoolean() ? waiting.keySet() : running.keySet());
             if (id != null) {
                 waiting.remove(id);
                 running.remove(id);
@@ -105,21 +106,21 @@
             }
         }
 
-        private void repeatOne() {
-            PermitId id = any(sent.keySet());
+        private void resendOne() {
+            PermitId id = pickRandom(sent.keySet());
             if (id != null) {
                 scheduler.arrive(sent.get(id), now);
             }
         }
 
-        private void report() {
+        private void sendReports() {
             String upstream = "u" + random.nextInt(4);
             scheduler.loadReported(upstream, random.nextInt(8), random.nextInt(3), now);
             scheduler.cacheChanged(upstream, random.nextInt(1_000), List.of(1L, 2L), List.of(3L));
-            scheduler.firstToken(any(sent.keySet()), now);
+            scheduler.firstToken(pickRandom(sent.keySet()), now);
         }
 
-        private void loseOrLeave() {
+        private void loseEntryOrMarkLeaving() {
             if (random.nextInt(8) == 0 && leaving.size() < 3) {
                 String upstream = "u" + random.nextInt(4);
                 leaving.add(upstream);
@@ -132,7 +133,7 @@
             }
         }
 
-        private void check(List<PermitAction> actions) {
+        private void checkInvariants(List<PermitAction> actions) {
             for (PermitAction action : actions) {
                 if (action instanceof PermitAction.Grant grant) {
                     checkGrant(grant);
@@ -143,58 +144,62 @@
             assertThat(scheduler.waiting()).isEqualTo(waiting.size());
             assertThat(scheduler.permitsInUse()).isEqualTo(running.size());
             for (PermitRequest request : waiting.values()) {
-                assertThat(request.deadlineAt()).as("kept after its deadline").isGreaterThanOrEqualTo(now);
+                assertThat(request.deadlineAt()).as("waits after its deadline").isGreaterThanOrEqualTo(now);
             }
             long members = scheduler.upstreams().stream()
                     .filter(UpstreamState::isMember)
                     .count();
             boolean usable = scheduler.upstreams().stream().anyMatch(upstream -> upstream.isUsable(now));
-            assertThat(members == 0 || usable).as("a pool emptied by ejection").isTrue();
+            assertThat(members == 0 || usable)
+                    .as("at least one usable upstream as long as the pool has members")
+                    .isTrue();
         }
 
         private void checkGrant(PermitAction.Grant grant) {
             String before = running.putIfAbsent(grant.id(), grant.upstream());
             assertThat(before == null || before.equals(grant.upstream()))
-                    .as("granted twice")
+                    .as("granted to a single upstream")
+                    .isTrue();
+            boolean wasWaiting = waiting.remove(grant.id()) != null;
+            assertThat(wasWaiting || before != null)
+                    .as("granted while waiting or in flight")
                     .isTrue();
-            boolean waited = waiting.remove(grant.id()) != null;
-            assertThat(waited || before != null).as("granted after its end").isTrue();
-            if (waited) {
+            if (wasWaiting) {
                 assertThat(leaving).doesNotContain(grant.upstream());
             }
             long inFlight =
                     running.values().stream().filter(grant.upstream()::equals).count();
-            assertThat(inFlight).isLessThanOrEqualTo(CEILING);
+            assertThat(inFlight).isLessThanOrEqualTo(MAX_CONCURRENCY);
         }
 
         private void checkRefusal(PermitAction.Refuse refuse) {
             PermitRequest refused = waiting.remove(refuse.id());
-            assertThat(refused).as("refused without waiting").isNotNull();
+            assertThat(refused).as("the refused request was waiting").isNotNull();
             if (refuse.refusal().reason() == RefusalReason.OVERLOADED) {
                 assertThat(waiting.values())
-                        .as("a less urgent request was kept")
+                        .as("a less urgent request still waits")
                         .noneMatch(kept -> refused.tier().isMoreUrgentThan(kept.tier()));
             }
         }
 
-        private void drain() {
+        private void answerAll() {
             for (PermitId id : new ArrayList<>(running.keySet())) {
                 running.remove(id);
                 scheduler.finish(id, PermitOutcome.of(Ending.ANSWERED), now);
             }
             for (int round = 0; round < 200; round++) {
                 now += 20_000;
-                check(scheduler.decide(now));
+                checkInvariants(scheduler.decide(now));
                 for (PermitId id : new ArrayList<>(running.keySet())) {
                     running.remove(id);
                     scheduler.finish(id, PermitOutcome.of(Ending.ANSWERED), now);
                 }
             }
-            assertThat(waiting).as("left without an answer").isEmpty();
-            assertThat(scheduler.permitsInUse()).as("leaked").isZero();
+            assertThat(waiting).as("requests without an answer").isEmpty();
+            assertThat(scheduler.permitsInUse()).as("leaked permits").isZero();
         }
 
-        private PermitId any(Set<PermitId> ids) {
+        private PermitId pickRandom(Set<PermitId> ids) {
             List<PermitId> sorted = ids.stream().sorted().toList();
             return sorted.isEmpty() ? null : sorted.get(random.nextInt(sorted.size()));
         }
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
@@ -61,8 +61,8 @@
         return new PermitOutcome(Ending.ANSWERED, 1_000, 10_000, 10);
     }
 
-    /** Runs requests one by one on each upstream, so that their speeds are known. */
-    private void settle(PoolScheduler scheduler, int rounds) {
+    /** Runs requests one after another, so that the speeds of the upstreams are known. */
+    private void measureSpeeds(PoolScheduler scheduler, int rounds) {
         for (int round = 0; round < rounds; round++) {
             PermitRequest request = request(Tier.NORMAL, "settling", "settle-" + round);
             scheduler.arrive(request, now);
@@ -74,9 +74,9 @@
 
     @Nested
     class Evacuation {
-        /** Guards against work that is sent into a failure domain which the operator is about to switch off. */
+        /** Guards against requests sent to a failure domain that the operator is about to shut down. */
         @Test
-        void refusesWhatNoUpstreamMayServe() {
+        void refusesRequestsWhenAllUpstreamsAreEvacuated() {
             PoolScheduler scheduler = scheduler(1, 100, 1);
             scheduler.evacuate(Set.of("domain"));
             scheduler.arrive(request(Tier.NORMAL, "a", "x"), now);
@@ -92,9 +92,9 @@
             assertThat(grants(scheduler.decide(now))).hasSize(1);
         }
 
-        /** Guards against an upstream that is added to the pool during the evacuation and is taken for in service. */
+        /** Guards against requests sent to an upstream that is added to an evacuated failure domain. */
         @Test
-        void holdsForUpstreamsThatAreAddedMeanwhile() {
+        void appliesToUpstreamsThatAreAddedLater() {
             PoolScheduler scheduler = scheduler(1, 100, 1);
             scheduler.evacuate(Set.of("domain"));
             scheduler.configure(pool(2, 100, 1));
@@ -106,7 +106,7 @@
     @Nested
     class UnderOverload {
         @Test
-        void theMostUrgentRequestGoesFirst() {
+        void theMostUrgentRequestIsGrantedFirst() {
             PoolScheduler scheduler = scheduler(1, 100, 1);
             PermitRequest low = request(Tier.LOW, "a", "x");
             PermitRequest urgent = request(Tier.URGENT, "a", "y");
@@ -118,7 +118,7 @@
         }
 
         @Test
-        void theLeastUrgentRequestIsShedAtOnceEvenIfItCameFirst() {
+        void theLeastUrgentRequestIsShedAtOnceEvenIfItArrivedFirst() {
             PoolScheduler scheduler = scheduler(1, 2, 1);
             scheduler.holdUntil(Long.MAX_VALUE);
             PermitRequest bulk = request(Tier.BULK, "a", "x");
@@ -132,9 +132,9 @@
                     .isPositive();
         }
 
-        /** Guards against a failure in which one large organisation gets all answers and the others none. */
+        /** Guards against one organisation with many requests getting all upstreams while others wait. */
         @Test
-        void organisationsTakeTurnsByCost() {
+        void organisationsShareTheUpstreamsByCost() {
             PoolScheduler scheduler = scheduler(1, 1_000, 1);
             scheduler.holdUntil(now + 1);
             for (int request = 0; request < 100; request++) {
@@ -157,10 +157,10 @@
     @Nested
     class WithDeadlines {
         @Test
-        void aRequestThatCannotMakeItIsRefusedAtOnce() {
+        void aRequestThatCannotMeetItsDeadlineIsRefusedAtOnce() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
-            settle(scheduler, 10);
-            PermitRequest hopeless = new PermitRequest(
+            measureSpeeds(scheduler, 10);
+            PermitRequest late = new PermitRequest(
                     new PermitId("entry", 1, ++sequence),
                     Tier.URGENT,
                     "a",
@@ -168,12 +168,12 @@
                     now + 100,
                     new Work(100, 10, List.of()),
                     "x");
-            scheduler.arrive(hopeless, now);
+            scheduler.arrive(late, now);
             assertThat(refusals(scheduler.decide(now))).containsExactly(RefusalReason.DEADLINE_UNREACHABLE);
         }
 
         @Test
-        void nothingIsRefusedOnAGuessAboutAnUnknownUpstream() {
+        void noRequestIsRefusedWhileTheSpeedOfAnUpstreamIsUnknown() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             PermitRequest quick = new PermitRequest(
                     new PermitId("entry", 1, ++sequence),
@@ -190,9 +190,9 @@
 
     @Nested
     class WithLeavingUpstreams {
-        /** Guards against a failure in which a request is sent to an upstream that is about to stop. */
+        /** Guards against requests sent to an upstream that is about to stop, because a stale host list still names it. */
         @Test
-        void leavingOutweighsAStaleSightingUntilANewIncarnation() {
+        void anUpstreamStaysLeavingUntilALaterIncarnationIsSeen() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             scheduler.seen("u0", 5);
             scheduler.leaving("u0");
@@ -221,25 +221,25 @@
             }
         }
 
-        /** Guards against a failure in which requests are refused as unreachable although half of the pool is idle. */
+        /** Guards against requests failing at unreachable upstreams although half of the pool is idle. */
         @Test
-        void deadUpstreamsDoNotKeepRequestsFromLiveOnes() {
+        void unreachableUpstreamsSoonGetNoRequests() {
             PoolScheduler scheduler = scheduler(4, 100, 4);
             int unreachable = 0;
             for (int number = 0; number < 60; number++) {
                 PermitRequest request = request(Tier.NORMAL, "a", "d" + number);
                 scheduler.arrive(request, now);
                 String upstream = grants(scheduler.decide(now)).get(0).upstream();
-                boolean dead = upstream.equals("u0") || upstream.equals("u1");
-                unreachable += dead ? 1 : 0;
+                boolean isUnreachable = upstream.equals("u0") || upstream.equals("u1");
+                unreachable += isUnreachable ? 1 : 0;
                 now += 10_000;
-                scheduler.finish(request.id(), dead ? PermitOutcome.of(Ending.UNREACHABLE) : answered(), now);
+                scheduler.finish(request.id(), isUnreachable ? PermitOutcome.of(Ending.UNREACHABLE) : answered(), now);
             }
             assertThat(unreachable).isLessThanOrEqualTo(8);
         }
 
         @Test
-        void anUpstreamMuchSlowerThanItsSiblingsIsEjected() {
+        void anUpstreamMuchSlowerThanTheOthersIsEjected() {
             PoolScheduler scheduler = scheduler(4, 100, 1);
             List<PermitAction> seen = new ArrayList<>();
             for (int round = 0; round < 60; round++) {
@@ -277,9 +277,9 @@
             return scheduler.decide(now);
         }
 
-        /** Guards against a failure in which one request takes down every upstream of the pool, one after another. */
+        /** Guards against one request crashing every upstream of the pool, one after another. */
         @Test
-        void theSecondCrashRefusesTheRequest() {
+        void aRequestInFlightAtTwoCrashesIsRefused() {
             dispatch("poison");
             assertThat(crash(1)).anyMatch(PermitAction.Suspect.class::isInstance);
             dispatch("poison");
@@ -289,7 +289,7 @@
         }
 
         @Test
-        void theSecondCrashCountsBeforeTheOthersHaveHeardOfIt() {
+        void aSecondCrashCountsBeforeAllOwnersAgreeOnIt() {
             dispatch("poison");
             crash(1);
             scheduler.suspects(Map.of("poison", 1));
@@ -300,7 +300,7 @@
         }
 
         @Test
-        void aSuspectThatAllOwnersHaveForgottenIsForgottenHere() {
+        void aSuspectThatLeavesTheAgreedCountsIsCleared() {
             dispatch("poison");
             crash(1);
             scheduler.suspects(Map.of("poison", 1));
@@ -312,18 +312,18 @@
         }
 
         @Test
-        void aSuspectRunsApartFromOthers() {
+        void aSuspectSharesItsUpstreamWithNoOtherRequest() {
             dispatch("poison");
             crash(1);
             now += 60 * SECOND;
-            String alone = dispatch("poison");
+            String suspectUpstream = dispatch("poison");
             for (int other = 0; other < 8; other++) {
-                assertThat(dispatch("innocent-" + other)).isNotEqualTo(alone);
+                assertThat(dispatch("innocent-" + other)).isNotEqualTo(suspectUpstream);
             }
         }
 
         @Test
-        void aSuspectThatRunsToItsEndIsCleared() {
+        void aSuspectThatIsAnsweredIsCleared() {
             dispatch("neighbour");
             crash(1);
             now += 60 * SECOND;
@@ -333,7 +333,7 @@
         }
 
         @Test
-        void whatAllOwnersAgreeOnIsRefusedHereToo() {
+        void aRequestWithTwoAgreedCrashesIsRefused() {
             scheduler.suspects(Map.of("poison", 2));
             scheduler.arrive(request(Tier.NORMAL, "a", "poison"), now);
             assertThat(refusals(scheduler.decide(now))).containsExactly(RefusalReason.CRASH_SUSPECT);
@@ -343,7 +343,7 @@
     @Nested
     class WithEdits {
         @Test
-        void anUpstreamServesFromTheEditThatAddsIt() {
+        void anUpstreamGetsRequestsOnceAnEditAddsIt() {
             PoolScheduler scheduler = scheduler(0, 100, 4);
             scheduler.arrive(request(Tier.NORMAL, "a", "before"), now);
             assertThat(refusals(scheduler.decide(now))).containsExactly(RefusalReason.NO_UPSTREAM);
@@ -355,7 +355,7 @@
 
     @Nested
     class WithVersions {
-        /** Guards against a failure in which a move goes through its steps although the new version gets nothing. */
+        /** Guards against a move that advances through its stages although the new version gets no requests. */
         @Test
         void aNewVersionGetsItsShareAlthoughItsFirstAnswerWasSlow() {
             List<UpstreamRow> rows = List.of(
@@ -393,7 +393,7 @@
         }
 
         @Test
-        void aLateCopyOfAFinishedRequestIsIgnored() {
+        void aLateDuplicateOfAFinishedRequestIsIgnored() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             PermitRequest request = request(Tier.NORMAL, "a", "x");
             scheduler.arrive(request, now);
@@ -403,9 +403,9 @@
             assertThat(scheduler.decide(now)).isEmpty();
         }
 
-        /** Guards against a failure in which a pool slowly stops serving although its upstreams are idle. */
+        /** Guards against permits leaked by lost messages, which occupy the slots of upstreams that are idle. */
         @Test
-        void aPermitThatItsEntryDoesNotKnowComesBack() {
+        void aPermitThatItsEntryDoesNotListIsReleased() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             PermitRequest request = request(Tier.NORMAL, "a", "x");
             scheduler.arrive(request, now);
@@ -417,14 +417,14 @@
         }
 
         @Test
-        void theNextOwnerCountsWhatRunsAlready() {
-            PoolScheduler next = scheduler(1, 100, 1);
-            next.holdUntil(now + SECOND);
-            next.register(request(Tier.NORMAL, "a", "running"), "u0", now);
-            next.arrive(request(Tier.NORMAL, "a", "waiting"), now);
-            assertThat(next.decide(now + 2 * SECOND)).isEmpty();
-            next.finish(new PermitId("entry", 1, 1), answered(), now);
-            assertThat(grants(next.decide(now + 3 * SECOND))).hasSize(1);
+        void aNewOwnerCountsPermitsThatAreStillInUse() {
+            PoolScheduler newOwner = scheduler(1, 100, 1);
+            newOwner.holdUntil(now + SECOND);
+            newOwner.register(request(Tier.NORMAL, "a", "running"), "u0", now);
+            newOwner.arrive(request(Tier.NORMAL, "a", "waiting"), now);
+            assertThat(newOwner.decide(now + 2 * SECOND)).isEmpty();
+            newOwner.finish(new PermitId("entry", 1, 1), answered(), now);
+            assertThat(grants(newOwner.decide(now + 3 * SECOND))).hasSize(1);
         }
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends a thousand requests at once to two engines on hosts that get no processor for a while.
+ * Sends a thousand requests within at most half a second to two engines whose hosts get no processor time for a while.
  */
 class StarvedPoolTest {
     private static final int REQUESTS = 1_000;
@@ -31,12 +31,12 @@
     private static final long DEADLINE = 60 * SECOND;
     private static final long STEP = 25 * MILLI;
 
-    /** Guards against a caller with a minute left who is refused for the estimate of a starved moment. */
+    /** Guards against refusing a request with a minute to its deadline because of speeds learnt while the hosts stalled. */
     @Property(tries = 60, seed = "36")
-    void nobodyWithAMinuteLeftIsRefused(
+    void noRequestWithAMinuteToItsDeadlineIsRefused(
             @ForAll @LongRange(min = 0, max = 2_000) long starvedAtMillis,
             @ForAll @LongRange(min = 0, max = 5_000) long starvedMillis,
-            @ForAll @IntRange(min = 1, max = 500) int apartMicros,
+            @ForAll @IntRange(min = 1, max = 500) int arrivalGapMicros,
             @ForAll long seed) {
         List<UpstreamRow> rows = List.of(
                 new UpstreamRow("fast", "127.0.0.1:1", "domain", "hardware", false),
@@ -53,7 +53,7 @@
         List<PermitAction.Refuse> refused = new ArrayList<>();
         int sent = 0;
         for (long now = begin; now < begin + DEADLINE && (sent < REQUESTS || !running.isEmpty()); now += STEP) {
-            while (sent < REQUESTS && now - begin >= sent * apartMicros) {
+            while (sent < REQUESTS && now - begin >= sent * arrivalGapMicros) {
                 PermitId id = new PermitId("entry", 1, sent);
                 tokens.put(id, sent % 10 == 0 ? 100 : 1 + sent % 7);
                 scheduler.arrive(
@@ -91,11 +91,11 @@
     }
 
     /**
-     * Holds an answer that is on its way.
+     * An answer that is not complete yet.
      *
      * @param id the attempt.
      * @param startedAt when it was granted, in microseconds.
-     * @param at when it comes, in microseconds.
+     * @param at when it is complete, in microseconds.
      */
     private record Answer(PermitId id, long startedAt, long at) {}
 }
