--- a/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
@@ -54,7 +54,7 @@
      */
     String crashIdFor(String upstream, long now) {
         Crash crash = latestCrash.get(upstream);
-        if (crash == null || now - crash.at() > CRASH_WINDOW_MICROS) {
+        if (crash == null || now - crash.startedAt() > CRASH_WINDOW_MICROS) {
             crash = new Crash(owner + '/' + upstream + '/' + crashCount++, now);
             latestCrash.put(upstream, crash);
         }
@@ -94,7 +94,7 @@
      * The latest crash of an upstream.
      *
      * @param id the identifier of the crash.
-     * @param at when its first lost connection was reported, in microseconds.
+     * @param startedAt when its first lost connection was reported, in microseconds.
      */
-    private record Crash(String id, long at) {}
+    private record Crash(String id, long startedAt) {}
 }
--- a/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
@@ -76,7 +76,7 @@
     void ejectSlowUpstreams(long now) {
         Map<String, List<Double>> outputMicrosByGroup = new HashMap<>();
         for (UpstreamState upstream : upstreams.values()) {
-            for (UpstreamState.InFlight flight : upstream.inFlight().values()) {
+            for (UpstreamState.InFlightRequest flight : upstream.inFlight().values()) {
                 if (flight.becameOverdue(OVERDUE_FACTOR, now)) {
                     double minMicrosPerToken = flight.elapsed(now)
                             / (double) Math.max(1, flight.request().work().outputTokens());
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -202,7 +202,7 @@
         }
         speeds.refreshIfStale(upstreams.values(), now);
         UpstreamState upstream = upstreams.get(name);
-        UpstreamState.InFlight flight = upstream.end(id);
+        UpstreamState.InFlightRequest flight = upstream.end(id);
         Integer tokens = announcedOutputTokens.get(id);
         markFinished(id);
         slotReserve.released(now);
@@ -625,7 +625,8 @@
         actions.add(new PermitAction.Grant(request.id(), upstream.name()));
     }
 
-    private void recordOutcome(UpstreamState upstream, UpstreamState.InFlight flight, PermitOutcome outcome, long now) {
+    private void recordOutcome(
+            UpstreamState upstream, UpstreamState.InFlightRequest flight, PermitOutcome outcome, long now) {
         PermitRequest request = flight.request();
         suspects.ended(request.id());
         switch (outcome.ending()) {
--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -7,7 +7,7 @@
  * @param initialLimit the number of requests that an upstream may run at once before its speed has been measured.
  * @param deadlineMargin the factor by which an estimated time is multiplied before it is compared with a deadline.
  * @param maxReservedShare the greatest share of the slots that is kept free for more urgent tiers.
- * @param slowFactor how many times slower than the median of comparable upstreams an upstream is ejected.
+ * @param slowFactor from how many times the median output time of comparable upstreams on an upstream is ejected.
  * @param failuresToEject how many failures in a row eject an upstream.
  * @param firstEjectionMicros how long the first ejection lasts; each further one in a row is twice as long.
  * @param maxEjectionMicros the longest time that an ejection lasts.
--- a/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
@@ -19,26 +19,25 @@
     private static final double MICROS_PER_SECOND = 1_000_000;
 
     private final double[] meanArrivalGapMicros = new double[Tier.values().length];
-    private final long[] lastArrivalMicros = new long[Tier.values().length];
+    private final long[] lastArrivalAt = new long[Tier.values().length];
     private double meanReleaseGapMicros = MICROS_PER_SECOND;
-    private long lastReleaseMicros;
+    private long lastReleaseAt;
 
     SlotReserve() {
         java.util.Arrays.fill(meanArrivalGapMicros, MICROS_PER_SECOND);
-        java.util.Arrays.fill(lastArrivalMicros, Long.MIN_VALUE / 2);
+        java.util.Arrays.fill(lastArrivalAt, Long.MIN_VALUE / 2);
     }
 
     void arrived(Tier tier, long now) {
         int index = tier.ordinal();
-        double gap = Math.min(MICROS_PER_SECOND, Math.max(1, now - lastArrivalMicros[index]));
+        double gap = Math.min(MICROS_PER_SECOND, Math.max(1, now - lastArrivalAt[index]));
         meanArrivalGapMicros[index] += SMOOTHING * (gap - meanArrivalGapMicros[index]);
-        lastArrivalMicros[index] = now;
+        lastArrivalAt[index] = now;
     }
 
     void released(long now) {
-        meanReleaseGapMicros +=
-                SMOOTHING * (Math.min(MICROS_PER_SECOND, now - lastReleaseMicros) - meanReleaseGapMicros);
-        lastReleaseMicros = now;
+        meanReleaseGapMicros += SMOOTHING * (Math.min(MICROS_PER_SECOND, now - lastReleaseAt) - meanReleaseGapMicros);
+        lastReleaseAt = now;
     }
 
     /**
@@ -51,7 +50,7 @@
         }
         double expectedArrivals = 0;
         for (int index = 0; index < tier.ordinal(); index++) {
-            double gap = Math.max(meanArrivalGapMicros[index], (now - lastArrivalMicros[index]) / 2.0);
+            double gap = Math.max(meanArrivalGapMicros[index], (now - lastArrivalAt[index]) / 2.0);
             expectedArrivals += meanReleaseGapMicros / Math.max(1, gap);
         }
         return (int) Math.min(
--- a/decision/src/main/java/org/radishspur/decision/permit/WaitingRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/WaitingRequest.java
@@ -6,7 +6,11 @@
 final class WaitingRequest {
     final PermitRequest request;
     final long sequence;
+
+    /** The estimated cost by {@link PoolSpeeds#costOf}, in microseconds. */
     final double cost;
+
+    /** The time in microseconds after which the request can no longer meet its deadline. */
     final long latestStart;
 
     /** How often a request of another organisation was granted although this one was first in order. */
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -74,11 +74,11 @@
     /**
      * Learns from a request in flight that has already taken longer than expected.
      *
-     * @param perOutputMicros the time for each token if the request ended now, in microseconds: the least that it can still
-     *     be.
+     * @param minMicrosPerToken the time for each token if the request ended now, in microseconds, which is the least that
+     *     it can still be.
      */
-    public void learnOverdue(double perOutputMicros) {
-        outputMicros += SMOOTHING * Math.max(0, perOutputMicros - outputMicros);
+    public void learnOverdue(double minMicrosPerToken) {
+        outputMicros += SMOOTHING * Math.max(0, minMicrosPerToken - outputMicros);
     }
 
     /**
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -30,7 +30,7 @@
     private static final double MIN_FADING_FACTOR = 0.1;
 
     private final SchedulerOptions options;
-    private final Map<PermitId, InFlight> inFlight = new HashMap<>();
+    private final Map<PermitId, InFlightRequest> inFlight = new HashMap<>();
     private final SpeedEstimate speed;
     private final ConcurrencyLimit limit;
     private final PrefixIndex prefixes;
@@ -175,7 +175,7 @@
      *
      * @return the requests by attempt.
      */
-    public Map<PermitId, InFlight> inFlight() {
+    public Map<PermitId, InFlightRequest> inFlight() {
         return inFlight;
     }
 
@@ -263,7 +263,8 @@
      */
     public void start(PermitRequest request, boolean exclusive, long now) {
         int uncached = uncachedTokens(request.work());
-        inFlight.put(request.id(), new InFlight(request, now, uncached, expectedMicros(request.work()), exclusive));
+        inFlight.put(
+                request.id(), new InFlightRequest(request, now, uncached, expectedMicros(request.work()), exclusive));
         pendingPrefillTokens += uncached;
         runsExclusive |= exclusive;
         recentPeakInFlight = Math.max(recentPeakInFlight, inFlight.size());
@@ -277,7 +278,7 @@
      * @param now the current time in microseconds.
      */
     public void firstToken(PermitId id, long now) {
-        InFlight flight = inFlight.get(id);
+        InFlightRequest flight = inFlight.get(id);
         if (flight != null && !flight.prefilled) {
             markPrefilled(flight);
             if (flight.uncachedTokens > 0) {
@@ -287,14 +288,14 @@
         }
     }
 
-    private void adjustLimit(InFlight flight, int running, long now) {
+    private void adjustLimit(InFlightRequest flight, int running, long now) {
         boolean noneWaiting = reportedNoneWaiting && now - lastReportAt < REPORT_VALID_MICROS;
         if (limit.learn(speed.isCongested(noneWaiting), flight.startedAt, running, now)) {
             speed.resetCongestion();
         }
     }
 
-    private void markPrefilled(InFlight flight) {
+    private void markPrefilled(InFlightRequest flight) {
         if (!flight.prefilled) {
             flight.prefilled = true;
             pendingPrefillTokens -= flight.uncachedTokens;
@@ -307,8 +308,8 @@
      * @param id the attempt.
      * @return the request in flight, or null where the attempt is not known.
      */
-    public InFlight end(PermitId id) {
-        InFlight flight = inFlight.remove(id);
+    public InFlightRequest end(PermitId id) {
+        InFlightRequest flight = inFlight.remove(id);
         if (flight != null) {
             markPrefilled(flight);
             runsExclusive &= !flight.exclusive;
@@ -325,7 +326,7 @@
      * @param outputTokens the number of tokens in the answer.
      * @param now the current time in microseconds.
      */
-    public void learn(InFlight flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
+    public void learn(InFlightRequest flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
         lastMeasuredAt = now;
         speed.learnOutput(flight.uncachedTokens > 0 ? totalMicros - firstTokenMicros : totalMicros, outputTokens);
         adjustLimit(flight, inFlight.size() + 1, now);
@@ -433,7 +434,7 @@
     /**
      * A request in flight.
      */
-    public static final class InFlight {
+    public static final class InFlightRequest {
         private final PermitRequest request;
         private final long startedAt;
         private final int uncachedTokens;
@@ -442,7 +443,8 @@
         private boolean prefilled;
         private boolean overdue;
 
-        InFlight(PermitRequest request, long startedAt, int uncachedTokens, double expectedMicros, boolean exclusive) {
+        InFlightRequest(
+                PermitRequest request, long startedAt, int uncachedTokens, double expectedMicros, boolean exclusive) {
             this.request = request;
             this.startedAt = startedAt;
             this.uncachedTokens = uncachedTokens;
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
@@ -20,9 +20,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class PoolSchedulerTest {
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private long now = SECOND;
+    private long now = MICROS_PER_SECOND;
     private long sequence;
 
     static PoolRow pool(int upstreams, int queueLimit, int concurrency) {
@@ -40,7 +40,13 @@
     private PermitRequest request(Tier tier, String organisation, String fingerprint) {
         PermitId id = new PermitId("entry", 1, ++sequence);
         return new PermitRequest(
-                id, tier, organisation, "route", now + 1_000 * SECOND, new Work(100, 10, List.of()), fingerprint);
+                id,
+                tier,
+                organisation,
+                "route",
+                now + 1_000 * MICROS_PER_SECOND,
+                new Work(100, 10, List.of()),
+                fingerprint);
     }
 
     private static List<PermitAction.Grant> grants(List<PermitAction> actions) {
@@ -272,7 +278,7 @@
         }
 
         private List<PermitAction> crash(long id) {
-            now += 5 * SECOND;
+            now += 5 * MICROS_PER_SECOND;
             scheduler.finish(new PermitId("entry", 1, id), PermitOutcome.of(Ending.CONNECTION_LOST), now);
             return scheduler.decide(now);
         }
@@ -315,7 +321,7 @@
         void aSuspectSharesItsUpstreamWithNoOtherRequest() {
             dispatch("poison");
             crash(1);
-            now += 60 * SECOND;
+            now += 60 * MICROS_PER_SECOND;
             String suspectUpstream = dispatch("poison");
             for (int other = 0; other < 8; other++) {
                 assertThat(dispatch("innocent-" + other)).isNotEqualTo(suspectUpstream);
@@ -326,7 +332,7 @@
         void aSuspectThatIsAnsweredIsCleared() {
             dispatch("neighbour");
             crash(1);
-            now += 60 * SECOND;
+            now += 60 * MICROS_PER_SECOND;
             dispatch("neighbour");
             scheduler.finish(new PermitId("entry", 1, 2), answered(), now);
             assertThat(scheduler.decide(now)).contains(new PermitAction.Cleared("neighbour"));
@@ -410,21 +416,21 @@
             PermitRequest request = request(Tier.NORMAL, "a", "x");
             scheduler.arrive(request, now);
             scheduler.decide(now);
-            scheduler.reconcile("entry", 1, java.util.Set.of(), SECOND, now + SECOND / 2);
+            scheduler.reconcile("entry", 1, java.util.Set.of(), MICROS_PER_SECOND, now + MICROS_PER_SECOND / 2);
             assertThat(scheduler.permitsInUse()).isEqualTo(1);
-            scheduler.reconcile("entry", 1, java.util.Set.of(), SECOND, now + 2 * SECOND);
+            scheduler.reconcile("entry", 1, java.util.Set.of(), MICROS_PER_SECOND, now + 2 * MICROS_PER_SECOND);
             assertThat(scheduler.permitsInUse()).isZero();
         }
 
         @Test
         void aNewOwnerCountsPermitsThatAreStillInUse() {
             PoolScheduler newOwner = scheduler(1, 100, 1);
-            newOwner.holdUntil(now + SECOND);
+            newOwner.holdUntil(now + MICROS_PER_SECOND);
             newOwner.register(request(Tier.NORMAL, "a", "running"), "u0", now);
             newOwner.arrive(request(Tier.NORMAL, "a", "waiting"), now);
-            assertThat(newOwner.decide(now + 2 * SECOND)).isEmpty();
+            assertThat(newOwner.decide(now + 2 * MICROS_PER_SECOND)).isEmpty();
             newOwner.finish(new PermitId("entry", 1, 1), answered(), now);
-            assertThat(grants(newOwner.decide(now + 3 * SECOND))).hasSize(1);
+            assertThat(grants(newOwner.decide(now + 3 * MICROS_PER_SECOND))).hasSize(1);
         }
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
@@ -26,15 +26,15 @@
  */
 class StarvedPoolTest {
     private static final int REQUESTS = 1_000;
-    private static final long MILLI = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final long DEADLINE = 60 * SECOND;
-    private static final long STEP = 25 * MILLI;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long DEADLINE_MICROS = 60 * MICROS_PER_SECOND;
+    private static final long STEP_MICROS = 25 * MICROS_PER_MILLI;
 
     /** Guards against refusing a request with a minute to its deadline because of speeds learnt while the hosts stalled. */
     @Property(tries = 60, seed = "36")
     void noRequestWithAMinuteToItsDeadlineIsRefused(
-            @ForAll @LongRange(min = 0, max = 2_000) long starvedAtMillis,
+            @ForAll @LongRange(min = 0, max = 2_000) long starvedAfterMillis,
             @ForAll @LongRange(min = 0, max = 5_000) long starvedMillis,
             @ForAll @IntRange(min = 1, max = 500) int arrivalGapMicros,
             @ForAll long seed) {
@@ -45,15 +45,17 @@
         PoolScheduler scheduler = new PoolScheduler(
                 new PoolRow("pool", PoolKind.ENGINE, rows, 5_000, 512, Map.of()), SchedulerOptions.STANDARD, "owner");
         Random random = new Random(seed);
-        long begin = SECOND;
-        long starvedFrom = begin + starvedAtMillis * MILLI;
-        long starvedUntil = starvedFrom + starvedMillis * MILLI;
-        PriorityQueue<Answer> running = new PriorityQueue<>(Comparator.comparingLong(Answer::at));
+        long beginAt = MICROS_PER_SECOND;
+        long starvedFrom = beginAt + starvedAfterMillis * MICROS_PER_MILLI;
+        long starvedUntil = starvedFrom + starvedMillis * MICROS_PER_MILLI;
+        PriorityQueue<Answer> running = new PriorityQueue<>(Comparator.comparingLong(Answer::endAt));
         Map<PermitId, Integer> tokens = new HashMap<>();
         List<PermitAction.Refuse> refused = new ArrayList<>();
         int sent = 0;
-        for (long now = begin; now < begin + DEADLINE && (sent < REQUESTS || !running.isEmpty()); now += STEP) {
-            while (sent < REQUESTS && now - begin >= sent * arrivalGapMicros) {
+        for (long now = beginAt;
+                now < beginAt + DEADLINE_MICROS && (sent < REQUESTS || !running.isEmpty());
+                now += STEP_MICROS) {
+            while (sent < REQUESTS && now - beginAt >= sent * arrivalGapMicros) {
                 PermitId id = new PermitId("entry", 1, sent);
                 tokens.put(id, sent % 10 == 0 ? 100 : 1 + sent % 7);
                 scheduler.arrive(
@@ -62,15 +64,15 @@
                                 Tier.NORMAL,
                                 "organisation",
                                 "route",
-                                now + DEADLINE,
+                                now + DEADLINE_MICROS,
                                 new Work(3, 256, List.of()),
                                 "print" + sent),
                         now);
                 sent++;
             }
-            while (!running.isEmpty() && running.peek().at() <= now) {
+            while (!running.isEmpty() && running.peek().endAt() <= now) {
                 Answer answer = running.remove();
-                long total = answer.at() - answer.startedAt();
+                long total = answer.endAt() - answer.startedAt();
                 scheduler.finish(
                         answer.id(),
                         new PermitOutcome(Ending.ANSWERED, total / 4, total, tokens.get(answer.id())),
@@ -80,9 +82,12 @@
                 if (action instanceof PermitAction.Refuse refuse) {
                     refused.add(refuse);
                 } else if (action instanceof PermitAction.Grant grant) {
-                    long usual = 2 * MILLI + tokens.get(grant.id()) * tokenMicros.get(grant.upstream());
-                    boolean starved = now + usual >= starvedFrom && now < starvedUntil;
-                    long end = starved ? starvedUntil + random.nextInt((int) SECOND) + usual : now + usual;
+                    long serviceMicros =
+                            2 * MICROS_PER_MILLI + tokens.get(grant.id()) * tokenMicros.get(grant.upstream());
+                    boolean starved = now + serviceMicros >= starvedFrom && now < starvedUntil;
+                    long end = starved
+                            ? starvedUntil + random.nextInt((int) MICROS_PER_SECOND) + serviceMicros
+                            : now + serviceMicros;
                     running.add(new Answer(grant.id(), now, end));
                 }
             }
@@ -95,7 +100,7 @@
      *
      * @param id the attempt.
      * @param startedAt when it was granted, in microseconds.
-     * @param at when it is complete, in microseconds.
+     * @param endAt when it is complete, in microseconds.
      */
-    private record Answer(PermitId id, long startedAt, long at) {}
+    private record Answer(PermitId id, long startedAt, long endAt) {}
 }
