--- a/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
@@ -32,8 +32,8 @@
     /** Returns the size of a request with the corrected length of its answer. */
     Work correct(PermitRequest request) {
         double factor = factors.getOrDefault(keyOf(request), 1.0);
-        Work work = request.work();
-        return new Work(work.promptTokens(), (int) Math.max(1, work.outputTokens() * factor), work.prefix());
+        Work size = request.work();
+        return new Work(size.promptTokens(), (int) Math.max(1, size.outputTokens() * factor), size.prefix());
     }
 
     void learn(PermitRequest request, int announcedTokens, int outputTokens) {
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -148,14 +148,14 @@
                             MAX_RETRY_AFTER_MILLIS));
             return;
         }
-        Work work = outputLengths.correct(request);
+        Work size = outputLengths.correct(request);
         PermitRequest corrected = new PermitRequest(
                 request.id(),
                 request.tier(),
                 request.organisation(),
                 request.route(),
                 request.deadlineAt(),
-                work,
+                size,
                 request.fingerprint());
         announcedOutputTokens.put(request.id(), request.work().outputTokens());
         admit(corrected, now);
@@ -657,9 +657,9 @@
      * Returns the shortest time that an upstream of the pool takes for a request. It is 0 as long as the speed of any
      * upstream is unknown: a refusal based on a guess would keep that upstream from ever being measured.
      */
-    private double shortestServiceMicros(Work work, long now) {
+    private double shortestServiceMicros(Work size, long now) {
         speeds.refreshIfStale(upstreams.values(), now);
-        return speeds.shortestServiceMicros(work, now);
+        return speeds.shortestServiceMicros(size, now);
     }
 
     /** Returns the expected wait of a new request of a tier, or 0 as long as no upstream has been measured. */
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -93,18 +93,18 @@
      * of its prompt is cached. Returns 0 as long as the speed of any upstream is unknown, and {@link Double#MAX_VALUE}
      * where there is no upstream.
      */
-    double shortestServiceMicros(Work work, long now) {
+    double shortestServiceMicros(Work size, long now) {
         if (fastestFirst.isEmpty()) {
             return Double.MAX_VALUE;
         }
         if (anyUnmeasured) {
             return 0;
         }
-        int uncached = (int) Math.ceil(work.promptTokens() * (1 - meanCachedShare));
+        int uncached = (int) Math.ceil(size.promptTokens() * (1 - meanCachedShare));
         double fastest = Double.MAX_VALUE;
         for (int index = 0; index < Math.min(FASTEST_COMPARED, fastestFirst.size()); index++) {
             UpstreamState upstream = fastestFirst.get(index);
-            fastest = Math.min(fastest, upstream.serviceMicros(uncached, work.outputTokens(), now));
+            fastest = Math.min(fastest, upstream.serviceMicros(uncached, size.outputTokens(), now));
         }
         return fastest;
     }
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -182,27 +182,27 @@
     /**
      * Estimates how many prompt tokens the upstream would have to compute for a request.
      *
-     * @param work the size of the request.
+     * @param size the size of the request.
      * @return the number of tokens, at least 1 where there is a prompt.
      */
-    public int uncachedTokens(Work work) {
-        if (work.promptTokens() == 0) {
+    public int uncachedTokens(Work size) {
+        if (size.promptTokens() == 0) {
             return 0;
         }
-        double cached = options.reusesPrefixes() ? prefixes.cachedBlocks(work.prefix()) * Work.BLOCK_TOKENS : 0;
-        return (int) Math.max(1, work.promptTokens() - cached);
+        double cached = options.reusesPrefixes() ? prefixes.cachedBlocks(size.prefix()) * Work.BLOCK_TOKENS : 0;
+        return (int) Math.max(1, size.promptTokens() - cached);
     }
 
     /**
      * Estimates how long a request would take if it were dispatched now, after the prompts that the upstream has yet to
      * compute.
      *
-     * @param work the size of the request.
+     * @param size the size of the request.
      * @return the time in microseconds.
      */
-    public double expectedMicros(Work work) {
+    public double expectedMicros(Work size) {
         int ahead = pendingPrefillTokens;
-        return speed.expectedMicros(uncachedTokens(work) + ahead, work.outputTokens());
+        return speed.expectedMicros(uncachedTokens(size) + ahead, size.outputTokens());
     }
 
     /**
@@ -213,24 +213,24 @@
      * start, would exclude it permanently. Therefore the rating of an idle upstream improves with the time since its last
      * measurement.
      *
-     * @param work the size of the request.
+     * @param size the size of the request.
      * @param now the current time in microseconds.
      * @return the time in microseconds.
      */
-    public double selectionMicros(Work work, long now) {
+    public double selectionMicros(Work size, long now) {
         // Computing a prompt delays all other requests of the batch, which costs the pool more than the request itself.
-        double delay = uncachedTokens(work) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
-        return (expectedMicros(work) + delay) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
+        double delay = uncachedTokens(size) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
+        return (expectedMicros(size) + delay) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
     }
 
     /**
      * Estimates the share of a prompt that is in the upstream's cache.
      *
-     * @param work the size of the request.
+     * @param size the size of the request.
      * @return the share, 0 where there is no prompt.
      */
-    public double cachedShare(Work work) {
-        return work.promptTokens() == 0 ? 0 : 1 - uncachedTokens(work) / (double) work.promptTokens();
+    public double cachedShare(Work size) {
+        return size.promptTokens() == 0 ? 0 : 1 - uncachedTokens(size) / (double) size.promptTokens();
     }
 
     /**
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
@@ -61,7 +61,7 @@
 
         private void applyRandomEvent() {
             switch (random.nextInt(16)) {
-                case 0, 1, 2, 3, 4, 5, 6 -> arrive();
+                case 0, 1, 2, 3, 4, 5, 6 -> submit();
                 case 7, 8, 9, 10, 11 -> finishOne();
                 case 12 -> cancelOne();
                 case 13 -> resendOne();
@@ -70,13 +70,13 @@
             }
         }
 
-        private void arrive() {
+        private void submit() {
             PermitId id = new PermitId("entry-" + random.nextInt(3), 1, ++sequence);
             Tier tier = Tier.values()[random.nextInt(Tier.values().length)];
             long deadline = now + 10_000 + random.nextInt(2_000_000);
-            Work work = new Work(random.nextInt(2_000), 1 + random.nextInt(100), List.of((long) random.nextInt(9)));
+            Work size = new Work(random.nextInt(2_000), 1 + random.nextInt(100), List.of((long) random.nextInt(9)));
             PermitRequest request = new PermitRequest(
-                    id, tier, "o" + random.nextInt(4), "r", deadline, work, "f" + random.nextInt(5_000));
+                    id, tier, "o" + random.nextInt(4), "r", deadline, size, "f" + random.nextInt(5_000));
             waiting.put(id, request);
             sent.put(id, request);
             scheduler.arrive(request, now);
