--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -144,7 +144,7 @@
                     request.id(),
                     Refusal.notRun(
                             RefusalReason.CRASH_SUSPECT,
-                            "The request was in flight at several upstream crashes.",
+                            "The request was in flight at repeated crashes.",
                             MAX_RETRY_AFTER_MILLIS));
             return;
         }
@@ -371,7 +371,7 @@
                         waiting.request.id(),
                         Refusal.notRun(
                                 RefusalReason.CRASH_SUSPECT,
-                                "The request was in flight at several upstream crashes.",
+                                "The request was in flight at repeated crashes.",
                                 MAX_RETRY_AFTER_MILLIS));
             }
         }
@@ -477,7 +477,9 @@
     private void admit(PermitRequest request, long now) {
         double service = shortestServiceMicros(request.work(), now);
         if (service == Double.MAX_VALUE) {
-            refuse(request.id(), Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool has no usable upstream.", 1_000));
+            refuse(
+                    request.id(),
+                    Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool has no upstream to give work to.", 1_000));
             return;
         }
         double cost = costOf(request.work().promptTokens(), request.work().outputTokens());
@@ -508,8 +510,8 @@
     }
 
     private void refuseForDeadline(PermitRequest request, long now) {
-        String detail = "The request can't be finished within the remaining "
-                + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms.";
+        String detail = "The request can't be finished within the "
+                + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms that it has left.";
         refuse(
                 request.id(),
                 Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryAfterMillis(request.tier())));
