--- a/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
@@ -20,11 +20,11 @@
     private static final long RATE_WINDOW_MILLIS = 1_000;
 
     /** The rate that counts where nothing was released lately, in slots a second. */
-    private static final double LEAST_RATE = 2;
+    private static final double MIN_RELEASES_PER_SECOND = 2;
 
     private final TreeSet<QueuedRequest> requests = new TreeSet<>(Comparator.comparing(QueuedRequest::isLate)
             .thenComparingInt(QueuedRequest::rank)
-            .thenComparing(Comparator.comparingDouble(QueuedRequest::value).reversed())
+            .thenComparing(Comparator.comparingDouble(QueuedRequest::slotValue).reversed())
             .thenComparingLong(QueuedRequest::queueingDeadline)
             .thenComparingLong(QueuedRequest::sequence));
     private final Deque<Long> releases = new ArrayDeque<>();
@@ -38,9 +38,9 @@
      *
      * @param now the clock in milliseconds.
      */
-    public void released(long now) {
+    public void recordRelease(long now) {
         releases.addLast(now);
-        forget(now);
+        removeOldReleases(now);
     }
 
     /**
@@ -50,9 +50,9 @@
      * @param now the clock in milliseconds.
      * @return the time in milliseconds.
      */
-    public long expectedWait(QueuedRequest queued, long now) {
-        forget(now);
-        double rate = Math.max(LEAST_RATE, releases.size() * 1_000.0 / RATE_WINDOW_MILLIS);
+    public long expectedWaitMillis(QueuedRequest queued, long now) {
+        removeOldReleases(now);
+        double rate = Math.max(MIN_RELEASES_PER_SECOND, releases.size() * 1_000.0 / RATE_WINDOW_MILLIS);
         int ahead = requests.headSet(queued, false).size();
         return (long) ((ahead + 1) * 1_000 / rate);
     }
@@ -72,8 +72,8 @@
      * @param queued the request.
      * @param value what a slot is worth to it.
      */
-    public void enter(QueuedRequest queued, double value) {
-        queued.enter(++nextSequence, value);
+    public void assignPosition(QueuedRequest queued, double value) {
+        queued.assignPosition(++nextSequence, value);
     }
 
     /**
@@ -92,7 +92,7 @@
      * @param now the clock in milliseconds.
      * @return the requests.
      */
-    public List<QueuedRequest> expire(long now) {
+    public List<QueuedRequest> removeExpired(long now) {
         List<QueuedRequest> expired = new ArrayList<>();
         for (Iterator<QueuedRequest> each = requests.iterator(); each.hasNext(); ) {
             QueuedRequest queued = each.next();
@@ -122,7 +122,7 @@
         return requests.size();
     }
 
-    private void forget(long now) {
+    private void removeOldReleases(long now) {
         while (!releases.isEmpty() && releases.peekFirst() <= now - RATE_WINDOW_MILLIS) {
             releases.removeFirst();
         }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/ColdLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/ColdStartLimit.java
@@ -9,41 +9,41 @@
  *
  * <p>Guards against an upstream that crashes again as soon as it is back, since everybody sends to the one that is empty.
  */
-final class ColdLimit {
+final class ColdStartLimit {
     private static final long SECOND_MILLIS = 1_000;
 
     private final ColdStart rule;
-    private final long[] latest;
-    private int next;
-    private long until = Long.MIN_VALUE / 2;
+    private final long[] recentSendTimes;
+    private int nextIndex;
+    private long possiblyColdUntil = Long.MIN_VALUE / 2;
 
     /**
      * Creates the limit of an upstream that is warm.
      *
      * @param rule what upstreams of the pool bear.
      */
-    ColdLimit(ColdStart rule) {
+    ColdStartLimit(ColdStart rule) {
         this.rule = rule;
-        latest = new long[rule.isLimited() ? Math.max(1, (int) rule.requestsPerSecond()) : 0];
-        Arrays.fill(latest, Long.MIN_VALUE / 2);
+        recentSendTimes = new long[rule.isLimited() ? Math.max(1, (int) rule.requestsPerSecond()) : 0];
+        Arrays.fill(recentSendTimes, Long.MIN_VALUE / 2);
     }
 
     /** Notes that the upstream may have become cold just now. */
-    void mayHaveStarted(long now) {
-        until = Math.max(until, now + rule.millis());
+    void recordPossibleRestart(long now) {
+        possiblyColdUntil = Math.max(possiblyColdUntil, now + rule.millis());
     }
 
     /** Notes that a request is sent. */
-    void began(long now) {
+    void recordSent(long now) {
         if (rule.isLimited()) {
-            latest[next] = now;
-            next = (next + 1) % latest.length;
+            recentSendTimes[nextIndex] = now;
+            nextIndex = (nextIndex + 1) % recentSendTimes.length;
         }
     }
 
     /** Returns whether the upstream may still be cold, whatever the host list says. */
-    boolean isSuspected(long now) {
-        return rule.isLimited() && now < until;
+    boolean mayBeCold(long now) {
+        return rule.isLimited() && now < possiblyColdUntil;
     }
 
     /** Returns whether upstreams of the pool may be cold at all. */
@@ -53,6 +53,6 @@
 
     /** Returns whether one more request stays within what a cold upstream bears. */
     boolean allows(long now) {
-        return !rule.isLimited() || now - latest[next] >= SECOND_MILLIS;
+        return !rule.isLimited() || now - recentSendTimes[nextIndex] >= SECOND_MILLIS;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/FirstByteModel.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/FirstByteModel.java
@@ -6,13 +6,13 @@
  */
 final class FirstByteModel {
     /** What remains of the weight of an answer when the next one comes; some thirty answers make up the line. */
-    private static final double REMAINS = 0.97;
+    private static final double DECAY_PER_ANSWER = 0.97;
 
     /** With fewer answers than this the line is not used. */
-    private static final double LEAST_WEIGHT = 4;
+    private static final double MIN_WEIGHT = 4;
 
     /** With so many answers the line is taken for upstreams that have given none of them. */
-    private static final double GOOD_WEIGHT = 20;
+    private static final double MIN_POOL_WEIGHT = 20;
 
     private double weight;
     private double sumTokens;
@@ -21,20 +21,20 @@
     private double sumProducts;
 
     void add(double tokens, double millis) {
-        weight = weight * REMAINS + 1;
-        sumTokens = sumTokens * REMAINS + tokens;
-        sumMillis = sumMillis * REMAINS + millis;
-        sumTokensSquared = sumTokensSquared * REMAINS + tokens * tokens;
-        sumProducts = sumProducts * REMAINS + tokens * millis;
+        weight = weight * DECAY_PER_ANSWER + 1;
+        sumTokens = sumTokens * DECAY_PER_ANSWER + tokens;
+        sumMillis = sumMillis * DECAY_PER_ANSWER + millis;
+        sumTokensSquared = sumTokensSquared * DECAY_PER_ANSWER + tokens * tokens;
+        sumProducts = sumProducts * DECAY_PER_ANSWER + tokens * millis;
     }
 
     /** Returns whether so many answers are known that the line is good for upstreams that have given none of them. */
-    boolean isWellKnown() {
-        return weight >= GOOD_WEIGHT;
+    boolean isKnownForPool() {
+        return weight >= MIN_POOL_WEIGHT;
     }
 
     boolean isKnown() {
-        return weight >= LEAST_WEIGHT;
+        return weight >= MIN_WEIGHT;
     }
 
     /** Returns the expected time in milliseconds. */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/Average.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/MovingAverage.java
@@ -3,7 +3,7 @@
 /**
  * Follows a quantity by an exponentially weighted average; the first samples count fully, so that it is of use at once.
  */
-final class Average {
+final class MovingAverage {
     private final double weight;
     private double value;
     private long samples;
@@ -13,7 +13,7 @@
      *
      * @param weight the part of the newest sample once many have come, from 0 to 1.
      */
-    Average(double weight) {
+    MovingAverage(double weight) {
         this.weight = weight;
     }
 
--- a/decision/src/main/java/org/radishspur/decision/dispatch/PoolDispatcher.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/PoolDispatcher.java
@@ -13,20 +13,20 @@
  */
 public final class PoolDispatcher {
     /** The least Retry-After, in milliseconds; sooner nothing has changed. */
-    private static final long LEAST_RETRY_AFTER_MILLIS = 150;
+    private static final long MIN_RETRY_AFTER_MILLIS = 150;
 
     /** The scan for a request that can be granted stops after this many failures; the rest would fare no better. */
-    private static final int LONGEST_SCAN = 3;
+    private static final int MAX_FAILED_GRANTS = 3;
 
     /**
      * The part of the slots that a request leaves free for those to which a slot is worth a tier more. Several schedulers
      * take slots at once, so that the order of one queue doesn't keep tiers apart; a few free slots do, because one
      * becomes free somewhere every few milliseconds.
      */
-    private static final double RESERVED_PER_TIER = 0.04;
+    private static final double RESERVED_SHARE_PER_TIER = 0.04;
 
     private final UpstreamPool upstreams;
-    private final SlotValues values = new SlotValues();
+    private final SlotValues slotValues = new SlotValues();
     private final AdmissionQueue queue = new AdmissionQueue();
 
     /**
@@ -64,16 +64,16 @@
      * @return what becomes of it.
      */
     public Decision offer(QueuedRequest queued, long now) {
-        values.seen(queued.work().tier());
-        queue.enter(queued, values.of(queued));
+        slotValues.addTier(queued.work().tier());
+        queue.assignPosition(queued, slotValues.valueFor(queued));
         Optional<UpstreamLoad> free = findSlot(queued, now);
         if (free.isPresent()) {
-            return granted(queued, free.get(), now);
+            return grant(queued, free.get(), now);
         }
-        long wait = queue.expectedWait(queued, now);
+        long wait = queue.expectedWaitMillis(queued, now);
         if (now + wait > queued.queueingDeadline()) {
             return new Decision.Refused(
-                    queued, Math.max(LEAST_RETRY_AFTER_MILLIS, wait), queue.size(), upstreams.slots(now));
+                    queued, Math.max(MIN_RETRY_AFTER_MILLIS, wait), queue.size(), upstreams.slots(now));
         }
         queue.add(queued);
         return new Decision.Waits(queued, wait);
@@ -87,18 +87,18 @@
      */
     public List<Decision> advance(long now) {
         List<Decision> decisions = new ArrayList<>();
-        for (QueuedRequest expired : queue.expire(now)) {
-            long wait = queue.expectedWait(expired, now);
+        for (QueuedRequest expired : queue.removeExpired(now)) {
+            long wait = queue.expectedWaitMillis(expired, now);
             decisions.add(new Decision.Refused(
-                    expired, Math.max(LEAST_RETRY_AFTER_MILLIS, wait), queue.size(), upstreams.slots(now)));
+                    expired, Math.max(MIN_RETRY_AFTER_MILLIS, wait), queue.size(), upstreams.slots(now)));
         }
         int failed = 0;
         for (QueuedRequest queued : queue.inOrder()) {
             Optional<UpstreamLoad> free = findSlot(queued, now);
             if (free.isPresent()) {
                 queue.remove(queued);
-                decisions.add(granted(queued, free.get(), now));
-            } else if (++failed == LONGEST_SCAN) {
+                decisions.add(grant(queued, free.get(), now));
+            } else if (++failed == MAX_FAILED_GRANTS) {
                 break;
             }
         }
@@ -114,7 +114,7 @@
      */
     public void release(UpstreamLoad upstream, QueuedRequest queued, long now) {
         upstream.ended(queued);
-        queue.released(now);
+        queue.recordRelease(now);
     }
 
     /**
@@ -124,8 +124,8 @@
      * @param millis how long it has held its slot.
      */
     public void answered(QueuedRequest queued, long millis) {
-        values.held(queued.work().tier(), millis);
-        upstreams.held(millis);
+        slotValues.recordHold(queued.work().tier(), millis);
+        upstreams.recordHold(millis);
     }
 
     /**
@@ -141,10 +141,10 @@
     private Optional<UpstreamLoad> findSlot(QueuedRequest queued, long now) {
         // Guards against a burst that refused callers retry into: an answer on time is worth several late
         // ones, and each slot that a late one takes makes another caller late.
-        return upstreams.choose(queued, RESERVED_PER_TIER * values.stepsBehindBest(queued), now);
+        return upstreams.choose(queued, RESERVED_SHARE_PER_TIER * slotValues.tiersBehindBest(queued), now);
     }
 
-    private static Decision granted(QueuedRequest queued, UpstreamLoad upstream, long now) {
+    private static Decision grant(QueuedRequest queued, UpstreamLoad upstream, long now) {
         upstream.began(queued, queued.unreadTokens(), now);
         return new Decision.Granted(queued, upstream);
     }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/PrefixAffinity.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/PrefixAffinity.java
@@ -17,13 +17,13 @@
     INSTANCE;
 
     /** How many engines keep a prefix; with two, requests for a popular one have a second engine when the first is full. */
-    private static final int REPLICAS = 2;
+    private static final int UPSTREAMS_PER_PREFIX = 2;
 
     /** Returns the upstreams that should keep a prefix. */
-    List<UpstreamLoad> affine(QueuedRequest.Prefix prefix, Collection<UpstreamLoad> among) {
-        return among.stream()
+    List<UpstreamLoad> affinityTargets(QueuedRequest.Prefix prefix, Collection<UpstreamLoad> candidates) {
+        return candidates.stream()
                 .sorted(Comparator.comparingInt(load -> RendezvousWeight.INSTANCE.of(prefix.id(), load.run())))
-                .limit(REPLICAS)
+                .limit(UPSTREAMS_PER_PREFIX)
                 .toList();
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/QueuedRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QueuedRequest.java
@@ -13,11 +13,11 @@
     private final long queueingDeadline;
     private final VersionRule versions;
     private final Work work;
-    private final Set<String> avoided = new HashSet<>();
-    private String preferredDomain = "";
+    private final Set<String> avoidedRuns = new HashSet<>();
+    private String entryDomain = "";
     private long sequence;
-    private double value;
-    private long keptTokens;
+    private double slotValue;
+    private long cachedTokens;
 
     /**
      * Creates a request.
@@ -45,7 +45,7 @@
      * @param run the run of the upstream.
      */
     public void avoid(String run) {
-        avoided.add(run);
+        avoidedRuns.add(run);
     }
 
     /**
@@ -54,11 +54,11 @@
      * @param failureDomain the failure domain; empty for that of the scheduler.
      */
     public void prefer(String failureDomain) {
-        preferredDomain = failureDomain;
+        entryDomain = failureDomain;
     }
 
-    String preferredDomainOr(String other) {
-        return preferredDomain.isEmpty() ? other : preferredDomain;
+    String entryDomainOr(String defaultDomain) {
+        return entryDomain.isEmpty() ? defaultDomain : entryDomain;
     }
 
     /**
@@ -94,11 +94,11 @@
      * @return the tokens that it doesn't keep.
      */
     public long unreadTokens() {
-        return work.promptTokens() - keptTokens;
+        return work.promptTokens() - cachedTokens;
     }
 
-    void expectKept(long tokens) {
-        keptTokens = tokens;
+    void setCachedTokens(long tokens) {
+        cachedTokens = tokens;
     }
 
     long queueingDeadline() {
@@ -129,7 +129,7 @@
     }
 
     boolean avoids(String run) {
-        return avoided.contains(run);
+        return avoidedRuns.contains(run);
     }
 
     long sequence() {
@@ -137,13 +137,13 @@
     }
 
     /** Returns what a slot was worth to the request when it came. */
-    double value() {
-        return value;
+    double slotValue() {
+        return slotValue;
     }
 
-    void enter(long number, double slotValue) {
+    void assignPosition(long number, double newValue) {
         sequence = number;
-        value = slotValue;
+        slotValue = newValue;
     }
 
     /**
@@ -191,10 +191,10 @@
         public static final Prefix NONE = new Prefix("", 0);
 
         /** With fewer tokens than this a prefix is read again in a few milliseconds, and no engine is preferred for it. */
-        private static final long LEAST_TOKENS = 500;
+        private static final long MIN_CACHED_TOKENS = 500;
 
-        boolean isWorthKeeping() {
-            return tokens >= LEAST_TOKENS;
+        boolean isWorthCaching() {
+            return tokens >= MIN_CACHED_TOKENS;
         }
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
@@ -18,45 +18,45 @@
      * How long after its own first event a scheduler takes the first reports of peers for use before its start, in
      * milliseconds; links to all peers are made well within it.
      */
-    private static final long STARTING_MILLIS = 2_000;
+    private static final long STARTUP_MILLIS = 2_000;
 
     /**
      * The share of a bucket that late requests leave to those that can still be on time. Guards against a shortage in which
      * the refused retry and take what fresh ones need, so that these are refused and late in turn.
      */
-    private static final double LATE_SHARE = 0.25;
+    private static final double ON_TIME_RESERVE_SHARE = 0.25;
 
     /**
      * The share of a limit that all schedulers together keep for small requests. Guards against an organisation whose short calls
      * are refused because its own long prompts have used its limit up, though all of them together would take a small part.
      */
-    private static final double SMALL_SHARE = 0.2;
+    private static final double SMALL_REQUEST_SHARE = 0.2;
 
     /** What the kept share may gather to at one scheduler, in milliseconds of it; each exceeds the limit once by no more. */
-    private static final long SMALL_GATHERING_MILLIS = 50;
+    private static final long SMALL_RESERVE_MILLIS = 50;
 
     /** A request is small whose cost is less than this part of the organisation's usual one. */
-    private static final double SMALL_COST_PART = 0.25;
+    private static final double SMALL_COST_RATIO = 0.25;
 
     /** The part of the newest cost in the average; some hundred requests outweigh the older ones. */
-    private static final double COST_WEIGHT = 0.01;
+    private static final double COST_AVERAGE_WEIGHT = 0.01;
 
     /**
      * After so long without a report of a peer, its use meanwhile is taken as at a start, in milliseconds; all use is reported
      * several times a second.
      */
-    private static final long SILENCE_MILLIS = 900;
+    private static final long PEER_SILENCE_MILLIS = 900;
 
     /** How much is owed at most after a start, in milliseconds of the rate: half a round of reports. */
-    private static final long STARTING_DEBT_MILLIS = 20;
+    private static final long STARTUP_DEBT_MILLIS = 20;
 
     private static final long NOT_STARTED = Long.MIN_VALUE;
 
     private final Tolerance tolerance;
     private long startedAt = NOT_STARTED;
     private final Map<String, Bucket> buckets = new HashMap<>();
-    private final Map<String, Long> usedHere = new HashMap<>();
-    private final Map<String, Map<String, Use>> peerUse = new HashMap<>();
+    private final Map<String, Long> localUse = new HashMap<>();
+    private final Map<String, Map<String, PeerUse>> peerUse = new HashMap<>();
 
     /**
      * Creates a ledger without use.
@@ -80,17 +80,17 @@
         if (organisation.ratePerSecond() <= 0) {
             return Optional.empty();
         }
-        noteStart(now);
+        recordStart(now);
         Bucket bucket = bucketOf(organisation, now);
-        double left = late ? capacity(organisation) * LATE_SHARE : 0;
+        double minLevel = late ? capacity(organisation) * ON_TIME_RESERVE_SHARE : 0;
         boolean small = bucket.isSmall(cost);
         bucket.costs.add(cost);
-        if (bucket.level <= left && !(small && bucket.takeKept(cost))) {
+        if (bucket.level <= minLevel && !(small && bucket.takeFromSmallReserve(cost))) {
             double rate = organisation.ratePerSecond() / 1_000;
-            return Optional.of((long) Math.ceil((left + cost - bucket.level) / rate));
+            return Optional.of((long) Math.ceil((minLevel + cost - bucket.level) / rate));
         }
         bucket.level -= cost;
-        usedHere.merge(organisation.name(), (long) cost, Long::sum);
+        localUse.merge(organisation.name(), (long) cost, Long::sum);
         return Optional.empty();
     }
 
@@ -104,7 +104,7 @@
         Bucket bucket = buckets.get(organisation.name());
         if (bucket != null && organisation.ratePerSecond() > 0) {
             bucket.level += cost;
-            usedHere.merge(organisation.name(), -(long) cost, Long::sum);
+            localUse.merge(organisation.name(), -(long) cost, Long::sum);
         }
     }
 
@@ -114,7 +114,7 @@
      * @return the use by organisation.
      */
     public Map<String, Long> usedHere() {
-        return usedHere;
+        return localUse;
     }
 
     /**
@@ -126,22 +126,22 @@
      * @param now the clock in milliseconds.
      */
     public void recordPeerUse(String peer, OrganisationRule organisation, long total, long now) {
-        Map<String, Use> seen = peerUse.computeIfAbsent(peer, key -> new HashMap<>());
-        Use before = seen.put(organisation.name(), new Use(total, now));
+        Map<String, PeerUse> peerUses = peerUse.computeIfAbsent(peer, key -> new HashMap<>());
+        PeerUse previous = peerUses.put(organisation.name(), new PeerUse(total, now));
         if (organisation.ratePerSecond() <= 0) {
             return;
         }
         Bucket bucket = bucketOf(organisation, now);
-        if (before != null && now - before.at() <= SILENCE_MILLIS) {
-            bucket.level -= total - before.total();
+        if (previous != null && now - previous.reportedAt() <= PEER_SILENCE_MILLIS) {
+            bucket.level -= total - previous.total();
             return;
         }
         // A first report sums up all that the peer has admitted so far; of that, no more than a whole bucket can still
         // be
         // missing here.
-        double missing = Math.min(total - (before == null ? 0 : before.total()), capacity(organisation));
-        boolean longAgo = before != null || isStarting(now);
-        bucket.level -= longAgo ? Math.min(missing, owedAtMost(organisation, bucket)) : missing;
+        double unseenUse = Math.min(total - (previous == null ? 0 : previous.total()), capacity(organisation));
+        boolean mayBeOld = previous != null || isStartingUp(now);
+        bucket.level -= mayBeOld ? Math.min(unseenUse, maxCatchUpCost(organisation, bucket)) : unseenUse;
     }
 
     /**
@@ -150,20 +150,20 @@
      * <p>Guards against refusing what is within the limit: a scheduler that has just started, or was cut off, receives the whole
      * use of each peer at once, and would owe seconds of the rate. It goes on with a bucket that is just empty instead.
      */
-    private static double owedAtMost(OrganisationRule organisation, Bucket bucket) {
-        double debt = organisation.ratePerSecond() * STARTING_DEBT_MILLIS / 1_000;
+    private static double maxCatchUpCost(OrganisationRule organisation, Bucket bucket) {
+        double debt = organisation.ratePerSecond() * STARTUP_DEBT_MILLIS / 1_000;
         return Math.max(0, bucket.level + debt);
     }
 
-    private void noteStart(long now) {
+    private void recordStart(long now) {
         if (startedAt == NOT_STARTED) {
             startedAt = now;
         }
     }
 
-    private boolean isStarting(long now) {
-        noteStart(now);
-        return now - startedAt < STARTING_MILLIS;
+    private boolean isStartingUp(long now) {
+        recordStart(now);
+        return now - startedAt < STARTUP_MILLIS;
     }
 
     private Bucket bucketOf(OrganisationRule organisation, long now) {
@@ -174,16 +174,16 @@
             bucket = new Bucket(capacity, now);
             buckets.put(organisation.name(), bucket);
         }
-        bucket.refill(rate, capacity, SMALL_SHARE / schedulersOf(organisation, now), now);
+        bucket.refill(rate, capacity, SMALL_REQUEST_SHARE / countSchedulers(organisation, now), now);
         return bucket;
     }
 
     /** Counts the schedulers that admit requests of an organisation: this one, and the peers that report its use. */
-    private int schedulersOf(OrganisationRule organisation, long now) {
+    private int countSchedulers(OrganisationRule organisation, long now) {
         int count = 1;
-        for (Map<String, Use> uses : peerUse.values()) {
-            Use use = uses.get(organisation.name());
-            if (use != null && now - use.at() <= SILENCE_MILLIS) {
+        for (Map<String, PeerUse> uses : peerUse.values()) {
+            PeerUse use = uses.get(organisation.name());
+            if (use != null && now - use.reportedAt() <= PEER_SILENCE_MILLIS) {
                 count++;
             }
         }
@@ -209,38 +209,38 @@
      * Holds what a peer has reported.
      *
      * @param total what it has admitted since it started.
-     * @param at when it reported that, in milliseconds.
+     * @param reportedAt when it reported that, in milliseconds.
      */
-    private record Use(long total, long at) {}
+    private record PeerUse(long total, long reportedAt) {}
 
     /** Holds what is left of one limit. */
     private static final class Bucket {
-        private final Average costs = new Average(COST_WEIGHT);
+        private final MovingAverage costs = new MovingAverage(COST_AVERAGE_WEIGHT);
         private double level;
-        private double kept;
-        private long filledAt;
+        private double smallReserve;
+        private long refilledAt;
 
         Bucket(double level, long now) {
             this.level = level;
-            this.filledAt = now;
+            this.refilledAt = now;
         }
 
         void refill(double rate, double capacity, double smallShare, long now) {
-            double refilled = rate * Math.max(0, now - filledAt) / 1_000;
+            double refilled = rate * Math.max(0, now - refilledAt) / 1_000;
             level = Math.min(capacity, level + refilled);
-            double mostKept = rate * SMALL_SHARE * SMALL_GATHERING_MILLIS / 1_000;
-            kept = Math.min(mostKept, kept + refilled * smallShare);
-            filledAt = now;
+            double maxSmallReserve = rate * SMALL_REQUEST_SHARE * SMALL_RESERVE_MILLIS / 1_000;
+            smallReserve = Math.min(maxSmallReserve, smallReserve + refilled * smallShare);
+            refilledAt = now;
         }
 
         boolean isSmall(double cost) {
-            return costs.isKnown() && cost < costs.value() * SMALL_COST_PART;
+            return costs.isKnown() && cost < costs.value() * SMALL_COST_RATIO;
         }
 
         /** Takes a cost out of what is kept for small requests, and returns whether there was enough. */
-        boolean takeKept(double cost) {
-            boolean enough = kept >= cost;
-            kept -= enough ? cost : 0;
+        boolean takeFromSmallReserve(double cost) {
+            boolean enough = smallReserve >= cost;
+            smallReserve -= enough ? cost : 0;
             return enough;
         }
     }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/RendezvousWeight.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RendezvousWeight.java
@@ -13,7 +13,7 @@
     /** Spreads hash codes that differ in their last bits only, as Knuth's multiplicative hashing does. */
     private static final int GOLDEN_RATIO = 0x9E3779B9;
 
-    private static final int UPPER_HALF = 15;
+    private static final int UPPER_HALF_SHIFT = 15;
 
     /**
      * Returns the weight of a candidate; the least one is chosen.
@@ -24,6 +24,6 @@
      */
     public int of(String key, String candidate) {
         int mixed = (key.hashCode() * KEY_FACTOR + candidate.hashCode()) * GOLDEN_RATIO;
-        return (mixed ^ mixed >>> UPPER_HALF) * GOLDEN_RATIO;
+        return (mixed ^ mixed >>> UPPER_HALF_SHIFT) * GOLDEN_RATIO;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/ReportStaleness.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/ReportStaleness.java
@@ -6,21 +6,21 @@
  */
 final class ReportStaleness {
     /** How old the reports of other schedulers are at most, in milliseconds: a round of reports. */
-    private static final long REPORT_MILLIS = 40;
+    private static final long MAX_REPORT_AGE_MILLIS = 40;
 
     /** The part of the usual holding time for which a slot in another failure domain may be left empty at most. */
-    private static final double LARGEST_SPACING_PART = 1.0 / 6;
+    private static final double MAX_SPACING_RATIO = 1.0 / 6;
 
     /** The part of the newest time in the average of holding times; some fifty requests outweigh the older ones. */
-    private static final double HOLD_WEIGHT = 0.02;
+    private static final double HOLD_AVERAGE_WEIGHT = 0.02;
 
     /** So many answers tell the usual holding time; the first ones are the short ones. */
-    private static final long LEAST_HOLDS = 100;
+    private static final long MIN_HOLD_SAMPLES = 100;
 
-    private final Average holdMillis = new Average(HOLD_WEIGHT);
+    private final MovingAverage holdMillis = new MovingAverage(HOLD_AVERAGE_WEIGHT);
 
     /** Notes for how long a request that was answered has held its slot. */
-    void held(long millis) {
+    void recordHold(long millis) {
         holdMillis.add(Math.max(1, millis));
     }
 
@@ -30,8 +30,8 @@
      */
     long spacingMillis() {
         return isHoldKnown()
-                ? Math.min(REPORT_MILLIS, (long) (holdMillis.value() * LARGEST_SPACING_PART))
-                : REPORT_MILLIS;
+                ? Math.min(MAX_REPORT_AGE_MILLIS, (long) (holdMillis.value() * MAX_SPACING_RATIO))
+                : MAX_REPORT_AGE_MILLIS;
     }
 
     /**
@@ -42,10 +42,10 @@
      * @param slots the slots of the upstream.
      */
     int unreportedReleases(int slots) {
-        return isHoldKnown() ? (int) (slots * Math.min(1, REPORT_MILLIS / holdMillis.value())) : 0;
+        return isHoldKnown() ? (int) (slots * Math.min(1, MAX_REPORT_AGE_MILLIS / holdMillis.value())) : 0;
     }
 
     private boolean isHoldKnown() {
-        return holdMillis.samples() >= LEAST_HOLDS;
+        return holdMillis.samples() >= MIN_HOLD_SAMPLES;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/RolloutJudge.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RolloutJudge.java
@@ -10,13 +10,13 @@
     INSTANCE;
 
     /** So many failures of the trial version are needed before its share of failures counts. */
-    private static final long LEAST_FAILURES = 3;
+    private static final long MIN_FAILURES = 3;
 
     /** By how much the trial version may fail more often than the others; a fault of one in ten shows. */
-    private static final double FAILURE_MARGIN = 0.08;
+    private static final double FAILURE_SHARE_MARGIN = 0.08;
 
     /** So many answers of both sides are needed before times count. */
-    private static final long LEAST_TIMED = 8;
+    private static final long MIN_TIMED_ANSWERS = 8;
 
     /**
      * How many times as long the trial version may take. Sound upstreams of one pool differ by up to four and a half
@@ -28,7 +28,7 @@
     private static final double TRIAL_SHARE = 0.8;
 
     /** So many good answers must stand behind a move to the version. */
-    private static final long LEAST_ANSWERS = 10;
+    private static final long MIN_ANSWERS = 10;
 
     /**
      * Judges a version.
@@ -48,19 +48,19 @@
         if (elapsed < TRIAL_SHARE) {
             return Verdict.OPEN;
         }
-        return answers >= LEAST_ANSWERS ? Verdict.GOOD : Verdict.BAD;
+        return answers >= MIN_ANSWERS ? Verdict.GOOD : Verdict.BAD;
     }
 
     private static boolean isFailing(Evidence evidence) {
         Side trial = evidence.trial();
-        return trial.failures() >= LEAST_FAILURES
-                && trial.failureShare() > evidence.others().failureShare() + FAILURE_MARGIN;
+        return trial.failures() >= MIN_FAILURES
+                && trial.failureShare() > evidence.others().failureShare() + FAILURE_SHARE_MARGIN;
     }
 
     private static boolean isSlow(Evidence evidence) {
         Side trial = evidence.trial();
         Side others = evidence.others();
-        if (trial.answers() < LEAST_TIMED || others.answers() < LEAST_TIMED) {
+        if (trial.answers() < MIN_TIMED_ANSWERS || others.answers() < MIN_TIMED_ANSWERS) {
             return false;
         }
         return trial.meanMillis() > SLOW_FACTOR * Math.max(1, others.meanMillis());
@@ -100,11 +100,11 @@
         /**
          * Adds counts.
          *
-         * @param more the counts to add.
+         * @param added the counts to add.
          * @return the sum.
          */
-        public Side plus(Side more) {
-            return new Side(answers + more.answers, failures + more.failures, millis + more.millis);
+        public Side plus(Side added) {
+            return new Side(answers + added.answers, failures + added.failures, millis + added.millis);
         }
 
         double failureShare() {
--- a/decision/src/main/java/org/radishspur/decision/dispatch/SlotValues.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/SlotValues.java
@@ -11,54 +11,57 @@
  */
 final class SlotValues {
     /** How many times as much an answer is worth as one of the next less urgent tier. */
-    private static final double TIER_RATIO = 4;
+    private static final double VALUE_RATIO_PER_TIER = 4;
 
     /** The part of its worth that an answer keeps which can't be on time any more. */
-    private static final double LATE_PART = 1 / TIER_RATIO;
+    private static final double LATE_VALUE_RATIO = 1 / VALUE_RATIO_PER_TIER;
 
     /** The part of the newest time in an average of holding times; some fifty requests outweigh the older ones. */
-    private static final double HOLD_WEIGHT = 0.02;
+    private static final double HOLD_AVERAGE_WEIGHT = 0.02;
 
-    private final TreeMap<Integer, Average> holds = new TreeMap<>();
-    private final Average allHolds = new Average(HOLD_WEIGHT);
+    private final TreeMap<Integer, MovingAverage> holdMillisByTier = new TreeMap<>();
+    private final MovingAverage holdMillisOfAllTiers = new MovingAverage(HOLD_AVERAGE_WEIGHT);
 
     /** Notes that requests of a tier are there. */
-    void seen(int tier) {
-        holds.computeIfAbsent(tier, key -> new Average(HOLD_WEIGHT));
+    void addTier(int tier) {
+        holdMillisByTier.computeIfAbsent(tier, key -> new MovingAverage(HOLD_AVERAGE_WEIGHT));
     }
 
     /** Notes for how long a request that was answered has held its slot. */
-    void held(int tier, long millis) {
-        seen(tier);
-        holds.get(tier).add(Math.max(1, millis));
-        allHolds.add(Math.max(1, millis));
+    void recordHold(int tier, long millis) {
+        addTier(tier);
+        holdMillisByTier.get(tier).add(Math.max(1, millis));
+        holdMillisOfAllTiers.add(Math.max(1, millis));
     }
 
     /** Returns what a slot is worth to a request for each unit of time that it holds it. */
-    double of(QueuedRequest queued) {
-        double onTime = ofTier(queued.work().tier());
-        return queued.isLate() ? onTime * LATE_PART : onTime;
+    double valueFor(QueuedRequest queued) {
+        double onTime = tierValue(queued.work().tier());
+        return queued.isLate() ? onTime * LATE_VALUE_RATIO : onTime;
     }
 
     /**
      * Returns by how many tiers a request stands behind those to which a slot is worth most, as a fraction where its worth
      * lies between two tiers.
      */
-    double stepsBehindBest(QueuedRequest queued) {
-        double best = holds.keySet().stream().mapToDouble(this::ofTier).max().orElse(1);
-        return Math.max(0, Math.log(best / of(queued)) / Math.log(TIER_RATIO));
+    double tiersBehindBest(QueuedRequest queued) {
+        double best = holdMillisByTier.keySet().stream()
+                .mapToDouble(this::tierValue)
+                .max()
+                .orElse(1);
+        return Math.max(0, Math.log(best / valueFor(queued)) / Math.log(VALUE_RATIO_PER_TIER));
     }
 
-    private double ofTier(int tier) {
-        return Math.pow(TIER_RATIO, holds.firstKey() - tier) / holdMillis(tier);
+    private double tierValue(int tier) {
+        return Math.pow(VALUE_RATIO_PER_TIER, holdMillisByTier.firstKey() - tier) / usualHoldMillis(tier);
     }
 
     /** Returns the usual holding time of a tier; a tier without answers counts as like the others. */
-    private double holdMillis(int tier) {
-        Average known = holds.get(tier);
-        if (known != null && known.isKnown()) {
-            return known.value();
+    private double usualHoldMillis(int tier) {
+        MovingAverage average = holdMillisByTier.get(tier);
+        if (average != null && average.isKnown()) {
+            return average.value();
         }
-        return allHolds.isKnown() ? allHolds.value() : 1;
+        return holdMillisOfAllTiers.isKnown() ? holdMillisOfAllTiers.value() : 1;
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UnansweredRequests.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UnansweredRequests.java
@@ -8,7 +8,7 @@
  */
 final class UnansweredRequests {
     private final Map<Object, Unanswered> requests = new HashMap<>();
-    private long tokens;
+    private long pendingTokens;
 
     /**
      * Adds a request.
@@ -20,7 +20,7 @@
      */
     void add(Object request, long promptTokens, long tokensAhead, long now) {
         requests.put(request, new Unanswered(now, promptTokens, tokensAhead));
-        tokens += promptTokens;
+        pendingTokens += promptTokens;
     }
 
     /** Takes a request out, and returns how many tokens were to be read before its own; 0 where it is not held. */
@@ -29,7 +29,7 @@
         if (removed == null) {
             return 0;
         }
-        tokens -= removed.promptTokens();
+        pendingTokens -= removed.promptTokens();
         return removed.tokensAhead();
     }
 
@@ -38,13 +38,13 @@
     }
 
     /** Returns when the oldest request was sent, or another moment where there is none. */
-    long oldestSentAt(long otherwise) {
-        return requests.values().stream().mapToLong(Unanswered::sentAt).min().orElse(otherwise);
+    long oldestSentAt(long defaultMillis) {
+        return requests.values().stream().mapToLong(Unanswered::sentAt).min().orElse(defaultMillis);
     }
 
     /** Returns the tokens of all prompts that are still to be read. */
-    long tokens() {
-        return tokens;
+    long pendingTokens() {
+        return pendingTokens;
     }
 
     /**
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
@@ -9,25 +9,25 @@
  */
 public final class UpstreamLoad {
     /** The part of the newest answer in an average of times; about ten answers outweigh the older ones. */
-    private static final double TIME_WEIGHT = 0.1;
+    private static final double TIME_AVERAGE_WEIGHT = 0.1;
 
     /** The part of the newest answer in the share of failures; five failures in a row bring it above one half. */
-    private static final double FAILURE_WEIGHT = 0.15;
+    private static final double FAILURE_AVERAGE_WEIGHT = 0.15;
 
     /** So many answers must stand behind a share of failures before it counts. */
-    private static final long LEAST_OUTCOMES = 5;
+    private static final long MIN_OUTCOMES = 5;
 
     /** So many failures in a row make an upstream suspect, whatever its share of failures. */
-    private static final int FAILURES_IN_A_ROW = 3;
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
     /** How long an upstream with failures gets nothing, in milliseconds; long enough to spare some ten requests. */
-    private static final long FAILED_EJECTION_MILLIS = 1_500;
+    private static final long FAILURE_EJECTION_MILLIS = 1_500;
 
     /** The first pause after a failed connection, in milliseconds; it doubles with each further one. */
-    private static final long CONNECT_EJECTION_MILLIS = 200;
+    private static final long MIN_CONNECT_EJECTION_MILLIS = 200;
 
     /** The longest pause after a failed connection, in milliseconds; a restarted upstream is found again by then. */
-    private static final long LONGEST_CONNECT_EJECTION_MILLIS = 1_600;
+    private static final long MAX_CONNECT_EJECTION_MILLIS = 1_600;
 
     /** No answer within this time looks like silence, in milliseconds; healthy upstreams start well below it. */
     public static final long SHORTEST_SILENCE_MILLIS = 600;
@@ -36,7 +36,7 @@
      * The same for an upstream that has not answered yet, in milliseconds. Guards against a slow engine that is never learnt
      * to be slow: with a line of long prompts its first answer takes over a second, and each try would be given up before.
      */
-    private static final long UNKNOWN_SILENCE_MILLIS = 1_500;
+    private static final long FIRST_ANSWER_SILENCE_MILLIS = 1_500;
 
     /** Silence is this many usual times to the first byte. */
     private static final double SILENCE_FACTOR = 5;
@@ -45,33 +45,33 @@
     private static final int GOLDEN_RATIO = 0x9E3779B9;
 
     /** Connections that break within this time of each other have one cause, in milliseconds. */
-    private static final long SAME_BREAK_MILLIS = 50;
+    private static final long SAME_CAUSE_MILLIS = 50;
 
     private Upstream upstream;
     private final String run;
     private final double preference;
     private boolean listed = true;
-    private int own;
-    private long lastBeganAt = Long.MIN_VALUE / 2;
-    private final SumByPeer peersInProgress = new SumByPeer();
-    private final Average firstMillis = new Average(TIME_WEIGHT);
+    private int ownInProgress;
+    private long lastSentAt = Long.MIN_VALUE / 2;
+    private final PeerTotal peerInProgress = new PeerTotal();
+    private final MovingAverage firstByteMillis = new MovingAverage(TIME_AVERAGE_WEIGHT);
     private final FirstByteModel firstByte = new FirstByteModel();
     private final FirstByteModel poolFirstByte;
-    private boolean followsPool;
-    private ColdLimit cold = new ColdLimit(ColdStart.NONE);
-    private final Average eventMillis = new Average(TIME_WEIGHT);
-    private final Average failures = new Average(FAILURE_WEIGHT);
+    private boolean usesPoolTimes;
+    private ColdStartLimit coldLimit = new ColdStartLimit(ColdStart.NONE);
+    private final MovingAverage eventMillis = new MovingAverage(TIME_AVERAGE_WEIGHT);
+    private final MovingAverage failures = new MovingAverage(FAILURE_AVERAGE_WEIGHT);
     private double peerEventMillis;
-    private int failuresInARow;
+    private int consecutiveFailures;
     private int connectFailures;
     private long ejectedUntil;
     private boolean onProbation;
     private boolean replaced;
     private boolean unreachable;
     private final UnansweredRequests unanswered = new UnansweredRequests();
-    private final SumByPeer peersUnread = new SumByPeer();
+    private final PeerTotal peerPendingTokens = new PeerTotal();
     private long lastByteAt;
-    private long brokeAt = Long.MIN_VALUE / 2;
+    private long lastBreakAt = Long.MIN_VALUE / 2;
 
     /**
      * Creates the load of an upstream without requests.
@@ -84,8 +84,8 @@
         this.upstream = upstream;
         this.poolFirstByte = poolFirstByte;
         run = upstream.run();
-        int mixed = (scheduler + run).hashCode() * GOLDEN_RATIO;
-        preference = (mixed >>> 1) / (double) Integer.MAX_VALUE;
+        int hash = (scheduler + run).hashCode() * GOLDEN_RATIO;
+        preference = (hash >>> 1) / (double) Integer.MAX_VALUE;
     }
 
     /**
@@ -133,13 +133,13 @@
      * @param now the clock in milliseconds.
      */
     public void began(Object request, long promptTokens, long now) {
-        own++;
-        lastBeganAt = now;
-        cold.began(now);
+        ownInProgress++;
+        lastSentAt = now;
+        coldLimit.recordSent(now);
         if (unanswered.isEmpty()) {
             lastByteAt = now;
         }
-        unanswered.add(request, promptTokens, unreadTokens(), now);
+        unanswered.add(request, promptTokens, pendingTokens(), now);
     }
 
     /**
@@ -151,12 +151,12 @@
      * @param now the clock in milliseconds.
      */
     public void answered(Object request, long promptTokens, long millis, long now) {
-        long ahead = unanswered.remove(request);
+        long tokensAhead = unanswered.remove(request);
         lastByteAt = now;
-        firstMillis.add(millis);
-        firstByte.add(promptTokens + ahead, millis);
+        firstByteMillis.add(millis);
+        firstByte.add(promptTokens + tokensAhead, millis);
         if (isEventTimeKnown()) {
-            poolFirstByte.add(promptTokens + ahead, millis / eventMillis());
+            poolFirstByte.add(promptTokens + tokensAhead, millis / eventMillis());
         }
     }
 
@@ -175,7 +175,7 @@
      * @param request identifies the request.
      */
     public void ended(Object request) {
-        own--;
+        ownInProgress--;
         unanswered.remove(request);
     }
 
@@ -213,18 +213,18 @@
     }
 
     /** Says whether the times of the whole pool count as long as this upstream has hardly answered here. */
-    void followsPool(boolean follows) {
-        followsPool = follows;
+    void usesPoolTimes(boolean follows) {
+        usesPoolTimes = follows;
     }
 
     /** Sets what the upstream bears while it is cold. */
-    void coldStart(ColdStart rule) {
-        cold = new ColdLimit(rule);
+    void setColdStart(ColdStart rule) {
+        coldLimit = new ColdStartLimit(rule);
     }
 
     /** Notes that the upstream may have become cold just now, before the host list shows it. */
-    void mayHaveStarted(long now) {
-        cold.mayHaveStarted(now);
+    void recordPossibleRestart(long now) {
+        coldLimit.recordPossibleRestart(now);
     }
 
     /**
@@ -232,12 +232,12 @@
      * before the host list shows it.
      */
     boolean isCold(long now) {
-        return cold.isLimited() && (upstream.cold() || unreachable || cold.isSuspected(now));
+        return coldLimit.isLimited() && (upstream.cold() || unreachable || coldLimit.mayBeCold(now));
     }
 
     /** Returns whether one more request stays within what the upstream bears while it is cold. */
-    boolean bearsOneMore(long now) {
-        return cold.allows(now);
+    boolean allowsColdRequest(long now) {
+        return coldLimit.allows(now);
     }
 
     boolean isReplaced() {
@@ -247,26 +247,26 @@
     /**
      * Notes an answer of this entry or of another one.
      *
-     * @param good whether it was whole and no failure of the upstream.
+     * @param success whether it was whole and no failure of the upstream.
      * @param poolFailures the usual share of failures in the pool, which may have its cause in the requests.
      * @param now the clock in milliseconds.
      */
-    public void recordOutcome(boolean good, double poolFailures, long now) {
-        failures.add(good ? 0 : 1);
-        if (good) {
+    public void recordOutcome(boolean success, double poolFailures, long now) {
+        failures.add(success ? 0 : 1);
+        if (success) {
             if (unreachable) {
-                cold.mayHaveStarted(now);
+                coldLimit.recordPossibleRestart(now);
             }
-            failuresInARow = 0;
+            consecutiveFailures = 0;
             connectFailures = 0;
             unreachable = false;
             onProbation = false;
             return;
         }
-        failuresInARow++;
-        boolean often = failures.samples() >= LEAST_OUTCOMES && failures.value() > poolFailures + 0.25;
-        if (failuresInARow >= FAILURES_IN_A_ROW || often || onProbation) {
-            ejectedUntil = now + FAILED_EJECTION_MILLIS;
+        consecutiveFailures++;
+        boolean failsOften = failures.samples() >= MIN_OUTCOMES && failures.value() > poolFailures + 0.25;
+        if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || failsOften || onProbation) {
+            ejectedUntil = now + FAILURE_EJECTION_MILLIS;
             onProbation = true;
         }
     }
@@ -282,9 +282,9 @@
      * @return whether it counts, and not as one with the break before it.
      */
     public boolean broke(long now) {
-        boolean counts = isNewBreak(now);
-        brokeAt = now;
-        return counts;
+        boolean isNew = isNewBreak(now);
+        lastBreakAt = now;
+        return isNew;
     }
 
     /**
@@ -294,7 +294,7 @@
      * @return whether none has broken just before.
      */
     public boolean isNewBreak(long now) {
-        return now - brokeAt > SAME_BREAK_MILLIS;
+        return now - lastBreakAt > SAME_CAUSE_MILLIS;
     }
 
     /**
@@ -303,9 +303,10 @@
      * @param now the clock in milliseconds.
      */
     public void recordConnectFailure(long now) {
-        long pause = Math.min(LONGEST_CONNECT_EJECTION_MILLIS, CONNECT_EJECTION_MILLIS << Math.min(connectFailures, 5));
+        long ejectionMillis =
+                Math.min(MAX_CONNECT_EJECTION_MILLIS, MIN_CONNECT_EJECTION_MILLIS << Math.min(connectFailures, 5));
         connectFailures++;
-        ejectedUntil = now + pause;
+        ejectedUntil = now + ejectionMillis;
         onProbation = true;
         unreachable = true;
     }
@@ -317,7 +318,7 @@
      * @param count the number, 0 once it is gone.
      */
     public void recordPeerInProgress(String entry, int count) {
-        peersInProgress.put(entry, count);
+        peerInProgress.put(entry, count);
     }
 
     /**
@@ -327,7 +328,7 @@
      * @param tokens the tokens, 0 once it is gone.
      */
     public void recordPeerUnread(String entry, long tokens) {
-        peersUnread.put(entry, tokens);
+        peerPendingTokens.put(entry, tokens);
     }
 
     /**
@@ -336,12 +337,12 @@
      * @return the tokens of the requests that it has not begun to answer.
      */
     public long ownUnreadTokens() {
-        return unanswered.tokens();
+        return unanswered.pendingTokens();
     }
 
     /** Returns how many tokens of prompts the upstream has still to read for all entries, as far as this entry knows. */
-    private long unreadTokens() {
-        return unanswered.tokens() + peersUnread.total();
+    private long pendingTokens() {
+        return unanswered.pendingTokens() + peerPendingTokens.total();
     }
 
     /**
@@ -350,7 +351,7 @@
      * @return the number.
      */
     public int inProgress() {
-        return own + (int) peersInProgress.total();
+        return ownInProgress + (int) peerInProgress.total();
     }
 
     /**
@@ -359,11 +360,11 @@
      * @return the number.
      */
     public int own() {
-        return own;
+        return ownInProgress;
     }
 
-    long lastBeganAt() {
-        return lastBeganAt;
+    long lastSentAt() {
+        return lastSentAt;
     }
 
     boolean isEjected(long now) {
@@ -396,8 +397,9 @@
         if (unanswered.isEmpty()) {
             return false;
         }
-        double usual = firstMillis.isKnown() ? firstMillis.value() * SILENCE_FACTOR : UNKNOWN_SILENCE_MILLIS;
-        double limit = Math.max(SHORTEST_SILENCE_MILLIS, usual);
+        double usualLimit =
+                firstByteMillis.isKnown() ? firstByteMillis.value() * SILENCE_FACTOR : FIRST_ANSWER_SILENCE_MILLIS;
+        double limit = Math.max(SHORTEST_SILENCE_MILLIS, usualLimit);
         if (now - lastByteAt <= limit) {
             return false;
         }
@@ -422,22 +424,22 @@
     }
 
     /** Tells how well the upstream is likely to do for a request that is sent now and gets at most so many events. */
-    Timeliness timeliness(QueuedRequest.Work work, long unreadTokens, double events, long now) {
+    Timeliness timeliness(QueuedRequest.Work work, long uncachedTokens, double events, long now) {
         if (!isFirstByteKnown()) {
             return Timeliness.ON_TIME;
         }
-        if (now + wholeMillis(unreadTokens, events) > work.endsAt()) {
+        if (now + totalMillis(uncachedTokens, events) > work.endsAt()) {
             return Timeliness.TOO_LATE;
         }
-        return now + firstMillis(unreadTokens) > work.targetAt() ? Timeliness.LATE : Timeliness.ON_TIME;
+        return now + firstByteMillis(uncachedTokens) > work.targetAt() ? Timeliness.LATE : Timeliness.ON_TIME;
     }
 
     /**
      * Returns how long the first byte is likely to take. Guards against a short request that is late behind a long prompt:
      * an engine reads prompts one after the other, and one of 50,000 tokens holds up those behind it for a second.
      */
-    private double firstMillis(long promptTokens) {
-        long tokens = promptTokens + unreadTokens();
+    private double firstByteMillis(long promptTokens) {
+        long tokens = promptTokens + pendingTokens();
         return firstByte.isKnown() ? firstByte.millis(tokens) : poolFirstByte.millis(tokens) * eventMillis();
     }
 
@@ -447,12 +449,12 @@
      * but their speed, which entries tell each other.
      */
     private boolean isFirstByteKnown() {
-        return isEventTimeKnown() && (firstByte.isKnown() || followsPool && poolFirstByte.isWellKnown());
+        return isEventTimeKnown() && (firstByte.isKnown() || usesPoolTimes && poolFirstByte.isKnownForPool());
     }
 
     /** Returns how long a whole answer is likely to take; 0 where nothing is known. */
-    double wholeMillis(long unreadTokens, double events) {
-        return isFirstByteKnown() ? firstMillis(unreadTokens) + eventMillis() * events : 0;
+    double totalMillis(long uncachedTokens, double events) {
+        return isFirstByteKnown() ? firstByteMillis(uncachedTokens) + eventMillis() * events : 0;
     }
 
     /** Says how well an upstream is likely to do for a request; a better fit comes first. */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
@@ -31,78 +31,78 @@
     private static final double CROSS_DOMAIN_PENALTY = 1.3;
 
     /** At most this share of a pool may be ejected for failures, lest a fault of the requests empties the pool. */
-    private static final double LARGEST_EJECTED_SHARE = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.5;
 
     /**
      * By how much one scheduler may prefer an upstream to an equal one. Each has an order of its own, so that those that know
      * the same don't all choose the same upstream before they have each other's reports.
      */
-    private static final double LARGEST_PREFERENCE = 0.15;
+    private static final double MAX_PREFERENCE = 0.15;
 
     /** An upstream is slow that takes this many times as long as the fastest; load alone slows one by up to a half. */
     private static final double SLOW_FACTOR = 2;
 
     /** What part of a request's cost is reading its prompt, where that is long beside its answer. */
-    private static final double GREATEST_SAVING = 0.6;
+    private static final double MAX_PREFIX_SAVING = 0.6;
 
     /**
      * How many times as long as its caller expects an answer may get, while there is time to be selective; one in
      * ten gets longer than that.
      */
-    private static final double LONGEST_ANSWER = 2.0;
+    private static final double EARLY_LENGTH_FACTOR = 2.0;
 
     /** The same once a request has waited in vain; an upstream that is likely to be in time is then better than none. */
-    private static final double LIKELY_ANSWER = 1.15;
+    private static final double LATER_LENGTH_FACTOR = 1.15;
 
     /** Upstreams whose times differ by less than this factor count as equally fast; load alone makes as much. */
-    private static final double ABOUT_AS_FAST = 1.3;
+    private static final double SIMILAR_SPEED_FACTOR = 1.3;
 
     /**
      * By how much the costs of upstreams may differ among which one is drawn; less than the penalty for another failure
      * domain.
      */
-    private static final double LARGEST_SPREAD = 0.25;
+    private static final double MAX_COST_SPREAD = 0.25;
 
     private final String self;
     private final String ownDomain;
-    private final int slotsByDefault;
+    private final int defaultSlots;
     private final Map<String, UpstreamLoad> loads = new HashMap<>();
-    private final OutputEstimate outputs = new OutputEstimate();
+    private final OutputLengthEstimate outputs = new OutputLengthEstimate();
     private final FirstByteModel firstByte = new FirstByteModel();
-    private final Random draws;
-    private int schedulers = 1;
-    private final ReportStaleness reports = new ReportStaleness();
-    private Set<String> evacuated = Set.of();
-    private ColdStart coldStart = ColdStart.NONE;
-    private Predicate<String> servesCold = run -> true;
+    private final Random random;
+    private int schedulerCount = 1;
+    private final ReportStaleness staleness = new ReportStaleness();
+    private Set<String> evacuatedDomains = Set.of();
+    private ColdStart coldStartRule = ColdStart.NONE;
+    private Predicate<String> mayUseCold = run -> true;
 
     /**
      * Creates a pool without upstreams.
      *
      * @param self the name of this scheduler, which sets it apart from others.
      * @param ownDomain the failure domain of this scheduler.
-     * @param slotsByDefault how many requests an upstream runs at once where the host list doesn't tell.
+     * @param defaultSlots how many requests an upstream runs at once where the host list doesn't tell.
      */
-    public UpstreamPool(String self, String ownDomain, int slotsByDefault) {
+    public UpstreamPool(String self, String ownDomain, int defaultSlots) {
         this.self = self;
-        this.draws = new Random(self.hashCode());
+        this.random = new Random(self.hashCode());
         this.ownDomain = ownDomain;
-        this.slotsByDefault = slotsByDefault;
+        this.defaultSlots = defaultSlots;
     }
 
     /** Notes for how long a request that was answered has held its slot. */
-    void held(long millis) {
-        reports.held(millis);
+    void recordHold(long millis) {
+        staleness.recordHold(millis);
     }
 
     /**
      * Notes how many schedulers share the upstreams.
      *
-     * @param number the number, this one included.
+     * @param count the number, this one included.
      */
-    public void schedulers(int number) {
-        schedulers = Math.max(1, number);
-        loads.values().forEach(this::notePart);
+    public void schedulers(int count) {
+        schedulerCount = Math.max(1, count);
+        loads.values().forEach(this::updatePoolTimes);
     }
 
     /**
@@ -110,13 +110,13 @@
      * use each, so that all together stay within what it bears however many there are and whatever they know of each other.
      *
      * @param rule what upstreams bear.
-     * @param served says of the run of an upstream whether it may be used here while it is cold.
+     * @param mayUse says of the run of an upstream whether it may be used here while it is cold.
      */
-    public void coldStart(ColdStart rule, Predicate<String> served) {
-        servesCold = served;
-        if (!rule.equals(coldStart)) {
-            coldStart = rule;
-            loads.values().forEach(load -> load.coldStart(rule));
+    public void coldStart(ColdStart rule, Predicate<String> mayUse) {
+        mayUseCold = mayUse;
+        if (!rule.equals(coldStartRule)) {
+            coldStartRule = rule;
+            loads.values().forEach(load -> load.setColdStart(rule));
         }
     }
 
@@ -128,15 +128,15 @@
      * @param now the clock in milliseconds.
      */
     public void evacuate(Set<String> failureDomains, long now) {
-        Set<String> before = evacuated;
-        evacuated = failureDomains;
+        Set<String> before = evacuatedDomains;
+        evacuatedDomains = failureDomains;
         loads.values().stream()
                 .filter(load -> before.contains(load.upstream().failureDomain()) && !isEvacuated(load))
-                .forEach(load -> load.mayHaveStarted(now));
+                .forEach(load -> load.recordPossibleRestart(now));
     }
 
     private boolean isEvacuated(UpstreamLoad load) {
-        return evacuated.contains(load.upstream().failureDomain());
+        return evacuatedDomains.contains(load.upstream().failureDomain());
     }
 
     /**
@@ -152,20 +152,20 @@
             UpstreamLoad known = loads.get(run);
             if (known == null) {
                 UpstreamLoad load = new UpstreamLoad(upstream, firstByte, self);
-                load.coldStart(coldStart);
+                load.setColdStart(coldStartRule);
                 loads.put(run, load);
             } else {
                 known.update(upstream);
             }
         }
-        loads.values().forEach(this::notePart);
+        loads.values().forEach(this::updatePoolTimes);
         loads.values().forEach(load -> load.listed(runs.contains(load.run())));
         loads.values().removeIf(load -> !load.isListed() && load.own() == 0);
     }
 
     /** A scheduler whose part of an upstream's slots is less than one hardly ever has an answer of it to learn from. */
-    private void notePart(UpstreamLoad load) {
-        load.followsPool(schedulers > slots(load));
+    private void updatePoolTimes(UpstreamLoad load) {
+        load.usesPoolTimes(schedulerCount > slots(load));
     }
 
     /**
@@ -182,7 +182,7 @@
     public Optional<UpstreamLoad> choose(QueuedRequest queued, double reserved, long now) {
         List<UpstreamLoad> usable = usable(queued, now);
         if (reserved > 0) {
-            leaveReserved(usable, reserved, now);
+            removeReserved(usable, reserved, now);
         }
         if (usable.stream().noneMatch(load -> hasFreeSlot(load, now))) {
             return Optional.empty();
@@ -190,27 +190,29 @@
         boolean early = now < queued.selectiveUntil();
         double events = outputs.events(
                 queued.work().outputTokens(),
-                early ? LONGEST_ANSWER : LIKELY_ANSWER,
+                early ? EARLY_LENGTH_FACTOR : LATER_LENGTH_FACTOR,
                 queued.work().outputLimit());
         boolean untriedExist = usable.stream().anyMatch(load -> !queued.avoids(load.run()));
         if (untriedExist) {
             // Where every upstream that is left was tried before, one of them is better than none.
             usable.removeIf(load -> queued.avoids(load.run()));
         }
-        Set<UpstreamLoad> affine = affine(queued, now);
-        Timeliness reachable = usable.stream()
-                .map(load -> timeliness(load, queued, affine, events, now))
+        Set<UpstreamLoad> affinityTargets = affinityTargets(queued, now);
+        Timeliness bestTimeliness = usable.stream()
+                .map(load -> timeliness(load, queued, affinityTargets, events, now))
                 .min(Comparator.naturalOrder())
                 .orElse(Timeliness.TOO_LATE);
-        boolean selective = reachable != Timeliness.LATE && early;
-        Timeliness worstTaken =
-                reachable == Timeliness.TOO_LATE ? Timeliness.TOO_LATE : selective ? reachable : Timeliness.LATE;
-        usable.removeIf(load -> timeliness(load, queued, affine, events, now).compareTo(worstTaken) > 0);
-        if (reachable == Timeliness.TOO_LATE) {
-            keepLeastLate(usable, queued, affine, events);
+        boolean selective = bestTimeliness != Timeliness.LATE && early;
+        Timeliness worstAccepted = bestTimeliness == Timeliness.TOO_LATE
+                ? Timeliness.TOO_LATE
+                : selective ? bestTimeliness : Timeliness.LATE;
+        usable.removeIf(
+                load -> timeliness(load, queued, affinityTargets, events, now).compareTo(worstAccepted) > 0);
+        if (bestTimeliness == Timeliness.TOO_LATE) {
+            removeSlower(usable, queued, affinityTargets, events);
         }
-        Optional<UpstreamLoad> chosen = best(usable, queued, affine, events, now);
-        chosen.ifPresent(load -> queued.expectKept(keptTokens(load, queued, affine)));
+        Optional<UpstreamLoad> chosen = best(usable, queued, affinityTargets, events, now);
+        chosen.ifPresent(load -> queued.setCachedTokens(cachedTokens(load, queued, affinityTargets)));
         return chosen;
     }
 
@@ -219,43 +221,43 @@
      * a slot until its caller leaves with nothing: it may be longer than even the fast ones can give in time, but is most
      * likely to end there, as estimates are often too long.
      */
-    private static void keepLeastLate(
-            List<UpstreamLoad> usable, QueuedRequest queued, Set<UpstreamLoad> affine, double events) {
+    private static void removeSlower(
+            List<UpstreamLoad> usable, QueuedRequest queued, Set<UpstreamLoad> affinityTargets, double events) {
         double shortest = usable.stream()
-                .mapToDouble(load -> wholeMillis(load, queued, affine, events))
+                .mapToDouble(load -> totalMillis(load, queued, affinityTargets, events))
                 .min()
                 .orElse(0);
-        usable.removeIf(load -> wholeMillis(load, queued, affine, events) > shortest * ABOUT_AS_FAST);
+        usable.removeIf(load -> totalMillis(load, queued, affinityTargets, events) > shortest * SIMILAR_SPEED_FACTOR);
     }
 
-    private static double wholeMillis(
-            UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affine, double events) {
-        return load.wholeMillis(queued.work().promptTokens() - keptTokens(load, queued, affine), events);
+    private static double totalMillis(
+            UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affinityTargets, double events) {
+        return load.totalMillis(queued.work().promptTokens() - cachedTokens(load, queued, affinityTargets), events);
     }
 
-    private static long keptTokens(UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affine) {
-        return affine.contains(load) ? queued.work().prefix().tokens() : 0;
+    private static long cachedTokens(UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affinityTargets) {
+        return affinityTargets.contains(load) ? queued.work().prefix().tokens() : 0;
     }
 
     /**
      * Returns the upstreams that should keep the beginning of a request's prompt. Slow ones are left out: reading it there
      * takes longer than reading it again at a fast one.
      */
-    private Set<UpstreamLoad> affine(QueuedRequest queued, long now) {
-        if (!queued.work().prefix().isWorthKeeping()) {
+    private Set<UpstreamLoad> affinityTargets(QueuedRequest queued, long now) {
+        if (!queued.work().prefix().isWorthCaching()) {
             return Set.of();
         }
-        double slowest = shortestEventMillis(loads.values()) * SLOW_FACTOR;
+        double slowAboveMillis = shortestEventMillis(loads.values()) * SLOW_FACTOR;
         List<UpstreamLoad> candidates = loads.values().stream()
-                .filter(load -> isOpen(load, now) && !isSlow(load, slowest))
+                .filter(load -> isInService(load, now) && !isSlow(load, slowAboveMillis))
                 .toList();
-        return Set.copyOf(PrefixAffinity.INSTANCE.affine(queued.work().prefix(), candidates));
+        return Set.copyOf(PrefixAffinity.INSTANCE.affinityTargets(queued.work().prefix(), candidates));
     }
 
     private static Timeliness timeliness(
-            UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affine, double events, long now) {
-        long unread = queued.work().promptTokens() - keptTokens(load, queued, affine);
-        return load.timeliness(queued.work(), unread, events, now);
+            UpstreamLoad load, QueuedRequest queued, Set<UpstreamLoad> affinityTargets, double events, long now) {
+        long uncachedTokens = queued.work().promptTokens() - cachedTokens(load, queued, affinityTargets);
+        return load.timeliness(queued.work(), uncachedTokens, events, now);
     }
 
     /**
@@ -263,7 +265,7 @@
      *
      * @return the estimate, to which answers are added.
      */
-    public OutputEstimate outputs() {
+    public OutputLengthEstimate outputs() {
         return outputs;
     }
 
@@ -307,7 +309,7 @@
      */
     public int slots(long now) {
         return loads.values().stream()
-                .filter(load -> isOpen(load, now))
+                .filter(load -> isInService(load, now))
                 .mapToInt(this::slots)
                 .sum();
     }
@@ -341,14 +343,15 @@
         int reachable = 0;
         int ejected = 0;
         for (UpstreamLoad load : loads.values()) {
-            if (isOpen(load, now) && queued.versions().allows(load.upstream().version())) {
+            if (isInService(load, now)
+                    && queued.versions().allows(load.upstream().version())) {
                 listed.add(load);
                 reachable++;
                 ejected += load.isEjected(now) ? 1 : 0;
             }
         }
-        boolean heedsEjections = ejected <= reachable * LARGEST_EJECTED_SHARE;
-        listed.removeIf(load -> load.isSilent(now) || heedsEjections && load.isEjected(now));
+        boolean appliesEjections = ejected <= reachable * MAX_EJECTED_SHARE;
+        listed.removeIf(load -> load.isSilent(now) || appliesEjections && load.isEjected(now));
         return listed;
     }
 
@@ -357,20 +360,20 @@
      * against an urgent request that waits while a less urgent one is served: free slots on slow engines, where the urgent
      * one doesn't go, must not count for the fast ones.
      */
-    private void leaveReserved(List<UpstreamLoad> usable, double reserved, long now) {
-        double slowest = shortestEventMillis(loads.values()) * SLOW_FACTOR;
+    private void removeReserved(List<UpstreamLoad> usable, double reserved, long now) {
+        double slowAboveMillis = shortestEventMillis(loads.values()) * SLOW_FACTOR;
         for (boolean slow : new boolean[] {false, true}) {
-            if (freeShare(slow, slowest, now) <= reserved) {
-                usable.removeIf(load -> isSlow(load, slowest) == slow);
+            if (freeShare(slow, slowAboveMillis, now) <= reserved) {
+                usable.removeIf(load -> isSlow(load, slowAboveMillis) == slow);
             }
         }
     }
 
-    private double freeShare(boolean slow, double slowest, long now) {
+    private double freeShare(boolean slow, double slowAboveMillis, long now) {
         int slots = 0;
         int free = 0;
         for (UpstreamLoad load : loads.values()) {
-            if (isSlow(load, slowest) == slow && isOpen(load, now)) {
+            if (isSlow(load, slowAboveMillis) == slow && isInService(load, now)) {
                 slots += slots(load);
                 free += freeSlots(load);
             }
@@ -378,12 +381,12 @@
         return slots == 0 ? 0 : (double) free / slots;
     }
 
-    private static boolean isSlow(UpstreamLoad load, double slowest) {
-        return load.isEventTimeKnown() && load.eventMillis() > slowest;
+    private static boolean isSlow(UpstreamLoad load, double slowAboveMillis) {
+        return load.isEventTimeKnown() && load.eventMillis() > slowAboveMillis;
     }
 
-    private static double shortestEventMillis(Collection<UpstreamLoad> among) {
-        return among.stream()
+    private static double shortestEventMillis(Collection<UpstreamLoad> upstreams) {
+        return upstreams.stream()
                 .filter(UpstreamLoad::isEventTimeKnown)
                 .mapToDouble(UpstreamLoad::eventMillis)
                 .min()
@@ -391,14 +394,18 @@
     }
 
     private Optional<UpstreamLoad> best(
-            List<UpstreamLoad> usable, QueuedRequest queued, Set<UpstreamLoad> affine, double events, long now) {
+            List<UpstreamLoad> usable,
+            QueuedRequest queued,
+            Set<UpstreamLoad> affinityTargets,
+            double events,
+            long now) {
         double fastest = shortestEventMillis(usable);
         List<Candidate> candidates = usable.stream()
                 .filter(load -> hasFreeSlot(load, now))
                 .map(load -> new Candidate(
                         load,
-                        timeliness(load, queued, affine, events, now),
-                        cost(load, queued, fastest) * saving(load, queued.work(), affine)))
+                        timeliness(load, queued, affinityTargets, events, now),
+                        cost(load, queued, fastest) * prefixCostFactor(load, queued.work(), affinityTargets)))
                 .sorted(Comparator.comparing(Candidate::timeliness).thenComparingDouble(Candidate::cost))
                 .toList();
         return candidates.isEmpty() ? Optional.empty() : Optional.of(drawAmongBest(candidates));
@@ -413,16 +420,16 @@
     private UpstreamLoad drawAmongBest(List<Candidate> candidates) {
         Candidate best = candidates.get(0);
         // A scheduler that is alone knows all that is in progress, and takes the best.
-        double mostCost = best.cost() * (1 + LARGEST_SPREAD * (1 - 1.0 / schedulers));
-        List<UpstreamLoad> drawn = candidates.stream()
-                .filter(each -> each.timeliness() == best.timeliness() && each.cost() <= mostCost)
+        double maxCost = best.cost() * (1 + MAX_COST_SPREAD * (1 - 1.0 / schedulerCount));
+        List<UpstreamLoad> similar = candidates.stream()
+                .filter(each -> each.timeliness() == best.timeliness() && each.cost() <= maxCost)
                 .map(Candidate::load)
                 .toList();
-        int free = drawn.stream().mapToInt(this::freeSlots).sum();
-        int left = free > 0 ? draws.nextInt(free) : 0;
-        for (UpstreamLoad load : drawn) {
-            left -= freeSlots(load);
-            if (left < 0) {
+        int free = similar.stream().mapToInt(this::freeSlots).sum();
+        int remaining = free > 0 ? random.nextInt(free) : 0;
+        for (UpstreamLoad load : similar) {
+            remaining -= freeSlots(load);
+            if (remaining < 0) {
                 return load;
             }
         }
@@ -439,41 +446,42 @@
      * answers nobody in time. Each scheduler takes its part of the slots until the time for an event is known.
      */
     private boolean hasFreeSlot(UpstreamLoad load, long now) {
-        if (load.isCold(now) && !load.bearsOneMore(now)) {
+        if (load.isCold(now) && !load.allowsColdRequest(now)) {
             return false;
         }
         if (load.isOnProbation()) {
             return load.inProgress() < 1;
         }
-        if (schedulers > 1 && !isOwnDomain(load) && now - load.lastBeganAt() < reports.spacingMillis()) {
+        if (schedulerCount > 1 && !isOwnDomain(load) && now - load.lastSentAt() < staleness.spacingMillis()) {
             return false;
         }
-        int slots = slots(load) + (schedulers > 1 ? reports.unreportedReleases(slots(load)) : 0);
-        int part = load.isEventTimeKnown() ? slots : Math.max(1, slots / schedulers);
-        return load.inProgress() < slots && load.own() < part;
+        int slots = slots(load) + (schedulerCount > 1 ? staleness.unreportedReleases(slots(load)) : 0);
+        int ownShare = load.isEventTimeKnown() ? slots : Math.max(1, slots / schedulerCount);
+        return load.inProgress() < slots && load.own() < ownShare;
     }
 
     /** Returns what part of its cost a request has at an upstream that keeps the beginning of its prompt. */
-    private static double saving(UpstreamLoad load, QueuedRequest.Work work, Set<UpstreamLoad> affine) {
-        if (!affine.contains(load)) {
+    private static double prefixCostFactor(
+            UpstreamLoad load, QueuedRequest.Work work, Set<UpstreamLoad> affinityTargets) {
+        if (!affinityTargets.contains(load)) {
             return 1;
         }
         double share = (double) work.prefix().tokens() / Math.max(1, work.promptTokens());
-        return 1 - GREATEST_SAVING * Math.min(1, share);
+        return 1 - MAX_PREFIX_SAVING * Math.min(1, share);
     }
 
     private double cost(UpstreamLoad load, QueuedRequest queued, double fastest) {
         // An upstream that nobody has tried counts as one of the fastest, so that its speed is learnt at once.
-        double pace = load.isEventTimeKnown() ? load.eventMillis() : fastest;
+        double eventTime = load.isEventTimeKnown() ? load.eventMillis() : fastest;
         double utilisation = 1 + UTILISATION_PENALTY * load.inProgress() / slots(load);
-        boolean near = load.upstream().failureDomain().equals(queued.preferredDomainOr(ownDomain));
-        double penalty = near ? 1 : CROSS_DOMAIN_PENALTY;
-        return pace * utilisation * penalty * (1 + LARGEST_PREFERENCE * load.preference());
+        boolean sameDomain = load.upstream().failureDomain().equals(queued.entryDomainOr(ownDomain));
+        double penalty = sameDomain ? 1 : CROSS_DOMAIN_PENALTY;
+        return eventTime * utilisation * penalty * (1 + MAX_PREFERENCE * load.preference());
     }
 
     /** Returns whether the upstream is in service for this scheduler, whether or not a slot is free. */
-    private boolean isOpen(UpstreamLoad load, long now) {
-        return takesWork(load) && !load.isUnreachable(now) && (!load.isCold(now) || servesCold.test(load.run()));
+    private boolean isInService(UpstreamLoad load, long now) {
+        return takesWork(load) && !load.isUnreachable(now) && (!load.isCold(now) || mayUseCold.test(load.run()));
     }
 
     private boolean isOwnDomain(UpstreamLoad load) {
@@ -500,6 +508,6 @@
     private record Candidate(UpstreamLoad load, Timeliness timeliness, double cost) {}
 
     private int slots(UpstreamLoad load) {
-        return Math.max(1, load.upstream().slots() > 0 ? load.upstream().slots() : slotsByDefault);
+        return Math.max(1, load.upstream().slots() > 0 ? load.upstream().slots() : defaultSlots);
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/dispatch/SlotValuesTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/SlotValuesTest.java
@@ -27,19 +27,19 @@
     class BeforeAnyAnswer {
         @BeforeEach
         void see() {
-            values.seen(0);
-            values.seen(2);
+            values.addTier(0);
+            values.addTier(2);
         }
 
         @Test
         void countsTiersAlone() {
-            assertThat(values.stepsBehindBest(queued(0, false))).isZero();
-            assertThat(values.stepsBehindBest(queued(2, false))).isCloseTo(2, within(1e-9));
+            assertThat(values.tiersBehindBest(queued(0, false))).isZero();
+            assertThat(values.tiersBehindBest(queued(2, false))).isCloseTo(2, within(1e-9));
         }
 
         @Test
         void countsALateRequestForATierLess() {
-            assertThat(values.stepsBehindBest(queued(0, true))).isCloseTo(1, within(1e-9));
+            assertThat(values.tiersBehindBest(queued(0, true))).isCloseTo(1, within(1e-9));
         }
     }
 
@@ -51,28 +51,28 @@
         @BeforeEach
         void learn() {
             for (int answer = 0; answer < 200; answer++) {
-                values.held(0, 1_500);
-                values.held(1, 1_000);
-                values.held(2, 100);
+                values.recordHold(0, 1_500);
+                values.recordHold(1, 1_000);
+                values.recordHold(2, 100);
             }
         }
 
         /** Guards against short questions that are refused for seconds, though each would have held up nobody. */
         @Test
         void putsAShortAnswerOfTheLeastUrgentTierBeforeALongOneOfTheNext() {
-            assertThat(values.of(queued(2, false))).isGreaterThan(values.of(queued(1, false)));
+            assertThat(values.valueFor(queued(2, false))).isGreaterThan(values.valueFor(queued(1, false)));
         }
 
         @Test
         void keepsTheMostUrgentTierFirst() {
-            assertThat(values.of(queued(0, false))).isGreaterThan(values.of(queued(2, false)));
-            assertThat(values.stepsBehindBest(queued(0, false))).isZero();
+            assertThat(values.valueFor(queued(0, false))).isGreaterThan(values.valueFor(queued(2, false)));
+            assertThat(values.tiersBehindBest(queued(0, false))).isZero();
         }
 
         @Test
         void putsALateSheetBehindAllThatCanBeOnTime() {
-            assertThat(values.of(queued(1, true))).isLessThan(values.of(queued(1, false)));
-            assertThat(values.of(queued(1, true))).isLessThan(values.of(queued(2, false)));
+            assertThat(values.valueFor(queued(1, true))).isLessThan(values.valueFor(queued(1, false)));
+            assertThat(values.valueFor(queued(1, true))).isLessThan(values.valueFor(queued(2, false)));
         }
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UnansweredRequestsTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UnansweredRequestsTest.java
@@ -11,7 +11,7 @@
     void sumsUpThePromptsThatAreStillToBeRead() {
         requests.add("one", 50_000, 0, 10);
         requests.add("two", 600, 50_000, 20);
-        assertThat(requests.tokens()).isEqualTo(50_600);
+        assertThat(requests.pendingTokens()).isEqualTo(50_600);
     }
 
     @Test
@@ -19,7 +19,7 @@
         requests.add("one", 50_000, 0, 10);
         requests.add("two", 600, 50_000, 20);
         assertThat(requests.remove("two")).isEqualTo(50_000);
-        assertThat(requests.tokens()).isEqualTo(50_000);
+        assertThat(requests.pendingTokens()).isEqualTo(50_000);
     }
 
     @Test
@@ -27,7 +27,7 @@
         requests.add("one", 600, 0, 10);
         requests.remove("one");
         assertThat(requests.remove("one")).isZero();
-        assertThat(requests.tokens()).isZero();
+        assertThat(requests.pendingTokens()).isZero();
         assertThat(requests.isEmpty()).isTrue();
     }
 
