--- a/decision/src/test/java/org/radishspur/decision/dispatch/DispatchUnderLoadTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/DispatchUnderLoadTest.java
@@ -14,12 +14,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays a burst on a pool of unlike engines in virtual time, dispatched by several entries that hear of each other late.
+ * Simulates a burst on a pool of engines of different speed in virtual time, dispatched by several schedulers that
+ * receive each other's reports late.
  *
- * <p>The pattern: thirteen engines of nine places, two in three of them 4.4 times as fast as the rest (13.5 and 60 ms an
- * event); seven entries that share their load every 40 ms; three tiers in the proportions 43, 18 and 39 of a hundred, with
- * answers of some 24, 10 and 34 events, long ones far longer (lognormal, sigma 0.9 here), callers that wait for 8 s and want
- * the first byte within 400 ms; and for five seconds 1.8 times as many requests as the engines can serve.
+ * <p>By default there are thirteen engines of nine slots; two in three are 4.4 times as fast as the rest (13.5 and 60
+ * ms per event). Seven schedulers report their load every 40 ms. The three tiers have 43, 18 and 39 percent of the
+ * requests, with answers of about 24, 10 and 34 events and some far longer ones (lognormal, sigma 0.9). Callers have a
+ * deadline of 8 s and want the first byte within 400 ms. For five seconds there are 1.8 times as many requests as the
+ * engines can serve.
  */
 class DispatchUnderLoadTest {
     private static final int SLOTS = 9;
@@ -27,54 +29,60 @@
     private static final double[] TIER_EVENTS = {24, 10, 34};
     private static final long BURST_ENDS_AT = 5_000;
 
-    /** How long an entry lets a request wait that is late anyway. */
-    private static final long LATE_WAIT_MILLIS = 1_200;
+    /** How long a late request may wait in the queue, in milliseconds. */
+    private static final long RETRY_QUEUEING_MILLIS = 1_200;
 
-    private int numberOfEntries = 7;
+    private int schedulerCount = 7;
     private int engines = 13;
-    private long shareMillis = 40;
+    private long reportMillis = 40;
     private double requestsPerSecond = 520;
 
     private final Random random = new Random(20_261);
-    private final List<PoolDispatcher> entries = new ArrayList<>();
+    private final List<PoolDispatcher> schedulers = new ArrayList<>();
     private final PriorityQueue<Running> running =
             new PriorityQueue<>((one, other) -> Long.compare(one.endsAt, other.endsAt));
-    private final PriorityQueue<Running> beginning =
+    private final PriorityQueue<Running> awaitingFirstByte =
             new PriorityQueue<>((one, other) -> Long.compare(one.firstAt(), other.firstAt()));
     private final Map<QueuedRequest, Request> requests = new HashMap<>();
     private final int[] offered = new int[TIER_SHARES.length];
     private final int[] onTime = new int[TIER_SHARES.length];
     private final int[] refused = new int[TIER_SHARES.length];
-    private final PriorityQueue<Returning> returning =
-            new PriorityQueue<>((one, other) -> Long.compare(one.at, other.at));
-    private boolean callersComeBack;
+    private final PriorityQueue<Retry> retries = new PriorityQueue<>((one, other) -> Long.compare(one.at, other.at));
+    private boolean callersRetry;
 
-    /** Whether entries learn from the first byte on and tell each other, or from the end of an answer on and alone. */
+    /**
+     * Whether schedulers record an answer from its first byte on and report times per event to each other, rather than
+     * recording it at its end and reporting none.
+     */
     private boolean learnsAtFirstByte;
 
     private int lateAnswers;
     private int worstOverload;
     private long overloads;
 
-    /** Serves a burst beyond what the engines can do; the most urgent tier must hardly notice. */
+    /** Guards against a burst beyond the engines' capacity that delays requests of the most urgent tier. */
     @Test
     void keepsTheMostUrgentTierOnTimeInABurst() {
-        playBurst();
+        simulateBurst();
         double urgent = (double) onTime[0] / offered[0];
         double least = (double) onTime[2] / offered[2];
         assertThat(urgent).as("most urgent tier on time").isGreaterThan(0.95);
-        assertThat(urgent).as("more urgent tiers go before").isGreaterThan(least + 0.2);
+        assertThat(urgent)
+                .as("most urgent tier on time, compared with the least urgent")
+                .isGreaterThan(least + 0.2);
         assertThat((double) refused[0] / offered[0]).isLessThan(0.05);
-        assertThat(worstOverload).as("requests beyond an engine's places").isLessThanOrEqualTo(12);
-        assertThat(overloads).as("sum of them over all grants").isLessThan(2_500);
+        assertThat(worstOverload).as("requests beyond an engine's slots").isLessThanOrEqualTo(12);
+        assertThat(overloads)
+                .as("requests beyond an engine's slots, summed over all grants")
+                .isLessThan(2_500);
     }
 
-    /** Guards against refused callers who retry into a burst and take the slots of those who can still be on time. */
+    /** Guards against retries of refused callers that take the slots of requests which can still be on time. */
     @Test
-    void keepsPlacesForThoseWhoCanStillBeOnTime() {
-        callersComeBack = true;
+    void keepsSlotsForRequestsThatCanStillBeOnTime() {
+        callersRetry = true;
         learnsAtFirstByte = true;
-        playBurst();
+        simulateBurst();
         double least = (double) onTime[2] / offered[2];
         double middle = (double) onTime[1] / offered[1];
         assertThat(middle).as("middle tier on time at the first try").isGreaterThan(0.9);
@@ -82,30 +90,35 @@
         assertThat(lateAnswers).as("late answers during the burst").isLessThan(30);
     }
 
-    /** Guards against many schedulers that all take the same best slot, so that requests wait inside one engine while others stand empty. */
+    /**
+     * Guards against many schedulers that all choose the same best slot, so that requests wait inside one engine while
+     * others are idle.
+     */
     @Test
-    void spreadsOverEnginesWhereManyEntriesHearOfEachOtherLate() {
-        numberOfEntries = 54;
+    void spreadsOverEnginesWhereManySchedulersReportLate() {
+        schedulerCount = 54;
         engines = 42;
-        shareMillis = 120;
+        reportMillis = 120;
         requestsPerSecond = 700;
         learnsAtFirstByte = true;
-        playBurst();
+        simulateBurst();
         int grants = offered[0] + offered[1] + offered[2];
-        assertThat(worstOverload).as("requests beyond an engine's places").isLessThanOrEqualTo(2 * SLOTS);
-        assertThat((double) overloads / grants).as("of them on average").isLessThan(1.5);
+        assertThat(worstOverload).as("requests beyond an engine's slots").isLessThanOrEqualTo(2 * SLOTS);
+        assertThat((double) overloads / grants)
+                .as("requests beyond an engine's slots, average over all grants")
+                .isLessThan(1.5);
     }
 
-    private void playBurst() {
-        for (int entry = 0; entry < numberOfEntries; entry++) {
-            UpstreamPool upstreams = new UpstreamPool("10.0." + entry + ".1:7600", "a", SLOTS);
+    private void simulateBurst() {
+        for (int scheduler = 0; scheduler < schedulerCount; scheduler++) {
+            UpstreamPool upstreams = new UpstreamPool("10.0." + scheduler + ".1:7600", "a", SLOTS);
             List<Upstream> listed = new ArrayList<>();
             for (int engine = 0; engine < engines; engine++) {
                 listed.add(new Upstream("e" + engine, 1, "pool", "10.0.0.1:80", "a", "v1", SLOTS, false, false));
             }
             upstreams.refresh(listed);
-            upstreams.schedulers(learnsAtFirstByte ? numberOfEntries : 1);
-            entries.add(new PoolDispatcher(upstreams));
+            upstreams.schedulers(learnsAtFirstByte ? schedulerCount : 1);
+            schedulers.add(new PoolDispatcher(upstreams));
         }
         for (long now = 0; now < BURST_ENDS_AT; now++) {
             step(now);
@@ -113,23 +126,26 @@
     }
 
     private void step(long now) {
-        while (learnsAtFirstByte && !beginning.isEmpty() && beginning.peek().firstAt() <= now) {
-            begin(beginning.poll(), now);
+        while (learnsAtFirstByte
+                && !awaitingFirstByte.isEmpty()
+                && awaitingFirstByte.peek().firstAt() <= now) {
+            recordFirstByte(awaitingFirstByte.poll(), now);
         }
         while (!running.isEmpty() && running.peek().endsAt <= now) {
             end(running.poll(), now);
         }
-        while (!returning.isEmpty() && returning.peek().at <= now) {
-            offer(returning.poll().request, now);
+        while (!retries.isEmpty() && retries.peek().at <= now) {
+            offer(retries.poll().request, now);
         }
         for (double expected = requestsPerSecond / 1_000; expected > 0; expected--) {
             if (random.nextDouble() < expected) {
                 arrive(now);
             }
         }
-        if (now % shareMillis == 0) {
-            share();
-            entries.forEach(entry -> entry.advance(now).forEach(decision -> decided(decision, entry, now)));
+        if (now % reportMillis == 0) {
+            reportLoads();
+            schedulers.forEach(
+                    scheduler -> scheduler.advance(now).forEach(decision -> recordDecision(decision, scheduler, now)));
         }
     }
 
@@ -138,60 +154,62 @@
         int tier = draw < TIER_SHARES[0] ? 0 : draw < TIER_SHARES[0] + TIER_SHARES[1] ? 1 : 2;
         double events = Math.max(1, TIER_EVENTS[tier] * Math.exp(random.nextGaussian() * 0.9 - 0.4));
         long expectedTokens = Math.max(1, (long) (events * 5 * Math.exp(random.nextGaussian() * 0.5)));
-        long prompt = (long) (2_000 * Math.exp(random.nextGaussian() * 0.9 - 0.4));
+        long promptTokens = (long) (2_000 * Math.exp(random.nextGaussian() * 0.9 - 0.4));
         offered[tier]++;
-        offer(new Request(tier, events, prompt, expectedTokens, now + 8_000, false), now);
+        offer(new Request(tier, events, promptTokens, expectedTokens, now + 8_000, false), now);
     }
 
     private void offer(Request request, long now) {
-        long queueingMillis = request.returned ? LATE_WAIT_MILLIS : 200;
-        long target = request.returned ? now : now + 400;
+        long queueingMillis = request.isRetry ? RETRY_QUEUEING_MILLIS : 200;
+        long target = request.isRetry ? now : now + 400;
         QueuedRequest queued = new QueuedRequest(
                 "r",
                 0,
                 now,
                 now + queueingMillis,
                 VersionRule.Any.INSTANCE,
-                new QueuedRequest.Work(request.prompt, request.expectedTokens, request.tier, target, request.deadline));
+                new QueuedRequest.Work(
+                        request.promptTokens, request.expectedTokens, request.tier, target, request.deadline));
         requests.put(queued, request);
-        PoolDispatcher entry = entries.get(random.nextInt(numberOfEntries));
-        decided(entry.offer(queued, now), entry, now);
+        PoolDispatcher scheduler = schedulers.get(random.nextInt(schedulerCount));
+        recordDecision(scheduler.offer(queued, now), scheduler, now);
     }
 
-    private void comeBack(Request request, long now) {
+    private void scheduleRetry(Request request, long now) {
         double share = 0.2 + 0.13 * random.nextDouble();
-        Request again = new Request(
-                request.tier, request.events, request.prompt, request.expectedTokens, request.deadline, true);
-        returning.add(new Returning(now + (long) (share * (request.deadline - now)), again));
+        Request retry = new Request(
+                request.tier, request.events, request.promptTokens, request.expectedTokens, request.deadline, true);
+        retries.add(new Retry(now + (long) (share * (request.deadline - now)), retry));
     }
 
-    private void decided(Decision decision, PoolDispatcher entry, long now) {
+    private void recordDecision(Decision decision, PoolDispatcher scheduler, long now) {
         Request request = requests.get(decision.queued());
         if (decision instanceof Decision.Granted granted) {
             boolean fast = !isSlow(granted.upstream());
-            long first = (long) (fast ? 20 + request.prompt / 230.0 : 80 + request.prompt / 52.0);
-            double pace = fast ? 13.5 : 60;
-            long ends = now + first + (long) (request.events * pace);
-            Running begun = new Running(now, ends, decision.queued(), granted.upstream(), entry, first, pace);
-            running.add(begun);
-            beginning.add(begun);
-            boolean inTime = !request.returned
-                    && now + first <= decision.queued().arrivedAt() + 400
+            long firstByteMillis = (long) (fast ? 20 + request.promptTokens / 230.0 : 80 + request.promptTokens / 52.0);
+            double eventMillis = fast ? 13.5 : 60;
+            long ends = now + firstByteMillis + (long) (request.events * eventMillis);
+            Running started = new Running(
+                    now, ends, decision.queued(), granted.upstream(), scheduler, firstByteMillis, eventMillis);
+            running.add(started);
+            awaitingFirstByte.add(started);
+            boolean inTime = !request.isRetry
+                    && now + firstByteMillis <= decision.queued().arrivedAt() + 400
                     && ends <= decision.queued().arrivedAt() + 8_000;
             onTime[request.tier] += inTime ? 1 : 0;
-            lateAnswers += request.returned ? 1 : 0;
-            int here = (int) running.stream()
+            lateAnswers += request.isRetry ? 1 : 0;
+            int inProgress = (int) running.stream()
                     .filter(each -> each.upstream
                             .upstream()
                             .id()
                             .equals(granted.upstream().upstream().id()))
                     .count();
-            worstOverload = Math.max(worstOverload, here - SLOTS);
-            overloads += Math.max(0, here - SLOTS);
+            worstOverload = Math.max(worstOverload, inProgress - SLOTS);
+            overloads += Math.max(0, inProgress - SLOTS);
         } else if (decision instanceof Decision.Refused) {
             refused[request.tier]++;
-            if (callersComeBack && !request.returned) {
-                comeBack(request, now);
+            if (callersRetry && !request.isRetry) {
+                scheduleRetry(request, now);
             }
         }
     }
@@ -200,8 +218,9 @@
         return Integer.parseInt(upstream.upstream().id().substring(1)) % 3 == 2;
     }
 
-    private void begin(Running begun, long now) {
-        begun.upstream.answered(begun.queued, requests.get(begun.queued).prompt, begun.first, now);
+    private void recordFirstByte(Running started, long now) {
+        started.upstream.answered(
+                started.queued, requests.get(started.queued).promptTokens, started.firstByteMillis, now);
     }
 
     private void end(Running ended, long now) {
@@ -209,39 +228,43 @@
         if (learnsAtFirstByte) {
             ended.upstream.recordBytes(now);
         } else {
-            ended.upstream.answered(ended.queued, request.prompt, ended.first, now);
+            ended.upstream.answered(ended.queued, request.promptTokens, ended.firstByteMillis, now);
         }
-        ended.upstream.recordEventTime(ended.pace, 1);
-        ended.entry.upstreams().outputs().add(ended.queued.work().outputTokens(), (long) request.events);
-        ended.entry.answered(ended.queued, now - ended.sentAt);
-        ended.entry.release(ended.upstream, ended.queued, now);
-        ended.entry.advance(now).forEach(decision -> decided(decision, ended.entry, now));
+        ended.upstream.recordEventTime(ended.eventMillis, 1);
+        ended.scheduler.upstreams().outputs().add(ended.queued.work().outputTokens(), (long) request.events);
+        ended.scheduler.answered(ended.queued, now - ended.sentAt);
+        ended.scheduler.release(ended.upstream, ended.queued, now);
+        ended.scheduler.advance(now).forEach(decision -> recordDecision(decision, ended.scheduler, now));
     }
 
-    private void share() {
-        for (int from = 0; from < numberOfEntries; from++) {
-            for (UpstreamLoad load : entries.get(from).upstreams().loads()) {
-                for (int to = 0; to < numberOfEntries; to++) {
+    private void reportLoads() {
+        for (int from = 0; from < schedulerCount; from++) {
+            for (UpstreamLoad load : schedulers.get(from).upstreams().loads()) {
+                for (int to = 0; to < schedulerCount; to++) {
                     if (from != to) {
                         String name = "entry-" + from;
-                        entries.get(to).upstreams().find(load.upstream().run()).ifPresent(known -> {
-                            known.recordPeerInProgress(name, load.own());
-                            if (learnsAtFirstByte) {
-                                known.recordPeerEventTime(load.ownEventMillis());
-                            }
-                        });
+                        schedulers
+                                .get(to)
+                                .upstreams()
+                                .find(load.upstream().run())
+                                .ifPresent(known -> {
+                                    known.recordPeerInProgress(name, load.own());
+                                    if (learnsAtFirstByte) {
+                                        known.recordPeerEventTime(load.ownEventMillis());
+                                    }
+                                });
                     }
                 }
             }
         }
     }
 
-    /** Holds what a request really needs. */
+    /** Holds the actual size of a request, which schedulers only estimate. */
     private record Request(
-            int tier, double events, long prompt, long expectedTokens, long deadline, boolean returned) {}
+            int tier, double events, long promptTokens, long expectedTokens, long deadline, boolean isRetry) {}
 
-    /** Holds a request whose caller was refused and retries. */
-    private record Returning(long at, Request request) {}
+    /** Holds a retry of a refused request. */
+    private record Retry(long at, Request request) {}
 
     /** Holds a request in progress. */
     private record Running(
@@ -249,11 +272,11 @@
             long endsAt,
             QueuedRequest queued,
             UpstreamLoad upstream,
-            PoolDispatcher entry,
-            long first,
-            double pace) {
+            PoolDispatcher scheduler,
+            long firstByteMillis,
+            double eventMillis) {
         long firstAt() {
-            return sentAt + first;
+            return sentAt + firstByteMillis;
         }
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/dispatch/FirstByteModelTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/FirstByteModelTest.java
@@ -7,12 +7,12 @@
 
 class FirstByteModelTest {
     @Test
-    void knowsNothingAtFirst() {
+    void isUnknownWithoutAnswers() {
         assertThat(new FirstByteModel().isKnown()).isFalse();
     }
 
     @Test
-    void learnsHowTheTimeGrowsWithThePrompt() {
+    void estimatesTheTimeFromThePromptLength() {
         FirstByteModel model = new FirstByteModel();
         for (int count = 0; count < 30; count++) {
             double tokens = 500 + 300 * count;
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void takesTheMeanWherePromptsAreAlike() {
+    void usesTheMeanWherePromptsHaveTheSameLength() {
         FirstByteModel model = new FirstByteModel();
         for (int count = 0; count < 10; count++) {
             model.add(1_000, count % 2 == 0 ? 40 : 60);
--- a/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
@@ -39,7 +39,7 @@
     }
 
     @Nested
-    class WithFreePlaces {
+    class WithFreeSlots {
         @Test
         void grantsAtOnce() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 2, false));
@@ -47,7 +47,7 @@
         }
 
         @Test
-        void prefersTheOwnFailureDomainAmongEquals() {
+        void prefersItsOwnFailureDomainAmongEquals() {
             PoolDispatcher dispatcher = dispatcher(upstream("far", "b", 4, false), upstream("near", "a", 4, false));
             assertThat(granted(dispatcher.offer(queued("r", 0, 200), NOW))
                             .upstream()
@@ -56,7 +56,7 @@
         }
 
         @Test
-        void sendsNothingToAnUpstreamThatLeaves() {
+        void sendsNothingToALeavingUpstream() {
             PoolDispatcher dispatcher = dispatcher(upstream("leaving", "a", 4, true), upstream("stays", "b", 4, false));
             assertThat(granted(dispatcher.offer(queued("r", 0, 200), NOW))
                             .upstream()
@@ -64,16 +64,18 @@
                     .isEqualTo("stays");
         }
 
-        /** A list that lags shows an upstream as live again after another one has shown it leaving: leaving wins. */
+        /**
+         * Guards against a stale host list that shows an upstream as live again after a newer one has shown it leaving.
+         */
         @Test
-        void doesNotTakeALeavingUpstreamBack() {
+        void sendsNothingToALeavingUpstreamAfterAStaleHostList() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 4, true));
             dispatcher.upstreams().refresh(List.of(upstream("one", "a", 4, false)));
             assertThat(dispatcher.offer(queued("r", 0, 0), NOW)).isInstanceOf(Decision.Refused.class);
         }
 
         @Test
-        void countsWhatOtherEntriesHaveInProgress() {
+        void countsRequestsInProgressOfOtherSchedulers() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 2, false), upstream("two", "b", 2, false));
             dispatcher.upstreams().loads().stream()
                     .filter(load -> load.upstream().id().equals("one"))
@@ -86,22 +88,22 @@
     }
 
     @Nested
-    class WithoutFreePlaces {
+    class WithoutFreeSlots {
         @Test
-        void letsARequestWaitThatIsLikelyToGetAPlaceInTime() {
+        void queuesARequestThatIsLikelyToGetASlotInTime() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 1, false));
             QueuedRequest first = queued("first", 0, 500);
-            UpstreamLoad place = granted(dispatcher.offer(first, NOW));
+            UpstreamLoad upstream = granted(dispatcher.offer(first, NOW));
             QueuedRequest second = queued("second", 0, 600);
             assertThat(dispatcher.offer(second, NOW)).isInstanceOf(Decision.Waits.class);
-            dispatcher.release(place, first, NOW + 100);
+            dispatcher.release(upstream, first, NOW + 100);
             assertThat(dispatcher.advance(NOW + 100))
                     .singleElement()
-                    .satisfies(decision -> assertThat(granted(decision)).isSameAs(place));
+                    .satisfies(decision -> assertThat(granted(decision)).isSameAs(upstream));
         }
 
         @Test
-        void refusesAtOnceWhatCannotGetAPlaceInTime() {
+        void refusesAtOnceWhatCannotGetASlotInTime() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 1, false));
             granted(dispatcher.offer(queued("first", 0, 500), NOW));
             assertThat(dispatcher.offer(queued("second", 0, 100), NOW))
@@ -111,7 +113,7 @@
         }
 
         @Test
-        void refusesARequestThatHasWaitedTooLong() {
+        void refusesARequestAtItsQueueingDeadline() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 1, false));
             granted(dispatcher.offer(queued("first", 0, 500), NOW));
             QueuedRequest second = queued("second", 0, 600);
@@ -127,12 +129,12 @@
         void servesTheMoreUrgentTierFirst() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 1, false));
             QueuedRequest first = queued("first", 0, 500);
-            UpstreamLoad place = granted(dispatcher.offer(first, NOW));
+            UpstreamLoad upstream = granted(dispatcher.offer(first, NOW));
             QueuedRequest low = queued("low", 2, 1_500);
             QueuedRequest high = queued("high", 0, 1_600);
             dispatcher.offer(low, NOW);
             dispatcher.offer(high, NOW);
-            dispatcher.release(place, first, NOW + 10);
+            dispatcher.release(upstream, first, NOW + 10);
             assertThat(dispatcher.advance(NOW + 10))
                     .singleElement()
                     .satisfies(decision -> assertThat(decision.queued()).isSameAs(high));
@@ -140,13 +142,13 @@
     }
 
     /**
-     * Requests of all tiers arrive at several entries; each entry serves its own line, so that a place that becomes free where
-     * only less urgent ones wait would go to them while a more urgent one is refused elsewhere.
+     * Each of several schedulers has its own queue. Without reserved slots, a slot that becomes free where only less
+     * urgent requests wait would go to one of them while a more urgent request is refused at another scheduler.
      */
     @Nested
-    class ReservesPlaces {
+    class ReservedSlots {
         @Test
-        void leavesTheLastPlacesToMoreUrgentTiers() {
+        void leavesTheLastSlotsToMoreUrgentTiers() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 20, false));
             granted(dispatcher.offer(queued("urgent", 0, 500), NOW));
             int taken = 0;
@@ -158,7 +160,7 @@
         }
 
         @Test
-        void reservesNothingWhereOnlyOneTierAsks() {
+        void reservesNothingWhereAllRequestsAreOfOneTier() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 10, false));
             int taken = 0;
             while (dispatcher.offer(queued("low", 2, 0), NOW) instanceof Decision.Granted) {
@@ -169,16 +171,17 @@
     }
 
     /**
-     * Two of three engines are fast, one takes 4.4 times as long, as in pools of two generations of hardware: 13.5 ms and 60 ms
-     * an event. An answer of 200 events takes 2.7 s on a fast one and 12 s on the slow one, where its caller waits for 8 s.
+     * The slow engine takes 4.4 times as long per event as the fast one, 60 ms and 13.5 ms, as in a pool of two
+     * hardware generations. An answer of 200 events takes 2.7 s on the fast engine and 12 s on the slow one; the
+     * deadline is 8 s.
      */
     @Nested
-    class WithEnginesOfUnlikeSpeed {
-        private static final double FAST_PACE = 13.5;
-        private static final double SLOW_PACE = 60;
+    class WithEnginesOfDifferentSpeed {
+        private static final double FAST_EVENT_MILLIS = 13.5;
+        private static final double SLOW_EVENT_MILLIS = 60;
         private static final long EVENTS_PER_EXPECTED_TOKEN = 5;
 
-        private PoolDispatcher learned() {
+        private PoolDispatcher withMeasuredSpeeds() {
             PoolDispatcher dispatcher = dispatcher(upstream("fast", "a", 2, false), upstream("slow", "a", 2, false));
             for (UpstreamLoad load : dispatcher.upstreams().loads()) {
                 boolean fast = load.upstream().id().equals("fast");
@@ -187,7 +190,7 @@
                     load.began(count, 0, NOW);
                     load.answered(count, prompt, (long) (fast ? 20 + prompt / 230.0 : 80 + prompt / 52.0), NOW);
                     load.ended(count);
-                    load.recordEventTime(fast ? FAST_PACE : SLOW_PACE, 1);
+                    load.recordEventTime(fast ? FAST_EVENT_MILLIS : SLOW_EVENT_MILLIS, 1);
                 }
             }
             dispatcher.upstreams().outputs().add(EVENTS_PER_EXPECTED_TOKEN * 100, 100);
@@ -205,8 +208,8 @@
         }
 
         @Test
-        void fillsTheFastOneFirst() {
-            PoolDispatcher dispatcher = learned();
+        void fillsTheFastEngineFirst() {
+            PoolDispatcher dispatcher = withMeasuredSpeeds();
             List<String> order = new ArrayList<>();
             for (int count = 0; count < 4; count++) {
                 order.add(granted(dispatcher.offer(generation(1_000, 100, 200), NOW))
@@ -217,8 +220,8 @@
         }
 
         @Test
-        void letsALongAnswerWaitForTheFastOne() {
-            PoolDispatcher dispatcher = learned();
+        void queuesALongAnswerForTheFastEngine() {
+            PoolDispatcher dispatcher = withMeasuredSpeeds();
             QueuedRequest first = generation(1_000, 100, 200);
             UpstreamLoad fast = granted(dispatcher.offer(first, NOW));
             granted(dispatcher.offer(generation(1_000, 100, 200), NOW));
@@ -230,16 +233,16 @@
         }
 
         @Test
-        void letsALongPromptWaitForTheFastOne() {
-            PoolDispatcher dispatcher = learned();
+        void queuesALongPromptForTheFastEngine() {
+            PoolDispatcher dispatcher = withMeasuredSpeeds();
             granted(dispatcher.offer(generation(1_000, 100, 200), NOW));
             granted(dispatcher.offer(generation(1_000, 100, 200), NOW));
             assertThat(dispatcher.offer(generation(50_000, 100, 600), NOW)).isInstanceOf(Decision.Waits.class);
         }
 
         @Test
-        void takesTheSlowOneRatherThanNoneWhenTheWaitIsHalfOver() {
-            PoolDispatcher dispatcher = learned();
+        void usesTheSlowEngineInTheSecondHalfOfTheQueueingTime() {
+            PoolDispatcher dispatcher = withMeasuredSpeeds();
             granted(dispatcher.offer(generation(1_000, 100, 200), NOW));
             granted(dispatcher.offer(generation(1_000, 100, 200), NOW));
             dispatcher.offer(generation(50_000, 100, 600), NOW);
@@ -252,35 +255,35 @@
 
     @Nested
     class WithFastAndSlowUpstreams {
-        private static final int PLACES = 20;
+        private static final int SLOTS = 20;
 
-        private final Upstream fast = upstream("fast", "a", PLACES, false);
-        private final Upstream slow = upstream("slow", "a", PLACES, false);
+        private final Upstream fast = upstream("fast", "a", SLOTS, false);
+        private final Upstream slow = upstream("slow", "a", SLOTS, false);
 
-        /** Fills all places but one of the fast upstream; the slow one is empty. */
-        private PoolDispatcher unlike() {
+        /** Fills all slots but one of the fast upstream; the slow one is empty. */
+        private PoolDispatcher withOneFastSlotLeft() {
             PoolDispatcher dispatcher = dispatcher(fast, slow);
-            learn(dispatcher, fast, 15);
-            learn(dispatcher, slow, 70);
+            recordTimes(dispatcher, fast, 15);
+            recordTimes(dispatcher, slow, 70);
             UpstreamLoad load = dispatcher.upstreams().find(fast.run()).orElseThrow();
-            for (int place = 1; place < PLACES; place++) {
-                load.began(place, 0, NOW);
+            for (int slot = 1; slot < SLOTS; slot++) {
+                load.began(slot, 0, NOW);
             }
             return dispatcher;
         }
 
-        private void learn(PoolDispatcher dispatcher, Upstream upstream, long pace) {
+        private void recordTimes(PoolDispatcher dispatcher, Upstream upstream, long eventMillis) {
             UpstreamLoad load = dispatcher.upstreams().find(upstream.run()).orElseThrow();
             for (int answer = 0; answer < 5; answer++) {
-                load.answered(answer, 100, 2 * pace, NOW);
-                load.recordEventTime(10 * pace, 10);
+                load.answered(answer, 100, 2 * eventMillis, NOW);
+                load.recordEventTime(10 * eventMillis, 10);
             }
         }
 
-        /** Guards against free slots on slow engines that count for an urgent request, which does not go there. */
+        /** Guards against counting free slots of slow engines for an urgent request, which doesn't go there. */
         @Test
-        void keepsTheLastFastPlaceForAnUrgentRequestThoughSlowOnesAreFree() {
-            PoolDispatcher dispatcher = unlike();
+        void keepsTheLastFastSlotForAnUrgentRequestWhileSlowOnesAreFree() {
+            PoolDispatcher dispatcher = withOneFastSlotLeft();
             dispatcher.offer(queued("first of its tier", 0, 200), NOW);
             dispatcher.upstreams().find(fast.run()).orElseThrow().ended("first of its tier");
             assertThat(granted(dispatcher.offer(queued("note", 2, 200), NOW)).upstream())
--- a/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerPropertyTest.java
@@ -28,36 +28,40 @@
     }
 
     /**
-     * An organisation sends six times its usual through all entries at once. Each entry receives the others' use a moment
-     * later; what they admit together in any window must stay within the limit and what can be admitted unheard.
+     * Guards against an excess that grows while an organisation sends about six times its limit through all schedulers
+     * at once. Each scheduler receives the use at the others late; together they may admit the limit, and what arrives
+     * before a report.
      */
     @Property(tries = 60, seed = "4711")
-    void keepsTheSumWithinTheLimitAndTheDelay(
-            @ForAll @IntRange(min = 2, max = 9) int entries,
+    void keepsTheTotalWithinTheLimitDespiteReportDelay(
+            @ForAll @IntRange(min = 2, max = 9) int schedulers,
             @ForAll @LongRange(min = 10, max = 200) long delay,
             @ForAll long seed) {
         Random random = new Random(seed);
         int cost = 4_000;
-        List<QuotaLedger> ledgers = ledgers(entries);
+        List<QuotaLedger> ledgers = ledgers(schedulers);
         double admitted = 0;
         long seconds = 10;
         for (long now = 0; now < seconds * 1_000; now++) {
             if (random.nextInt(7) == 0) {
-                QuotaLedger ledger = ledgers.get(random.nextInt(entries));
+                QuotaLedger ledger = ledgers.get(random.nextInt(schedulers));
                 admitted += ledger.take(rule(RATE, BURST), cost, false, now).isEmpty() ? cost : 0;
             }
             if (now % delay == 0) {
-                share(ledgers, now);
+                exchangeReports(ledgers, now);
             }
         }
-        double offeredUnheard = 1_000.0 / 7 * cost * delay / 1_000;
-        assertThat(admitted).isLessThanOrEqualTo(RATE * seconds + BURST + offeredUnheard + entries * cost);
+        double offeredBeforeReport = 1_000.0 / 7 * cost * delay / 1_000;
+        assertThat(admitted).isLessThanOrEqualTo(RATE * seconds + BURST + offeredBeforeReport + schedulers * cost);
         assertThat(admitted).isGreaterThan(RATE * seconds * 0.9);
     }
 
-    /** Guards against a limit that is exceeded as each scheduler keeps a part of it for small requests by itself. */
+    /**
+     * Guards against a limit that is exceeded because each scheduler reserves a part of it for small requests on its
+     * own.
+     */
     @Property(tries = 60, seed = "4712")
-    void keepsTheSumWithinTheLimitWhereSmallRequestsHaveTheirPart(
+    void keepsTheTotalWithinTheLimitWithAReserveForSmallRequests(
             @ForAll @IntRange(min = 2, max = 9) int schedulers,
             @ForAll @LongRange(min = 10, max = 60) long delay,
             @ForAll long seed) {
@@ -76,15 +80,15 @@
             admitted += taken ? cost : 0;
             admittedSmall += taken && cost == small ? cost : 0;
             if (now % delay == 0) {
-                share(ledgers, now);
+                exchangeReports(ledgers, now);
             }
         }
-        double offeredUnheard = (0.4 * large + 0.6 * small) * delay;
-        assertThat(admitted).isLessThanOrEqualTo(RATE * seconds + BURST + offeredUnheard + schedulers * large);
+        double offeredBeforeReport = (0.4 * large + 0.6 * small) * delay;
+        assertThat(admitted).isLessThanOrEqualTo(RATE * seconds + BURST + offeredBeforeReport + schedulers * large);
         assertThat(admittedSmall).isGreaterThan(RATE * seconds * 0.1);
     }
 
-    private void share(List<QuotaLedger> ledgers, long now) {
+    private void exchangeReports(List<QuotaLedger> ledgers, long now) {
         for (int from = 0; from < ledgers.size(); from++) {
             for (int to = 0; to < ledgers.size(); to++) {
                 if (from != to) {
--- a/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerTest.java
@@ -16,7 +16,7 @@
     }
 
     @Nested
-    class AtOneEntry {
+    class AtOneScheduler {
         @Test
         void admitsTheBurstAndThenTheRate() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
@@ -27,7 +27,7 @@
         }
 
         @Test
-        void saysWhenThereIsRoomAgain() {
+        void returnsWhenTheLimitAllowsTheRequest() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(1_000, 500);
             ledger.take(rule, 700, false, 0);
@@ -35,7 +35,7 @@
         }
 
         @Test
-        void givesBackWhatHasNotRun() {
+        void refundsARequestThatDidNotRun() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(1_000, 500);
             ledger.take(rule, 500, false, 0);
@@ -44,7 +44,7 @@
         }
 
         @Test
-        void obeysALowerLimitFromItsFirstRequestOn() {
+        void appliesALoweredLimitFromTheNextRequestOn() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             ledger.take(rule(100_000, 100_000), 1, false, 0);
             ledger.take(rule(100, 100), 100, false, 1);
@@ -53,22 +53,22 @@
     }
 
     @Nested
-    class WithCallersThatComeBack {
+    class WithRetriesOfRefusedCallers {
         private static final int COST = 10;
-        private static final long RETURN_MILLIS = 2_000;
+        private static final long RETRY_MILLIS = 2_000;
 
-        /** Guards against a limit that late requests use up before those that could be on time. */
+        /** Guards against late requests that use up the limit before requests that could be on time. */
         @Test
-        void givesTheLimitToThoseWhoCanStillBeOnTime() {
+        void prefersRequestsThatCanStillBeOnTime() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(1_000, 1_000);
-            PriorityQueue<Long> returning = new PriorityQueue<>();
+            PriorityQueue<Long> retryTimes = new PriorityQueue<>();
             int onTime = 0;
             int late = 0;
             Random random = new Random(7);
             for (long now = 0; now < 20_000; now++) {
-                while (!returning.isEmpty() && returning.peek() <= now) {
-                    returning.remove();
+                while (!retryTimes.isEmpty() && retryTimes.peek() <= now) {
+                    retryTimes.remove();
                     late += ledger.take(rule, COST, true, now).isEmpty() ? 1 : 0;
                 }
                 if (random.nextInt(5) > 0) {
@@ -77,17 +77,17 @@
                 if (ledger.take(rule, COST, false, now).isEmpty()) {
                     onTime++;
                 } else {
-                    returning.add(now + RETURN_MILLIS + random.nextInt(1_000));
+                    retryTimes.add(now + RETRY_MILLIS + random.nextInt(1_000));
                 }
             }
-            // 20 s of the limit and the burst allow 2,100. Where late requests count like fresh ones, 1,438 are on
-            // time.
+            // The limit of 20 s and the burst allow 2,100 requests. If late requests were treated like new ones, 1,438
+            // would be on time.
             assertThat(onTime).isGreaterThan(1_900);
             assertThat(late).isLessThan(100);
         }
 
         @Test
-        void servesLateRequestsWhereThereIsPlenty() {
+        void admitsLateRequestsFarBelowTheLimit() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             assertThat(ledger.take(rule(1_000, 1_000), COST, true, 0)).isEmpty();
         }
@@ -100,12 +100,12 @@
         private static final int SHORT_COST = 200;
         private static final long SECONDS = 20;
 
-        private int shortAsked;
+        private int shortOffered;
         private int shortAdmitted;
         private double used;
 
-        /** Sends six times what the limit allows, three requests in ten of them short. */
-        private void play() {
+        /** Offers six times what the limit allows; three requests in ten are short. */
+        private void simulate() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(RATE, RATE);
             Random random = new Random(11);
@@ -118,30 +118,36 @@
                 int cost = isShort ? SHORT_COST : LONG_COST;
                 boolean admitted = ledger.take(rule, cost, false, now).isEmpty();
                 used += admitted ? cost : 0;
-                shortAsked += isShort ? 1 : 0;
+                shortOffered += isShort ? 1 : 0;
                 shortAdmitted += isShort && admitted ? 1 : 0;
             }
         }
 
-        /** Guards against reports that are refused because the same organisation's briefings have used its limit up. */
+        /**
+         * Guards against short requests that are refused because long prompts of the same organisation have used up its
+         * limit.
+         */
         @Test
-        void refusesNoShortOnesForTheSakeOfLongOnes() {
-            play();
-            assertThat(shortAdmitted).isGreaterThanOrEqualTo(shortAsked * 99 / 100);
+        void admitsShortRequestsWhereLongOnesUseUpTheLimit() {
+            simulate();
+            assertThat(shortAdmitted).isGreaterThanOrEqualTo(shortOffered * 99 / 100);
         }
 
         @Test
         void admitsNoMoreThanTheLimit() {
-            play();
+            simulate();
             assertThat(used).isLessThanOrEqualTo(RATE * (SECONDS + 1) + LONG_COST + RATE / 20);
         }
     }
 
     @Nested
-    class OverSeveralEntries {
-        /** Guards against seconds of no service after a cut, in which all use of the time of the cut is made up for. */
+    class AcrossSchedulers {
+        /**
+         * Guards against a refusal of all requests for seconds after a disconnection, while all use from that time is
+         * charged at once.
+         */
         @Test
-        void admitsSoonAfterACutWhatIsWithinTheLimit() {
+        void admitsRequestsWithinTheLimitSoonAfterADisconnection() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = new OrganisationRule("fleet", Set.of("key"), 0, 1_000, 1_000, true, 10);
             ledger.take(rule, 1, false, 0);
@@ -151,7 +157,7 @@
         }
 
         @Test
-        void countsTheUseOfAnEntryThatIsHeardForTheFirstTime() {
+        void countsTheFirstReportOfAPeer() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             ledger.take(rule(100, 1_000), 1, false, 0);
             ledger.recordPeerUse("other", rule(100, 1_000), 2_000, 0);
@@ -160,22 +166,24 @@
                     .hasValueSatisfying(wait -> assertThat(wait).isLessThan(50));
         }
 
-        /** Guards against an entry that has just started and owes all that the others have ever used. */
+        /**
+         * Guards against a scheduler that has just started and is charged all use that its peers have ever admitted.
+         */
         @Test
-        void owesNothingForWhatOthersAdmittedBeforeItsStart() {
+        void onlyEmptiesTheBucketForUseBeforeItsStart() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(1_000, 1_000);
-            for (int entry = 0; entry < 6; entry++) {
-                ledger.recordPeerUse("entry-" + entry, rule, 500_000, 40);
+            for (int peer = 0; peer < 6; peer++) {
+                ledger.recordPeerUse("entry-" + peer, rule, 500_000, 40);
             }
             assertThat(ledger.take(rule, 100, false, 70)).isEmpty();
             assertThat(ledger.take(rule, 100, false, 71))
-                    .as("the bucket was empty")
+                    .as("second request, of an empty bucket")
                     .isPresent();
         }
 
         @Test
-        void countsAllUseOfAnEntryThatStartsLater() {
+        void countsAllUseOfAPeerThatStartsLater() {
             QuotaLedger ledger = new QuotaLedger(QuotaLedger.Tolerance.NONE);
             OrganisationRule rule = rule(1_000, 1_000);
             ledger.take(rule, 900, false, 0);
--- a/decision/src/test/java/org/radishspur/decision/dispatch/RolloutJudgeTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/RolloutJudgeTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void waitsWhileNothingSpeaksAgainstTheVersion() {
+    void staysOpenDuringTheTrialOfAHealthyVersion() {
         assertThat(judge(new Side(30, 0, 3_000), 0.5)).isEqualTo(Verdict.OPEN);
     }
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void doesNotTakeFailuresAgainstAVersionThatAllVersionsShare() {
+    void ignoresFailuresThatAllVersionsShare() {
         Side failing = new Side(200, 60, 200 * 100);
         assertThat(RolloutJudge.INSTANCE.judge(List.of(new Evidence(new Side(10, 3, 1_000), failing)), 0.5))
                 .isEqualTo(Verdict.OPEN);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void doesNotMoveToAVersionThatHasAnsweredNothing() {
+    void findsAVersionWithoutAnswersBad() {
         assertThat(judge(Side.NONE, 0.9)).isEqualTo(Verdict.BAD);
     }
 }
--- a/decision/src/test/java/org/radishspur/decision/dispatch/SlotValuesTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/SlotValuesTest.java
@@ -26,30 +26,30 @@
     @Nested
     class BeforeAnyAnswer {
         @BeforeEach
-        void see() {
+        void addTiers() {
             values.addTier(0);
             values.addTier(2);
         }
 
         @Test
-        void countsTiersAlone() {
+        void ranksByTierOnly() {
             assertThat(values.tiersBehindBest(queued(0, false))).isZero();
             assertThat(values.tiersBehindBest(queued(2, false))).isCloseTo(2, within(1e-9));
         }
 
         @Test
-        void countsALateRequestForATierLess() {
+        void ranksALateRequestOneTierLower() {
             assertThat(values.tiersBehindBest(queued(0, true))).isCloseTo(1, within(1e-9));
         }
     }
 
     /**
-     * Three tiers of a market: reports that take 1.5 s, sheets that take 1 s, and short answers that take 0.1 s.
+     * Three tiers whose answers take 1.5 s, 1 s and 0.1 s.
      */
     @Nested
     class WithShortAndLongAnswers {
         @BeforeEach
-        void learn() {
+        void recordHolds() {
             for (int answer = 0; answer < 200; answer++) {
                 values.recordHold(0, 1_500);
                 values.recordHold(1, 1_000);
@@ -57,20 +57,22 @@
             }
         }
 
-        /** Guards against short questions that are refused for seconds, though each would have held up nobody. */
+        /**
+         * Guards against short requests that are refused for seconds, though none of them would have delayed another.
+         */
         @Test
-        void putsAShortAnswerOfTheLeastUrgentTierBeforeALongOneOfTheNext() {
+        void ranksAShortAnswerOfTheLeastUrgentTierAboveALongOneOfTheNext() {
             assertThat(values.valueFor(queued(2, false))).isGreaterThan(values.valueFor(queued(1, false)));
         }
 
         @Test
-        void keepsTheMostUrgentTierFirst() {
+        void ranksTheMostUrgentTierFirst() {
             assertThat(values.valueFor(queued(0, false))).isGreaterThan(values.valueFor(queued(2, false)));
             assertThat(values.tiersBehindBest(queued(0, false))).isZero();
         }
 
         @Test
-        void putsALateSheetBehindAllThatCanBeOnTime() {
+        void ranksALateRequestBelowThoseThatCanBeOnTime() {
             assertThat(values.valueFor(queued(1, true))).isLessThan(values.valueFor(queued(1, false)));
             assertThat(values.valueFor(queued(1, true))).isLessThan(values.valueFor(queued(2, false)));
         }
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UnansweredRequestsTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UnansweredRequestsTest.java
@@ -8,14 +8,14 @@
     private final UnansweredRequests requests = new UnansweredRequests();
 
     @Test
-    void sumsUpThePromptsThatAreStillToBeRead() {
+    void sumsUpThePromptTokensThatAreStillToBeRead() {
         requests.add("one", 50_000, 0, 10);
         requests.add("two", 600, 50_000, 20);
         assertThat(requests.pendingTokens()).isEqualTo(50_600);
     }
 
     @Test
-    void tellsWhatWasToBeReadBeforeARequest() {
+    void returnsTheTokensAheadOfARemovedRequest() {
         requests.add("one", 50_000, 0, 10);
         requests.add("two", 600, 50_000, 20);
         assertThat(requests.remove("two")).isEqualTo(50_000);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void takesARequestOutOnce() {
+    void removesARequestOnce() {
         requests.add("one", 600, 0, 10);
         requests.remove("one");
         assertThat(requests.remove("one")).isZero();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void knowsWhenTheOldestWasSent() {
+    void returnsWhenTheOldestRequestWasSent() {
         assertThat(requests.oldestSentAt(99)).isEqualTo(99);
         requests.add("one", 0, 0, 20);
         requests.add("two", 0, 0, 10);
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
@@ -54,9 +54,9 @@
 
     @Nested
     class Faults {
-        /** An upstream that fails part of its requests while others are well gets nothing for a moment. */
+        /** Guards against requests that are sent to a failing upstream while others are healthy. */
         @Test
-        void pausesAnUpstreamThatFailsInARow() {
+        void ejectsAnUpstreamAfterFailuresInARow() {
             for (int count = 0; count < 3; count++) {
                 load("one").recordOutcome(false, 0, NOW);
             }
@@ -65,7 +65,7 @@
 
         /** Guards against an engine that is ejected because one reset has broken several of its connections. */
         @Test
-        void trustsAnUpstreamWhoseConnectionsBreakAtOneMoment() {
+        void keepsAnUpstreamWhoseConnectionsBreakAtTheSameMoment() {
             for (int connection = 0; connection < 4; connection++) {
                 if (load("one").broke(NOW + connection)) {
                     load("one").recordOutcome(false, 0, NOW);
@@ -75,7 +75,7 @@
         }
 
         @Test
-        void pausesAnUpstreamWhoseConnectionsBreakAgainAndAgain() {
+        void ejectsAnUpstreamWhoseConnectionsBreakRepeatedly() {
             for (int connection = 0; connection < 3; connection++) {
                 if (load("one").broke(NOW + connection * 60L)) {
                     load("one").recordOutcome(false, 0, NOW);
@@ -84,9 +84,9 @@
             assertThat(chosen(8)).doesNotContain("one");
         }
 
-        /** Requests that fail everywhere, because of what they ask, must not empty the pool. */
+        /** Guards against faulty requests that fail everywhere and have all upstreams ejected. */
         @Test
-        void keepsThePoolWhenAllFail() {
+        void keepsUpstreamsInServiceWhereAllFail() {
             for (String id : List.of("one", "two", "three")) {
                 for (int count = 0; count < 5; count++) {
                     load(id).recordOutcome(false, 0, NOW);
@@ -96,7 +96,7 @@
         }
 
         @Test
-        void triesAPausedUpstreamWithOneRequest() {
+        void probesAnEjectedUpstreamWithOneRequest() {
             for (int count = 0; count < 3; count++) {
                 load("one").recordOutcome(false, 0, NOW - 1_600);
             }
@@ -104,16 +104,16 @@
         }
 
         @Test
-        void takesNothingToAnUnreachableUpstreamEvenIfItIsTheLast() {
+        void sendsNothingToAnUnreachableUpstreamEvenIfItIsTheLast() {
             for (String id : List.of("one", "two", "three")) {
                 load(id).recordConnectFailure(NOW);
             }
             assertThat(chosen(1)).isEmpty();
         }
 
-        /** An upstream falls silent with requests in it; no reset tells. No new request joins them. */
+        /** Guards against new requests to an upstream that stops answering without a connection reset. */
         @Test
-        void avoidsAnUpstreamThatHasFallenSilent() {
+        void avoidsASilentUpstream() {
             load("one").began("hanging", 0, NOW - 2_000);
             assertThat(chosen(8)).doesNotContain("one");
         }
@@ -125,9 +125,9 @@
             assertThat(chosen(12)).contains("one");
         }
 
-        /** The address of an instance that has ended was given to another one, which answers for itself. */
+        /** Guards against requests to an instance that has ended and whose address another instance has now. */
         @Test
-        void dropsAnInstanceWhoseAddressAnotherOneHas() {
+        void avoidsAnInstanceWhoseAddressAnotherOneHas() {
             load("one").markReplaced();
             upstreams.refresh(List.of(upstream("one"), upstream("two"), upstream("three")));
             assertThat(chosen(12)).doesNotContain("one");
@@ -139,7 +139,7 @@
         private static final long QUEUED_UNTIL = NOW + 200;
 
         @BeforeEach
-        void learn() {
+        void recordAnswers() {
             for (int answer = 0; answer < 5; answer++) {
                 load("one").answered(new Object(), 1_000, 30, NOW);
                 load("one").recordEventTime(140, 10);
@@ -149,7 +149,7 @@
                 load("three").recordEventTime(600, 10);
                 upstreams.outputs().add(50, 10);
             }
-            for (int place = 0; place < 4; place++) {
+            for (int slot = 0; slot < 4; slot++) {
                 load("one").began(new Object(), 0, NOW);
             }
         }
@@ -177,35 +177,39 @@
         }
 
         @Test
-        void takeASlowEngineOnceTheyHaveWaitedInVain() {
+        void useASlowEngineInTheSecondHalfOfTheQueueingTime() {
             assertThat(chosenFor(400, NOW + 150)).isPresent();
         }
 
-        /** Guards against a slow engine for an answer that seems too long for all, so that they look alike. */
+        /**
+         * Guards against an answer that no engine is expected to finish, so that a slow engine looks as good as a fast
+         * one.
+         */
         @Test
-        void waitForAFastEngineWhereTheySeemTooLongForAll() {
+        void waitForAFastEngineWhereNoneIsExpectedToFinishInTime() {
             assertThat(chosenFor(5_000, NOW)).isEmpty();
             assertThat(chosenFor(5_000, NOW + 150)).isEmpty();
         }
 
         @Test
-        void countUpToTheirLimit() {
+        void areEstimatedWithinTheirTokenLimit() {
             assertThat(chosenFor(400, 500, NOW)).isPresent();
         }
 
         @Test
-        void doNotKeepShortAnswersFromSlowEngines() {
+        void doNotExcludeShortAnswersFromSlowEngines() {
             assertThat(chosenFor(150, NOW)).isPresent();
         }
     }
 
     /**
-     * Many entries: this one has had answers from one engine only, and has been told the paces of the others.
+     * There are many schedulers; this one has had answers from one engine only, and the times per event of the others
+     * from reports.
      */
     @Nested
-    class HardlyKnownEngines {
+    class EnginesWithoutOwnAnswers {
         @BeforeEach
-        void learn() {
+        void recordAnswers() {
             for (int answer = 0; answer < 40; answer++) {
                 load("one").recordEventTime(140, 10);
                 load("one").answered(new Object(), 1_000 + 100 * answer, 30 + answer, NOW);
@@ -214,7 +218,7 @@
             load("two").recordPeerEventTime(75);
             load("three").recordPeerEventTime(75);
             upstreams.schedulers(50);
-            for (int place = 0; place < 4; place++) {
+            for (int slot = 0; slot < 4; slot++) {
                 load("one").began(new Object(), 0, NOW);
             }
         }
@@ -230,26 +234,28 @@
             return upstreams.choose(queued, 0, NOW).map(load -> load.upstream().id());
         }
 
-        /** Guards against a slow engine that counts as good for everything until it has answered here. */
+        /**
+         * Guards against a slow engine that counts as suitable for every request until it has answered this scheduler.
+         */
         @Test
-        void keepLongAnswersThatCouldNotEndThere() {
+        void getNoLongAnswersThatWouldNotFinishInTime() {
             assertThat(chosenFor(1_000, 400)).isEmpty();
         }
 
         @Test
-        void keepLongPromptsThatWouldBeLateThere() {
+        void getNoLongPromptsThatWouldBeLate() {
             assertThat(chosenFor(20_000, 50)).isEmpty();
         }
 
         @Test
-        void takeShortRequests() {
+        void getShortRequests() {
             assertThat(chosenFor(1_000, 50)).isPresent();
         }
     }
 
     @Nested
     class SharedPrefixes {
-        private QueuedRequest ticketOf(String prefix, long tokens) {
+        private QueuedRequest requestWithPrefix(String prefix, long tokens) {
             return new QueuedRequest(
                     "r",
                     0,
@@ -260,49 +266,49 @@
                             15_000, 50, 0, 0, NOW + 400, NOW + 8_000, new QueuedRequest.Prefix(prefix, tokens)));
         }
 
-        private UpstreamLoad chosenBy(String entry, QueuedRequest queued) {
-            UpstreamPool other = new UpstreamPool(entry, "a", 4);
+        private UpstreamLoad chosenBy(String scheduler, QueuedRequest queued) {
+            UpstreamPool other = new UpstreamPool(scheduler, "a", 4);
             other.refresh(IntStream.range(0, 12)
                     .mapToObj(number -> upstream("engine-" + number))
                     .toList());
             return other.choose(queued, 0, NOW).orElseThrow();
         }
 
-        /** Guards against shared prompts that are read anew at every engine. */
+        /** Guards against shared prompts that are read again at every engine. */
         @Test
-        void goToTheSameFewUpstreamsFromAllEntries() {
+        void useTheSameFewUpstreamsAtAllSchedulers() {
             Set<String> used = IntStream.range(0, 9)
-                    .mapToObj(entry -> chosenBy("entry-" + entry, ticketOf("chart", 13_000)))
+                    .mapToObj(scheduler -> chosenBy("entry-" + scheduler, requestWithPrefix("chart", 13_000)))
                     .map(load -> load.upstream().id())
                     .collect(Collectors.toSet());
             assertThat(used).hasSizeLessThanOrEqualTo(2);
         }
 
         @Test
-        void areSpreadOverAllUpstreamsByTheirNames() {
+        void areSpreadOverAllUpstreamsByTheirIds() {
             Set<String> used = IntStream.range(0, 60)
-                    .mapToObj(prefix -> chosenBy("entry", ticketOf("chart-" + prefix, 13_000)))
+                    .mapToObj(prefix -> chosenBy("entry", requestWithPrefix("chart-" + prefix, 13_000)))
                     .map(load -> load.upstream().id())
                     .collect(Collectors.toSet());
             assertThat(used).hasSizeGreaterThan(9);
         }
 
         @Test
-        void doNotMatterWhereTheyAreShort() {
+        void haveNoEffectWhereTheyAreShort() {
             Set<String> used = IntStream.range(0, 9)
-                    .mapToObj(entry -> chosenBy("entry-" + entry, ticketOf("chart", 60)))
+                    .mapToObj(scheduler -> chosenBy("entry-" + scheduler, requestWithPrefix("chart", 60)))
                     .map(load -> load.upstream().id())
                     .collect(Collectors.toSet());
             assertThat(used).hasSizeGreaterThan(2);
         }
 
         @Test
-        void yieldToAFreePlaceElsewhere() {
-            QueuedRequest first = ticketOf("chart", 13_000);
+        void yieldToAFreeSlotElsewhere() {
+            QueuedRequest first = requestWithPrefix("chart", 13_000);
             Set<String> used = new HashSet<>();
-            for (int place = 0; place < 12; place++) {
+            for (int slot = 0; slot < 12; slot++) {
                 UpstreamLoad load = upstreams.choose(first, 0, NOW).orElseThrow();
-                load.began(place, 0, NOW);
+                load.began(slot, 0, NOW);
                 used.add(load.upstream().id());
             }
             assertThat(used).hasSize(3);
@@ -311,15 +317,18 @@
 
     @Nested
     class NewUpstreams {
-        /** Guards against a rush of all entries to an engine that is listed anew and looks fast and empty. */
+        /**
+         * Guards against all schedulers sending at once to an engine that has just been listed and looks fast and
+         * empty.
+         */
         @Test
-        void getOnlyThisEntrysPartOfTheirSlotsUntilTheyHaveAnswered() {
+        void getOnlyThisSchedulersShareOfTheirSlotsUntilMeasured() {
             upstreams.schedulers(9);
             assertThat(chosen(20)).containsExactlyInAnyOrder("one", "two", "three");
         }
 
         @Test
-        void getAllOfTheirPlacesOnceAnotherEntryHasToldTheirPace() {
+        void getAllOfTheirSlotsOnceAnotherSchedulerReportsTheirTimePerEvent() {
             upstreams.schedulers(9);
             for (String id : List.of("one", "two", "three")) {
                 load(id).recordPeerEventTime(15);
@@ -328,13 +337,16 @@
         }
 
         @Test
-        void getAllOfTheirPlacesFromAnEntryThatIsAlone() {
+        void getAllOfTheirSlotsFromASingleScheduler() {
             assertThat(chosen(20)).hasSize(12);
         }
 
-        /** Guards against an engine that is given up before its first answer, and so is never learnt to be slow. */
+        /**
+         * Guards against an engine whose requests are abandoned before its first answer, so that it is never known as
+         * slow.
+         */
         @Test
-        void areWaitedForLongerThanKnownOnes() {
+        void mayBeSilentForLongerThanMeasuredOnes() {
             load("one").began("first", 0, NOW);
             assertThat(load("one").isSilent(NOW + 1_000)).isFalse();
             load("one").answered("first", 0, 50, NOW + 1_000);
@@ -346,7 +358,7 @@
     @Nested
     class Refreshing {
         @Test
-        void forgetsAnUpstreamThatIsNoLongerListed() {
+        void removesAnUpstreamThatIsNoLongerListed() {
             upstreams.refresh(List.of(upstream("two")));
             assertThat(upstreams.loads()).hasSize(1);
         }
@@ -360,7 +372,7 @@
         }
 
         @Test
-        void takesAnInstanceThatStartedAgainForAnotherOne() {
+        void treatsARestartedInstanceAsAnotherOne() {
             load("one").recordOutcome(false, 0, NOW);
             upstreams.refresh(List.of(new Upstream("one", 2, "pool", "10.0.0.1:80", "a", "v1", 4, false, false)));
             assertThat(upstreams.loads())
@@ -372,14 +384,14 @@
     @Nested
     class Avoiding {
         @Test
-        void leavesOutWhatWasTriedWhileOthersAreThere() {
+        void excludesATriedUpstreamWhereOthersAreUsable() {
             QueuedRequest retried = queued();
             retried.avoid(upstream("one").run());
             assertThat(upstreams.choose(retried, 0, NOW)).get().isNotSameAs(load("one"));
         }
 
         @Test
-        void triesTheSameAgainWhereItIsTheOnlyOne() {
+        void retriesTheSameUpstreamWhereItIsTheOnlyOne() {
             upstreams.refresh(List.of(upstream("one")));
             QueuedRequest retried = queued();
             retried.avoid(upstream("one").run());
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamsOutOfServiceTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamsOutOfServiceTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests which upstreams of a pool get nothing, or little, although they are listed and answer.
+ * Tests which upstreams of a pool get no requests, or few, although they are listed and answer.
  */
 class UpstreamsOutOfServiceTest {
     private static final long NOW = 10_000;
@@ -64,37 +64,37 @@
 
     @Nested
     class Evacuation {
-        private static final Set<String> OWN = Set.of("a");
+        private static final Set<String> OWN_DOMAIN = Set.of("a");
 
-        /** Guards against work that is sent into a failure domain which the operator is about to switch off. */
+        /** Guards against requests that are sent into a failure domain which the operator is about to switch off. */
         @Test
         void sendsNothingToTheFailureDomain() {
             upstreams.refresh(List.of(upstream("one"), upstreamIn("b", "two")));
-            upstreams.evacuate(OWN, NOW);
+            upstreams.evacuate(OWN_DOMAIN, NOW);
             assertThat(chosen(10)).hasSize(4).containsOnly("two");
         }
 
         /** Guards against requests that wait for a slot where no upstream is left. */
         @Test
-        void leavesNoSlotWhereEveryUpstreamIsEvacuated() {
-            upstreams.evacuate(OWN, NOW);
+        void offersNoSlotWhereEveryUpstreamIsEvacuated() {
+            upstreams.evacuate(OWN_DOMAIN, NOW);
             assertThat(upstreams.slots(NOW)).isZero();
             assertThat(chosen(1)).isEmpty();
         }
 
-        /** Guards against upstreams that were restarted while they got nothing, and crash under their full load. */
+        /** Guards against upstreams that were restarted while they got no requests, and crash under full load. */
         @Test
-        void sparesTheUpstreamsOfAFailureDomainThatIsTakenBack() {
+        void limitsTheUpstreamsOfAFailureDomainThatIsBackInService() {
             upstreams.coldStart(new ColdStart(3_000, 2), run -> true);
-            upstreams.evacuate(OWN, NOW);
+            upstreams.evacuate(OWN_DOMAIN, NOW);
             upstreams.evacuate(Set.of(), NOW);
             assertThat(chosen(12)).hasSize(6);
         }
 
         @Test
-        void givesTheUpstreamsTheirFullLoadOnceTheyMustBeWarm() {
+        void liftsTheLimitOnceTheUpstreamsMustBeWarm() {
             upstreams.coldStart(new ColdStart(3_000, 2), run -> true);
-            upstreams.evacuate(OWN, NOW);
+            upstreams.evacuate(OWN_DOMAIN, NOW);
             upstreams.evacuate(Set.of(), NOW);
             assertThat(chosenAt(NOW + 3_000, 12)).hasSize(12);
         }
@@ -109,60 +109,62 @@
             upstreams.refresh(List.of(upstream("one").withCold(cold)));
         }
 
-        private int begunWithin(long millis) {
-            int begun = 0;
+        private int sentWithin(long millis) {
+            int sent = 0;
             for (long now = NOW; now < NOW + millis; now += 10) {
                 Optional<UpstreamLoad> chosen = upstreams.choose(queued(), 0, now);
                 if (chosen.isPresent()) {
-                    begun++;
+                    sent++;
                     Object request = new Object();
                     chosen.get().began(request, 0, now);
                     chosen.get().ended(request);
                 }
             }
-            return begun;
+            return sent;
         }
 
-        /** Guards against an upstream that crashes again because all send to the one that is empty. */
+        /**
+         * Guards against an upstream that crashes again after a restart, because all schedulers send to the empty one.
+         */
         @Test
-        void getNoMoreRequestsASecondThanTheyBear() {
+        void getNoMoreRequestsPerSecondThanTheirLimit() {
             upstreams.coldStart(new ColdStart(COLD_MILLIS, PER_SECOND), run -> true);
             list(true);
-            assertThat(begunWithin(1_000)).isEqualTo(PER_SECOND);
+            assertThat(sentWithin(1_000)).isEqualTo(PER_SECOND);
         }
 
         @Test
         void getTheirFullLoadOnceTheyAreWarm() {
             upstreams.coldStart(new ColdStart(COLD_MILLIS, PER_SECOND), run -> true);
             list(true);
-            begunWithin(1_000);
+            sentWithin(1_000);
             list(false);
-            assertThat(begunWithin(1_000)).isEqualTo(100);
+            assertThat(sentWithin(1_000)).isEqualTo(100);
         }
 
-        /** Guards against several schedulers whose shares add up to more than an upstream bears. */
+        /** Guards against several schedulers that together send more than a cold upstream can serve. */
         @Test
-        void getNothingFromASchedulerThatDoesNotServeThem() {
+        void getNothingFromASchedulerThatMayNotUseThem() {
             upstreams.coldStart(new ColdStart(COLD_MILLIS, PER_SECOND), run -> false);
             list(true);
-            assertThat(begunWithin(1_000)).isZero();
+            assertThat(sentWithin(1_000)).isZero();
             assertThat(upstreams.slots(NOW)).isZero();
         }
 
-        /** Guards against a crashed upstream that is back before the host list shows that it has started. */
+        /** Guards against a crashed upstream that is reachable again before the host list shows its restart. */
         @Test
-        void areThoseToWhichNoConnectionCouldBeMadeJustBefore() {
+        void includeThoseThatWereUnreachableJustBefore() {
             upstreams.coldStart(new ColdStart(COLD_MILLIS, PER_SECOND), run -> true);
             list(false);
             load("one").recordConnectFailure(NOW - 1_000);
             load("one").recordOutcome(true, 0, NOW);
-            assertThat(begunWithin(1_000)).isEqualTo(PER_SECOND);
+            assertThat(sentWithin(1_000)).isEqualTo(PER_SECOND);
         }
 
         @Test
-        void needNoCareInAPoolWithoutAColdStart() {
+        void getTheirFullLoadInAPoolWithoutAColdStartLimit() {
             list(true);
-            assertThat(begunWithin(1_000)).isEqualTo(100);
+            assertThat(sentWithin(1_000)).isEqualTo(100);
         }
     }
 }
