--- a/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Returns the waiting requests, first in line first.
+     * Returns the waiting requests in the order in which they should get slots.
      *
      * @return a copy that later changes to the queue don't affect.
      */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
@@ -51,7 +51,9 @@
      */
     private static final long PEER_SILENCE_MILLIS = 900;
 
-    /** Largest debt that a first report leaves at startup, in milliseconds of the rate: half a report interval. */
+    /**
+     * Largest debt that a report leaves at startup or after a gap, in milliseconds of the rate: half a report interval.
+     */
     private static final long STARTUP_DEBT_MILLIS = 20;
 
     private static final long NOT_STARTED = Long.MIN_VALUE;
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
@@ -218,8 +218,8 @@
     }
 
     /** Sets whether the times of the whole pool are used until this upstream has answered often enough here. */
-    void setUsesPoolTimes(boolean follows) {
-        usesPoolTimes = follows;
+    void setUsesPoolTimes(boolean uses) {
+        usesPoolTimes = uses;
     }
 
     /** Sets the cold start limit of the upstream. */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
@@ -20,7 +20,7 @@
  * Holds the state of the upstreams of one pool at one scheduler, and chooses the upstream for each request.
  */
 public final class UpstreamPool {
-    /** Cost that a full upstream has beyond an empty one, as a share; it spreads requests over equal upstreams. */
+    /** Extra cost of a full upstream over an empty one, as a share; it spreads requests over equal upstreams. */
     private static final double UTILISATION_PENALTY = 0.5;
 
     /**
@@ -46,8 +46,8 @@
     private static final double SLOW_FACTOR = 2;
 
     /**
-     * Share of a request's cost that a cached prompt prefix saves at most: the part of reading a prompt that is long
-     * compared with the answer.
+     * Share of a request's cost that a cached prefix saves at most: the cost of reading a prompt that is long compared
+     * with the answer.
      */
     private static final double MAX_PREFIX_SAVING = 0.6;
 
@@ -202,8 +202,8 @@
                 queued.work().outputTokens(),
                 early ? EARLY_LENGTH_FACTOR : LATER_LENGTH_FACTOR,
                 queued.work().outputLimit());
-        boolean untriedExist = usable.stream().anyMatch(load -> !queued.avoids(load.run()));
-        if (untriedExist) {
+        boolean anyUntried = usable.stream().anyMatch(load -> !queued.avoids(load.run()));
+        if (anyUntried) {
             // Where every remaining upstream was tried before, one of them is better than none.
             usable.removeIf(load -> queued.avoids(load.run()));
         }
@@ -350,17 +350,17 @@
 
     private List<UpstreamLoad> usable(QueuedRequest queued, long now) {
         List<UpstreamLoad> listed = new ArrayList<>();
-        int reachable = 0;
+        int inService = 0;
         int ejected = 0;
         for (UpstreamLoad load : loads.values()) {
             if (isInService(load, now)
                     && queued.versions().allows(load.upstream().version())) {
                 listed.add(load);
-                reachable++;
+                inService++;
                 ejected += load.isEjected(now) ? 1 : 0;
             }
         }
-        boolean appliesEjections = ejected <= reachable * MAX_EJECTED_SHARE;
+        boolean appliesEjections = ejected <= inService * MAX_EJECTED_SHARE;
         listed.removeIf(load -> load.isSilent(now) || appliesEjections && load.isEjected(now));
         return listed;
     }
@@ -409,13 +409,14 @@
             Set<UpstreamLoad> affinityTargets,
             double events,
             long now) {
-        double fastest = shortestEventMillis(usable);
+        double fastestEventMillis = shortestEventMillis(usable);
         List<Candidate> candidates = usable.stream()
                 .filter(load -> hasFreeSlot(load, now))
                 .map(load -> new Candidate(
                         load,
                         timeliness(load, queued, affinityTargets, events, now),
-                        cost(load, queued, fastest) * prefixCostFactor(load, queued.work(), affinityTargets)))
+                        cost(load, queued, fastestEventMillis)
+                                * prefixCostFactor(load, queued.work(), affinityTargets)))
                 .sorted(Comparator.comparing(Candidate::timeliness).thenComparingDouble(Candidate::cost))
                 .toList();
         return candidates.isEmpty() ? Optional.empty() : Optional.of(drawAmongBest(candidates));
@@ -480,9 +481,9 @@
         return 1 - MAX_PREFIX_SAVING * Math.min(1, share);
     }
 
-    private double cost(UpstreamLoad load, QueuedRequest queued, double fastest) {
+    private double cost(UpstreamLoad load, QueuedRequest queued, double fastestEventMillis) {
         // An upstream without measurements counts as one of the fastest, so that it is measured soon.
-        double eventTime = load.isEventTimeKnown() ? load.eventMillis() : fastest;
+        double eventTime = load.isEventTimeKnown() ? load.eventMillis() : fastestEventMillis;
         double utilisation = 1 + UTILISATION_PENALTY * load.inProgress() / slots(load);
         boolean sameDomain = load.upstream().failureDomain().equals(queued.entryDomainOr(ownDomain));
         double penalty = sameDomain ? 1 : CROSS_DOMAIN_PENALTY;
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
@@ -197,7 +197,7 @@
         }
 
         @Test
-        void doNotExcludeShortAnswersFromSlowEngines() {
+        void leaveSlowEnginesToShortAnswers() {
             assertThat(chosenFor(150, NOW)).isPresent();
         }
     }
