--- a/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
@@ -172,7 +172,7 @@
     }
 
     private Bucket bucketOf(OrganisationRule organisation, long now) {
-        double rate = organisation.ratePerSecond() * (1 + tolerance.share());
+        double rate = organisation.ratePerSecond() * (1 + tolerance.rateShare());
         double capacity = capacity(organisation);
         Bucket bucket = buckets.get(organisation.name());
         if (bucket == null) {
@@ -196,17 +196,17 @@
     }
 
     private double capacity(OrganisationRule organisation) {
-        return organisation.burst() + tolerance.amount();
+        return organisation.burst() + tolerance.burstAmount();
     }
 
     /**
      * Defines by how much a limit may be exceeded, so that requests within it are never refused because schedulers have
      * different views.
      *
-     * @param share the share by which the rate may be exceeded.
-     * @param amount the amount by which the burst may be exceeded, in the unit of the limit.
+     * @param rateShare the share by which the rate may be exceeded.
+     * @param burstAmount the amount by which the burst may be exceeded, in the unit of the limit.
      */
-    public record Tolerance(double share, double amount) {
+    public record Tolerance(double rateShare, double burstAmount) {
         /** Allows no excess. */
         public static final Tolerance NONE = new Tolerance(0, 0);
     }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/RolloutJudge.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RolloutJudge.java
@@ -35,7 +35,7 @@
     private static final long MIN_ANSWERS = 10;
 
     /**
-     * Decides whether the trial version is good, bad, or still open.
+     * Decides whether the trial version is good or bad, or whether it is too early to tell.
      *
      * @param routes the answers on each route.
      * @param elapsed the share of the period that has passed, from 0 to 1.
@@ -50,7 +50,7 @@
             }
         }
         if (elapsed < TRIAL_SHARE) {
-            return Verdict.OPEN;
+            return Verdict.UNDECIDED;
         }
         return answers >= MIN_ANSWERS ? Verdict.GOOD : Verdict.BAD;
     }
@@ -75,7 +75,7 @@
      */
     public enum Verdict {
         /** There is not enough evidence yet. */
-        OPEN,
+        UNDECIDED,
         /** Requests may move to the version. */
         GOOD,
         /** The version must get no more requests. */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
@@ -55,7 +55,7 @@
     private final String run;
     private final double preference;
     private boolean listed = true;
-    private int ownInProgress;
+    private int ownRequests;
     private long lastSentAt = Long.MIN_VALUE / 2;
     private final PeerTotal peerInProgress = new PeerTotal();
     private final MovingAverage firstByteMillis = new MovingAverage(TIME_AVERAGE_WEIGHT);
@@ -138,7 +138,7 @@
      * @param now the clock in milliseconds.
      */
     public void began(Object request, long promptTokens, long now) {
-        ownInProgress++;
+        ownRequests++;
         lastSentAt = now;
         coldLimit.recordSent(now);
         if (unanswered.isEmpty()) {
@@ -180,7 +180,7 @@
      * @param request identifies the request.
      */
     public void ended(Object request) {
-        ownInProgress--;
+        ownRequests--;
         unanswered.remove(request);
     }
 
@@ -357,7 +357,7 @@
      * @return the number.
      */
     public int inProgress() {
-        return ownInProgress + (int) peerInProgress.total();
+        return ownRequests + (int) peerInProgress.total();
     }
 
     /**
@@ -366,7 +366,7 @@
      * @return the number.
      */
     public int own() {
-        return ownInProgress;
+        return ownRequests;
     }
 
     long lastSentAt() {
--- a/decision/src/test/java/org/radishspur/decision/dispatch/RolloutJudgeTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/RolloutJudgeTest.java
@@ -17,8 +17,8 @@
     }
 
     @Test
-    void staysOpenDuringTheTrialOfAHealthyVersion() {
-        assertThat(judge(new Side(30, 0, 3_000), 0.5)).isEqualTo(Verdict.OPEN);
+    void staysUndecidedDuringTheTrialOfAHealthyVersion() {
+        assertThat(judge(new Side(30, 0, 3_000), 0.5)).isEqualTo(Verdict.UNDECIDED);
     }
 
     @Test
@@ -40,7 +40,7 @@
     void ignoresFailuresThatAllVersionsShare() {
         Side failing = new Side(200, 60, 200 * 100);
         assertThat(RolloutJudge.INSTANCE.judge(List.of(new Evidence(new Side(10, 3, 1_000), failing)), 0.5))
-                .isEqualTo(Verdict.OPEN);
+                .isEqualTo(Verdict.UNDECIDED);
     }
 
     @Test
