--- a/decision/src/main/java/org/radishspur/decision/dispatch/Average.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/MovingAverage.java
@@ -1,9 +1,10 @@
 package org.radishspur.decision.dispatch;
 
 /**
- * Follows a quantity by an exponentially weighted average; the first samples count fully, so that it is of use at once.
+ * Computes an exponentially weighted moving average. The first samples are weighted equally, so that the average is
+ * usable from the first sample on.
  */
-final class Average {
+final class MovingAverage {
     private final double weight;
     private double value;
     private long samples;
@@ -11,9 +12,9 @@
     /**
      * Creates an average without samples.
      *
-     * @param weight the part of the newest sample once many have come, from 0 to 1.
+     * @param weight the share of the newest sample once there are many, from 0 to 1.
      */
-    Average(double weight) {
+    MovingAverage(double weight) {
         this.weight = weight;
     }
 
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -21,65 +21,81 @@
 import org.radishspur.model.table.UpstreamRow;
 
 /**
- * Decides for one pool which waiting request runs next and where. Events and the clock go in, {@link PermitAction}s
- * come out of {@link #decide}. The owner's control thread calls it; all times are in microseconds.
+ * Decides for one pool which waiting request runs next and on which upstream. Callers report events with the current
+ * time; {@link #decide} returns the resulting {@link PermitAction}s. Instances are used by one thread, the control thread
+ * of the pool's owner. All times are in microseconds unless a name gives another unit.
  */
 public final class PoolScheduler {
     private static final double MICROS_PER_MILLI = 1_000;
-    private static final int HEADS_TRIED_PER_TIER = 8;
-    private static final int FINISHED_REMEMBERED = 20_000;
-    private static final long SHORTEST_RETRY_MILLIS = 100;
-    private static final long LONGEST_RETRY_MILLIS = 60_000;
-    private static final long HOUSEKEEPING_MICROS = 100_000;
-    private static final int MOST_PASSES = 8;
-    private static final double WORTHWHILE_SHARE = 0.1;
+
+    /** How many organisations are considered for a grant, each with its next request. */
+    private static final int MAX_CANDIDATES_PER_TIER = 8;
+
+    private static final int MAX_FINISHED_ATTEMPTS = 20_000;
+    private static final long MIN_RETRY_AFTER_MILLIS = 100;
+    private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+
+    /** The interval at which slow upstreams are looked for and idle organisations removed. */
+    private static final long HOUSEKEEPING_INTERVAL_MICROS = 100_000;
+
+    /** How often a request that is first in order may wait for requests with a larger cached share. */
+    private static final int MAX_TIMES_PASSED_OVER = 8;
+
+    /** By how much the cached share of a prompt must be larger for its request to be preferred. */
+    private static final double MIN_CACHED_SHARE_GAIN = 0.1;
 
     private final SchedulerOptions options;
-    private final LengthEstimate lengths = new LengthEstimate();
-    private final CostAccuracy accuracy = new CostAccuracy();
+    private final OutputLengthCorrection outputLengths = new OutputLengthCorrection();
+    private final CostCorrection costCorrection = new CostCorrection();
     private final WaitingQueue queue = new WaitingQueue();
     private final Map<String, UpstreamState> upstreams = new LinkedHashMap<>();
     private Set<String> evacuated = Set.of();
+
+    /** The name of the upstream of each attempt in flight. */
     private final Map<PermitId, String> inFlight = new HashMap<>();
-    private final Map<PermitId, Integer> announced = new HashMap<>();
-    private final FinishedAttempts finished = new FinishedAttempts(FINISHED_REMEMBERED);
-    private final SuspectWatch suspects;
+
+    /** The answer length that each attempt announced, before its correction. */
+    private final Map<PermitId, Integer> announcedOutputTokens = new HashMap<>();
+
+    private final FinishedAttempts finishedAttempts = new FinishedAttempts(MAX_FINISHED_ATTEMPTS);
+    private final CrashSuspects suspects;
     private final PoolSpeeds speeds = new PoolSpeeds();
-    private final VersionDesk versions = new VersionDesk();
-    private final HeadRoom headRoom = new HeadRoom();
+    private final VersionRouting versions = new VersionRouting();
+    private final SlotReserve slotReserve = new SlotReserve();
     private final List<PermitAction> actions = new ArrayList<>();
     private final Ejector ejector;
-    private final UpstreamChoice choice;
+    private final UpstreamSelector selector;
     private PoolRow row;
     private long sequence;
-    private long heldUntil;
-    private long housekeepingAt;
+    private long grantsPausedUntil;
+    private long nextHousekeepingAt;
 
     /**
      * Creates the scheduler of a pool.
      *
      * @param row the pool.
      * @param options the scheduling policy.
-     * @param owner a text that no other owner of the pool has had, for naming crashes.
+     * @param owner a text that no other owner of the pool has used, for the identifiers of crashes.
      */
     public PoolScheduler(PoolRow row, SchedulerOptions options, String owner) {
         this.options = options;
-        this.suspects = new SuspectWatch(owner);
+        this.suspects = new CrashSuspects(owner);
         this.ejector = new Ejector(options, upstreams, actions);
-        this.choice = new UpstreamChoice(suspects, versions, speeds);
+        this.selector = new UpstreamSelector(suspects, versions, speeds);
         configure(row);
     }
 
     /**
-     * Takes over a changed row of the pool.
+     * Applies a changed row of the pool. An upstream that the row no longer names gets no new requests and is kept while
+     * it has requests in flight.
      *
      * @param changed the row.
      */
     public void configure(PoolRow changed) {
         row = changed;
-        Map<String, UpstreamRow> present = new HashMap<>();
+        Map<String, UpstreamRow> rowsByName = new HashMap<>();
         for (UpstreamRow upstream : changed.upstreams()) {
-            present.put(upstream.name(), upstream);
+            rowsByName.put(upstream.name(), upstream);
             UpstreamState state = upstreams.get(upstream.name());
             if (state == null) {
                 upstreams.put(upstream.name(), create(upstream));
@@ -88,81 +104,82 @@
             }
         }
         upstreams.values().stream()
-                .filter(state -> !present.containsKey(state.name()))
+                .filter(state -> !rowsByName.containsKey(state.name()))
                 .forEach(UpstreamState::remove);
         upstreams
                 .values()
-                .removeIf(state ->
-                        !present.containsKey(state.name()) && state.inFlight().isEmpty());
+                .removeIf(state -> !rowsByName.containsKey(state.name())
+                        && state.inFlight().isEmpty());
         speeds.expire();
     }
 
     /**
-     * Grants nothing until a time, so that entries can first register what they have in flight from an earlier owner.
+     * Grants no permit until a time, so that entries can first register the permits that an earlier owner granted them.
      *
-     * @param until the clock in microseconds.
+     * @param until the time in microseconds.
      */
     public void holdUntil(long until) {
-        heldUntil = until;
+        grantsPausedUntil = until;
     }
 
     /**
-     * Takes a request for a permit; one that is known already changes nothing, except that a lost grant is repeated.
+     * Queues or refuses a request for a permit. A repeated request changes nothing, but if it is in flight, its grant is
+     * sent again.
      *
      * @param request the request.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void arrive(PermitRequest request, long now) {
-        String dispatched = inFlight.get(request.id());
-        if (dispatched != null) {
-            actions.add(new PermitAction.Grant(request.id(), dispatched));
+        String grantedUpstream = inFlight.get(request.id());
+        if (grantedUpstream != null) {
+            actions.add(new PermitAction.Grant(request.id(), grantedUpstream));
             return;
         }
-        if (queue.contains(request.id()) || finished.contains(request.id())) {
+        if (queue.contains(request.id()) || finishedAttempts.contains(request.id())) {
             return;
         }
-        headRoom.arrived(request.tier(), now);
+        slotReserve.arrived(request.tier(), now);
         if (suspects.isRefused(request.fingerprint())) {
             refuse(
                     request.id(),
                     Refusal.notRun(
                             RefusalReason.CRASH_SUSPECT,
                             "The request was in flight at repeated crashes.",
-                            LONGEST_RETRY_MILLIS));
+                            MAX_RETRY_AFTER_MILLIS));
             return;
         }
-        Work work = lengths.correct(request);
+        Work size = outputLengths.correct(request);
         PermitRequest corrected = new PermitRequest(
                 request.id(),
                 request.tier(),
                 request.organisation(),
                 request.route(),
                 request.deadlineAt(),
-                work,
+                size,
                 request.fingerprint());
-        announced.put(request.id(), request.work().outputTokens());
+        announcedOutputTokens.put(request.id(), request.work().outputTokens());
         admit(corrected, now);
     }
 
     /**
-     * Withdraws a request, whether it waits or is in flight.
+     * Cancels a request that waits or is in flight.
      *
      * @param id the attempt.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void cancel(PermitId id, long now) {
         if (queue.remove(id) != null) {
-            forget(id);
+            markFinished(id);
         } else {
             finish(id, PermitOutcome.of(PermitOutcome.Ending.CANCELLED), now);
         }
     }
 
     /**
-     * Notes that the first token of an answer has come.
+     * Records that the first token of an answer was received.
      *
      * @param id the attempt.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void firstToken(PermitId id, long now) {
         String upstream = inFlight.get(id);
@@ -172,24 +189,24 @@
     }
 
     /**
-     * Takes a permit back.
+     * Releases a permit and learns from its outcome.
      *
      * @param id the attempt; one that is not in flight changes nothing.
      * @param outcome how the permit was used.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void finish(PermitId id, PermitOutcome outcome, long now) {
         String name = inFlight.remove(id);
         if (name == null) {
             return;
         }
-        speeds.refreshIfOld(upstreams.values(), now);
+        speeds.refreshIfStale(upstreams.values(), now);
         UpstreamState upstream = upstreams.get(name);
-        UpstreamState.InFlight flight = upstream.end(id);
-        Integer tokens = announced.get(id);
-        forget(id);
-        headRoom.released(now);
-        judge(upstream, flight, outcome, now);
+        UpstreamState.InFlightRequest flight = upstream.end(id);
+        Integer tokens = announcedOutputTokens.get(id);
+        markFinished(id);
+        slotReserve.released(now);
+        recordOutcome(upstream, flight, outcome, now);
         versions.ended(
                 flight.request().route(),
                 upstream,
@@ -199,26 +216,26 @@
         if (outcome.ending() == PermitOutcome.Ending.ANSWERED) {
             PermitRequest request = flight.request();
             if (tokens != null) {
-                lengths.learn(request, tokens, outcome.outputTokens());
+                outputLengths.learn(request, tokens, outcome.outputTokens());
             }
             double estimated =
                     costOf(request.work().promptTokens(), request.work().outputTokens());
             double actual = costOf(request.work().promptTokens(), outcome.outputTokens());
-            accuracy.learn(estimated, actual);
+            costCorrection.learn(estimated, actual);
             queue.tier(request.tier()).charge(request.organisation(), actual - estimated);
         }
     }
 
     /**
-     * Learns of permits that an earlier owner granted and that are still in use.
+     * Registers a permit that an earlier owner granted and that is still in use.
      *
      * @param request the request in flight.
      * @param upstream the upstream that runs it.
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      */
     public void register(PermitRequest request, String upstream, long now) {
         UpstreamState state = upstreams.get(upstream);
-        if (state == null || inFlight.containsKey(request.id()) || finished.contains(request.id())) {
+        if (state == null || inFlight.containsKey(request.id()) || finishedAttempts.contains(request.id())) {
             return;
         }
         queue.remove(request.id());
@@ -227,13 +244,15 @@
     }
 
     /**
-     * Takes back permits that their entry process doesn't know of, because a message got lost.
+     * Releases the permits and removes the waiting requests of an entry process that the process itself doesn't list. Such
+     * a difference arises when a message is lost.
      *
      * @param node the entry node.
-     * @param incarnation which run of its process lists its permits.
-     * @param known every attempt that the process has going on.
-     * @param graceMicros how long a permit may be on its way.
-     * @param now the clock in microseconds.
+     * @param incarnation the incarnation of its process that sent the list.
+     * @param known all attempts that the process has waiting or in flight.
+     * @param graceMicros the time after its grant in which a permit is kept although it is not listed, since the grant may
+     *     not have been received yet.
+     * @param now the current time in microseconds.
      */
     public void reconcile(String node, long incarnation, Set<PermitId> known, long graceMicros, long now) {
         List<PermitId> leaked = inFlight.keySet().stream()
@@ -241,53 +260,53 @@
                 .filter(id -> upstreams.get(inFlight.get(id)).inFlight().get(id).elapsed(now) > graceMicros)
                 .toList();
         leaked.forEach(id -> finish(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED), now));
-        queue.idsOf(node, incarnation).stream()
+        queue.idsOfEntry(node, incarnation).stream()
                 .filter(id -> !known.contains(id))
                 .toList()
                 .forEach(id -> {
                     queue.remove(id);
-                    forget(id);
+                    markFinished(id);
                 });
     }
 
     /**
-     * Lets everything of an entry process lapse, since it is gone.
+     * Drops all waiting requests and permits of an entry process that has been lost.
      *
      * @param node the entry node.
-     * @param incarnation which run of its process is gone.
+     * @param incarnation the incarnation of its process that has been lost.
      */
     public void entryLost(String node, long incarnation) {
-        queue.idsOf(node, incarnation).forEach(id -> {
+        queue.idsOfEntry(node, incarnation).forEach(id -> {
             queue.remove(id);
-            forget(id);
+            markFinished(id);
         });
-        List<PermitId> lapsed = inFlight.keySet().stream()
+        List<PermitId> attempts = inFlight.keySet().stream()
                 .filter(id -> id.node().equals(node) && id.incarnation() == incarnation)
                 .toList();
-        for (PermitId id : lapsed) {
+        for (PermitId id : attempts) {
             upstreams.get(inFlight.remove(id)).end(id);
-            forget(id);
+            markFinished(id);
         }
     }
 
     /**
-     * Notes that an upstream is leaving, by its own word, by the host list or by a refusal.
+     * Records that an upstream is leaving, as reported by itself, by the host list or by a refusal.
      *
      * @param upstream the name of the upstream.
      */
     public void leaving(String upstream) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.leave();
+            state.markLeaving();
             speeds.expire();
         }
     }
 
     /**
-     * Notes that an upstream was seen alive.
+     * Records that an upstream was seen alive.
      *
      * @param upstream the name of the upstream.
-     * @param incarnation which run of its process was seen.
+     * @param incarnation the incarnation of its process that was seen.
      */
     public void seen(String upstream, long incarnation) {
         UpstreamState state = upstreams.get(upstream);
@@ -298,37 +317,37 @@
     }
 
     /**
-     * Takes an upstream's report of its load, which lags.
+     * Applies an upstream's report of its load, which is stale by the time that it took to arrive.
      *
      * @param upstream the name of the upstream.
-     * @param running the number of requests that it says it runs.
-     * @param waiting the number of requests that it says wait inside it.
-     * @param now the clock in microseconds.
+     * @param running the number of requests that it reports as running.
+     * @param waiting the number of requests that it reports as waiting in its own queue.
+     * @param now the current time in microseconds.
      */
     public void loadReported(String upstream, int running, int waiting, long now) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.reported(running, waiting, now);
+            state.loadReported(running, waiting, now);
         }
     }
 
     /**
-     * Takes an engine's report of changes in its cache.
+     * Applies an engine's report of changes in its cache.
      *
      * @param upstream the name of the upstream.
-     * @param number the number of the report.
-     * @param added the blocks that the engine has taken in.
-     * @param removed the blocks that the engine has dropped.
+     * @param number the sequence number of the report.
+     * @param added the blocks that the engine has added to its cache.
+     * @param removed the blocks that the engine has evicted.
      */
-    public void cacheReported(String upstream, long number, List<Long> added, List<Long> removed) {
+    public void cacheChanged(String upstream, long number, List<Long> added, List<Long> removed) {
         UpstreamState state = upstreams.get(upstream);
         if (state != null) {
-            state.prefixes().observe(number, added, removed);
+            state.prefixes().applyCacheEvent(number, added, removed);
         }
     }
 
     /**
-     * Sets the failure domains whose upstreams get no new request. What runs there goes on.
+     * Sets the failure domains whose upstreams get no new requests. Requests in flight there continue.
      *
      * @param failureDomains the evacuated failure domains.
      */
@@ -338,13 +357,14 @@
     }
 
     /**
-     * Takes over the crash suspects that all owners agree on.
+     * Replaces the crash suspects that all owners agree on, and refuses the waiting requests among them that have been in
+     * flight at too many crashes.
      *
      * @param crashes the number of crashes by fingerprint.
      */
     public void suspects(Map<String, Integer> crashes) {
-        suspects.replace(crashes);
-        for (Waiting waiting : queue.all()) {
+        suspects.replaceAgreedCounts(crashes);
+        for (WaitingRequest waiting : queue.all()) {
             if (suspects.isRefused(waiting.request.fingerprint())) {
                 queue.remove(waiting.request.id());
                 refuse(
@@ -352,32 +372,33 @@
                         Refusal.notRun(
                                 RefusalReason.CRASH_SUSPECT,
                                 "The request was in flight at repeated crashes.",
-                                LONGEST_RETRY_MILLIS));
+                                MAX_RETRY_AFTER_MILLIS));
             }
         }
     }
 
     /**
-     * Takes over which versions serve each route.
+     * Replaces the versions that serve each route.
      *
-     * @param splits the splits by route; a route that is left out uses any version.
+     * @param splits the splits by route; a route without a split uses any version.
      */
     public void versions(Map<String, VersionSplit> splits) {
-        versions.replace(splits);
+        versions.replaceSplits(splits);
     }
 
     /**
-     * Returns what the new version of a move has shown here.
+     * Returns what this scheduler has observed of the new version during a move.
      *
      * @param route the route.
-     * @return the watch, empty as long as the new version has answered nothing.
+     * @return the watch, without observations as long as the new version has answered no request.
      */
     public VersionWatch watch(String route) {
         return versions.watch(route);
     }
 
     /**
-     * Gives the new version of a route nothing more under its present move, without waiting for anybody's agreement.
+     * Stops granting requests of a route to the new version of its present move. This takes effect before the other owners
+     * agree.
      *
      * @param route the route.
      */
@@ -386,22 +407,23 @@
     }
 
     /**
-     * Gives up what can't be finished in time, grants what can be granted, and returns all that was decided.
+     * Refuses the requests that can no longer meet their deadlines, grants permits for free slots and returns all
+     * decisions.
      *
-     * @param now the clock in microseconds.
+     * @param now the current time in microseconds.
      * @return the decisions since the last call.
      */
     public List<PermitAction> decide(long now) {
-        for (Waiting expired : queue.expire(now)) {
+        for (WaitingRequest expired : queue.expire(now)) {
             refuseForDeadline(expired.request, now);
         }
-        if (now >= housekeepingAt) {
-            housekeepingAt = now + HOUSEKEEPING_MICROS;
-            ejector.findSlow(now);
-            queue.forgetIdle();
+        if (now >= nextHousekeepingAt) {
+            nextHousekeepingAt = now + HOUSEKEEPING_INTERVAL_MICROS;
+            ejector.ejectSlowUpstreams(now);
+            queue.removeIdleOrganisations();
         }
-        ejector.readmitIfEmptied(now);
-        if (now >= heldUntil) {
+        ejector.readmitOneIfAllEjected(now);
+        if (now >= grantsPausedUntil) {
             grantAll(now);
         }
         List<PermitAction> decided = new ArrayList<>(actions);
@@ -410,12 +432,12 @@
     }
 
     /**
-     * Returns when {@link #decide} has something to do although no event comes.
+     * Returns when {@link #decide} has to be called at the latest, even without a new event.
      *
-     * @return the clock in microseconds.
+     * @return the time in microseconds.
      */
     public long nextWakeAt() {
-        return Math.min(queue.nextExpiry(), housekeepingAt);
+        return Math.min(queue.nextExpiry(), nextHousekeepingAt);
     }
 
     /**
@@ -453,7 +475,7 @@
     }
 
     private void admit(PermitRequest request, long now) {
-        double service = fastestMicros(request.work(), now);
+        double service = shortestServiceMicros(request.work(), now);
         if (service == Double.MAX_VALUE) {
             refuse(
                     request.id(),
@@ -462,57 +484,59 @@
         }
         double cost = costOf(request.work().promptTokens(), request.work().outputTokens());
         double wait = expectedWaitMicros(request.tier());
-        if (now + options.caution() * (wait + service) > request.deadlineAt()) {
+        if (now + options.deadlineMargin() * (wait + service) > request.deadlineAt()) {
             refuseForDeadline(request, now);
             return;
         }
-        long latestStart = (long) (request.deadlineAt() - options.caution() * service);
+        long latestStart = (long) (request.deadlineAt() - options.deadlineMargin() * service);
         queue.add(
-                new Waiting(request, sequence++, cost, latestStart),
+                new WaitingRequest(request, sequence++, cost, latestStart),
                 row.organisationWeights().getOrDefault(request.organisation(), 1.0));
         if (queue.size() > row.queueLimit()) {
-            shed();
+            shedOne();
         }
     }
 
-    /** Sheds one request of the lowest tier that waits, which may be the one that has just come. */
-    private void shed() {
-        Waiting victim = queue.leastDeserving();
-        queue.remove(victim.request.id());
+    /** Sheds one request of the least urgent tier that has any, which may be the one just added. */
+    private void shedOne() {
+        WaitingRequest rejected = queue.nextToShed();
+        queue.remove(rejected.request.id());
         refuse(
-                victim.request.id(),
+                rejected.request.id(),
                 Refusal.notRun(
                         RefusalReason.OVERLOADED,
                         "The queue of the pool is full.",
-                        retryMillis(victim.request.tier())));
+                        retryAfterMillis(rejected.request.tier())));
     }
 
     private void refuseForDeadline(PermitRequest request, long now) {
         String detail = "The request can't be finished within the "
                 + Math.max(0, (request.deadlineAt() - now) / (long) MICROS_PER_MILLI) + " ms that it has left.";
-        refuse(request.id(), Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryMillis(request.tier())));
+        refuse(
+                request.id(),
+                Refusal.notRun(RefusalReason.DEADLINE_UNREACHABLE, detail, retryAfterMillis(request.tier())));
     }
 
-    private long retryMillis(Tier tier) {
+    private long retryAfterMillis(Tier tier) {
         double wait = expectedWaitMicros(tier) / MICROS_PER_MILLI;
-        return (long) Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, wait));
+        return (long) Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, wait));
     }
 
     private void refuse(PermitId id, Refusal refusal) {
-        forget(id);
+        markFinished(id);
         actions.add(new PermitAction.Refuse(id, refusal));
     }
 
-    private void forget(PermitId id) {
-        announced.remove(id);
-        finished.add(id);
+    private void markFinished(PermitId id) {
+        announcedOutputTokens.remove(id);
+        finishedAttempts.add(id);
     }
 
     private void grantAll(long now) {
         if (queue.size() == 0) {
             return;
         }
-        speeds.refreshIfOld(upstreams.values(), now);
+        speeds.refreshIfStale(upstreams.values(), now);
         int capacity = 0;
         List<UpstreamState> usable = new ArrayList<>();
         for (UpstreamState upstream : speeds.fastestFirst()) {
@@ -524,58 +548,58 @@
             }
         }
         for (Tier tier : Tier.values()) {
-            int reserved = headRoom.reservedAgainst(tier, capacity, options.headRoomShare(), inFlight.size(), now);
+            int reserved = slotReserve.reservedSlots(tier, capacity, options.maxReservedShare(), inFlight.size(), now);
             boolean granted = true;
             while (granted && queue.tier(tier).size() > 0) {
-                List<UpstreamState> open = openBeyond(reserved, usable, now);
-                granted = !open.isEmpty() && grantOne(tier, open, now);
+                List<UpstreamState> available = withUnreservedSlots(reserved, usable, now);
+                granted = !available.isEmpty() && grantOne(tier, available, now);
             }
         }
     }
 
     /**
-     * Lists the upstreams that have slots beyond the reserved ones. The fastest free slots are the reserved ones, since
-     * the most urgent requests may have no time for a slow upstream.
+     * Returns the upstreams that have free slots besides the reserved ones. The free slots of the fastest upstreams are
+     * reserved, since the most urgent requests may be unable to meet their deadlines on a slow one.
      */
-    private static List<UpstreamState> openBeyond(int reserved, List<UpstreamState> fastestFirst, long now) {
-        List<UpstreamState> open = new ArrayList<>();
-        int left = reserved;
+    private static List<UpstreamState> withUnreservedSlots(int reserved, List<UpstreamState> fastestFirst, long now) {
+        List<UpstreamState> available = new ArrayList<>();
+        int remainingReserve = reserved;
         for (UpstreamState upstream : fastestFirst) {
             int slots = upstream.freeSlots(now);
-            if (slots > left) {
-                open.add(upstream);
+            if (slots > remainingReserve) {
+                available.add(upstream);
             }
-            left = Math.max(0, left - slots);
+            remainingReserve = Math.max(0, remainingReserve - slots);
         }
-        return open;
+        return available;
     }
 
     /**
-     * Grants one request of a tier that fits an open upstream; returns whether there was one.
+     * Grants one request of a tier for which one of the available upstreams is selected; returns whether there was one.
      *
-     * <p>Usually that is the first one. Another organisation's next request may go before it if the upstream holds more
-     * of its prompt, but nobody is passed over more than {@link #MOST_PASSES} times in a row.
+     * <p>This is usually the first such request in order. The next request of another organisation is granted before it if
+     * a larger share of its prompt is cached, but no request is passed over more than {@link #MAX_TIMES_PASSED_OVER} times.
      */
-    private boolean grantOne(Tier tier, List<UpstreamState> open, long now) {
-        Iterator<Waiting> heads = queue.tier(tier).heads();
-        Waiting first = null;
-        Waiting best = null;
+    private boolean grantOne(Tier tier, List<UpstreamState> available, long now) {
+        Iterator<WaitingRequest> heads = queue.tier(tier).heads();
+        WaitingRequest first = null;
+        WaitingRequest best = null;
         UpstreamState bestUpstream = null;
-        double bestHeld = -1;
-        for (int tried = 0; tried < HEADS_TRIED_PER_TIER && heads.hasNext(); tried++) {
-            Waiting candidate = heads.next();
-            UpstreamState upstream = choice.choose(candidate.request, open, now);
+        double bestCached = -1;
+        for (int tried = 0; tried < MAX_CANDIDATES_PER_TIER && heads.hasNext(); tried++) {
+            WaitingRequest candidate = heads.next();
+            UpstreamState upstream = selector.choose(candidate.request, available, now);
             if (upstream == null) {
                 continue;
             }
             first = first == null ? candidate : first;
-            double held = upstream.heldShare(candidate.request.work());
-            if (held > bestHeld + WORTHWHILE_SHARE) {
+            double cached = upstream.cachedShare(candidate.request.work());
+            if (cached > bestCached + MIN_CACHED_SHARE_GAIN) {
                 best = candidate;
                 bestUpstream = upstream;
-                bestHeld = held;
+                bestCached = cached;
             }
-            if (!options.reusesPrefixes() || first.passes >= MOST_PASSES) {
+            if (!options.reusesPrefixes() || first.timesPassedOver >= MAX_TIMES_PASSED_OVER) {
                 break;
             }
         }
@@ -583,27 +607,28 @@
             return false;
         }
         if (best != first) {
-            first.passes++;
+            first.timesPassedOver++;
         }
         grant(best, bestUpstream, now);
         return true;
     }
 
-    private void grant(Waiting waiting, UpstreamState upstream, long now) {
-        queue.take(waiting);
+    private void grant(WaitingRequest waiting, UpstreamState upstream, long now) {
+        queue.removeGranted(waiting);
         PermitRequest request = waiting.request;
-        boolean apart = suspects.isSuspect(request.fingerprint());
-        if (apart) {
+        boolean exclusive = suspects.isSuspect(request.fingerprint());
+        if (exclusive) {
             suspects.started(request.id());
         }
         inFlight.put(request.id(), upstream.name());
         versions.granted(request.route(), upstream.row().version());
-        speeds.granted(upstream.heldShare(request.work()));
-        upstream.start(request, apart, now);
+        speeds.granted(upstream.cachedShare(request.work()));
+        upstream.start(request, exclusive, now);
         actions.add(new PermitAction.Grant(request.id(), upstream.name()));
     }
 
-    private void judge(UpstreamState upstream, UpstreamState.InFlight flight, PermitOutcome outcome, long now) {
+    private void recordOutcome(
+            UpstreamState upstream, UpstreamState.InFlightRequest flight, PermitOutcome outcome, long now) {
         PermitRequest request = flight.request();
         suspects.ended(request.id());
         switch (outcome.ending()) {
@@ -615,13 +640,13 @@
             }
             case DRAINING -> leaving(upstream.name());
             case CONNECTION_LOST -> {
-                String crash = suspects.crashOf(upstream.name(), now);
-                suspects.suspect(request.fingerprint(), crash);
-                actions.add(new PermitAction.Suspect(request.fingerprint(), crash));
+                String crashId = suspects.crashIdFor(upstream.name(), now);
+                suspects.recordCrash(request.fingerprint(), crashId);
+                actions.add(new PermitAction.Suspect(request.fingerprint(), crashId));
             }
             default -> {}
         }
-        if (outcome.ending().isFailure() && upstream.fail()) {
+        if (outcome.ending().isFailure() && upstream.recordFailure()) {
             boolean unreachable = outcome.ending() == PermitOutcome.Ending.UNREACHABLE;
             ejector.eject(
                     upstream,
@@ -631,17 +656,17 @@
     }
 
     /**
-     * Returns how long the request takes at best. An upstream of which little is known counts as able to do anything:
-     * refusing on a guess would keep it from ever being measured.
+     * Returns the shortest time that an upstream of the pool takes for a request. It is 0 as long as the speed of any
+     * upstream is unknown: a refusal based on a guess would keep that upstream from ever being measured.
      */
-    private double fastestMicros(Work work, long now) {
-        speeds.refreshIfOld(upstreams.values(), now);
-        return speeds.fastestMicros(work, now);
+    private double shortestServiceMicros(Work size, long now) {
+        speeds.refreshIfStale(upstreams.values(), now);
+        return speeds.shortestServiceMicros(size, now);
     }
 
-    /** Returns how long a new request of a tier would wait, or 0 as long as too little is known to say. */
+    /** Returns the expected wait of a new request of a tier, or 0 as long as no upstream has been measured. */
     private double expectedWaitMicros(Tier tier) {
-        return speeds.isKnown() ? queue.costAhead(tier) * accuracy.factor() / speeds.serviceRate() : 0;
+        return speeds.isAnyMeasured() ? queue.costAhead(tier) * costCorrection.factor() / speeds.serviceRate() : 0;
     }
 
     private double costOf(int promptTokens, int outputTokens) {
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -9,30 +9,34 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Sums up the speeds of a pool's upstreams. The sums are made anew at most every few milliseconds, so that a decision
- * doesn't look at every upstream again and again.
+ * Caches aggregates over the speeds of a pool's upstreams, so that not every decision iterates over all upstreams.
  */
 final class PoolSpeeds {
-    private static final long VALID_MICROS = 20_000;
-    private static final int FASTEST_TRIED = 4;
-    private static final double GAIN = 0.02;
+    /** The age from which the aggregates are computed again. */
+    private static final long MAX_AGE_MICROS = 20_000;
+
+    /** The number of upstreams that are compared for the shortest service time, those with the fastest output first. */
+    private static final int FASTEST_COMPARED = 4;
+
+    /** The weight of a new sample in the moving mean. */
+    private static final double SMOOTHING = 0.02;
 
     private List<UpstreamState> fastestFirst = List.of();
     private double meanPrefillMicros;
     private double meanOutputMicros;
     private double serviceRate = 1;
-    private double typicalHeldShare;
-    private boolean known;
-    private boolean anyUnknown;
+    private double meanCachedShare;
+    private boolean anyMeasured;
+    private boolean anyUnmeasured;
     private long refreshedAt = Long.MIN_VALUE / 2;
 
-    /** Makes the sums anew with the next use. */
+    /** Has the aggregates computed again at the next use. */
     void expire() {
         refreshedAt = Long.MIN_VALUE / 2;
     }
 
-    void refreshIfOld(Collection<UpstreamState> upstreams, long now) {
-        if (now - refreshedAt < VALID_MICROS) {
+    void refreshIfStale(Collection<UpstreamState> upstreams, long now) {
+        if (now - refreshedAt < MAX_AGE_MICROS) {
             return;
         }
         refreshedAt = now;
@@ -40,16 +44,16 @@
         double prefill = 0;
         double output = 0;
         double rate = 0;
-        known = false;
-        anyUnknown = false;
+        anyMeasured = false;
+        anyUnmeasured = false;
         for (UpstreamState upstream : upstreams) {
             if (upstream.isMember()) {
                 members.add(upstream);
                 prefill += upstream.speed().prefillMicros();
                 output += upstream.speed().outputMicros();
                 rate += upstream.limit() / upstream.speed().outputMicros();
-                known |= upstream.speed().isSettled();
-                anyUnknown |= !upstream.speed().isSettled();
+                anyMeasured |= upstream.speed().hasEnoughSamples();
+                anyUnmeasured |= !upstream.speed().hasEnoughSamples();
             }
         }
         int count = Math.max(1, members.size());
@@ -60,46 +64,47 @@
         fastestFirst = members;
     }
 
-    /** Learns how much of a prompt the chosen upstream held. */
-    void granted(double heldShare) {
-        typicalHeldShare += GAIN * (heldShare - typicalHeldShare);
+    /** Learns which share of its prompt a granted request found in the cache of its upstream. */
+    void granted(double cachedShare) {
+        meanCachedShare += SMOOTHING * (cachedShare - meanCachedShare);
     }
 
     List<UpstreamState> fastestFirst() {
         return fastestFirst;
     }
 
-    /** Returns whether at least one upstream has been measured. */
-    boolean isKnown() {
-        return known;
+    /** Returns whether the speed of at least one upstream is known from enough requests. */
+    boolean isAnyMeasured() {
+        return anyMeasured;
     }
 
-    /** Returns how much cost the pool works off in a microsecond when all slots are full. */
+    /** Returns how much cost the pool completes in a microsecond while all slots are in use, at least 1. */
     double serviceRate() {
         return serviceRate;
     }
 
-    /** Returns the cost of a request: the time that an average upstream would take, in microseconds. */
+    /** Returns the cost of a request: the time that an upstream of average speed takes for it, in microseconds. */
     double costOf(int promptTokens, int outputTokens) {
         return Math.max(1, SpeedEstimate.micros(promptTokens, meanPrefillMicros, outputTokens, meanOutputMicros));
     }
 
     /**
-     * Returns how long a request takes at best, if as much of its prompt is held as usual: 0 as long as an upstream has
-     * not been measured, and the greatest number where there is no upstream.
+     * Returns the shortest time in microseconds that one of the fastest upstreams takes for a request, if the usual share
+     * of its prompt is cached. Returns 0 as long as the speed of any upstream is unknown, and {@link Double#MAX_VALUE}
+     * where there is no upstream.
      */
-    double fastestMicros(Work work, long now) {
+    double shortestServiceMicros(Work size, long now) {
         if (fastestFirst.isEmpty()) {
             return Double.MAX_VALUE;
         }
-        if (anyUnknown) {
+        if (anyUnmeasured) {
             return 0;
         }
-        int uncached = (int) Math.ceil(work.promptTokens() * (1 - typicalHeldShare));
+        int uncached = (int) Math.ceil(size.promptTokens() * (1 - meanCachedShare));
         double fastest = Double.MAX_VALUE;
-        for (int index = 0; index < Math.min(FASTEST_TRIED, fastestFirst.size()); index++) {
+        for (int index = 0; index < Math.min(FASTEST_COMPARED, fastestFirst.size()); index++) {
             UpstreamState upstream = fastestFirst.get(index);
-            fastest = Math.min(fastest, upstream.unqueuedMicros(uncached, work.outputTokens(), now));
+            fastest = Math.min(fastest, upstream.serviceMicros(uncached, size.outputTokens(), now));
         }
         return fastest;
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
@@ -6,14 +6,14 @@
 import java.util.TreeSet;
 
 /**
- * Holds the waiting requests of one tier: start-time fair queueing between organisations (Goyal, Vin and Cheng 1996),
- * and the earliest deadline first within one.
+ * The queue of one tier. Shares the upstreams between organisations by start-time fair queueing (Goyal, Vin and Cheng
+ * 1996) and orders the requests of one organisation by the earliest deadline.
  */
 final class TierQueue {
     private final Map<String, Organisation> organisations = new HashMap<>();
     private final TreeSet<Organisation> byVirtualTime = new TreeSet<>(Organisation::compareVirtualTime);
     private final TreeSet<Organisation> byQueuedCost = new TreeSet<>(Organisation::compareQueuedCost);
-    private double virtualNow;
+    private double virtualClock;
     private double queuedCost;
     private int size;
 
@@ -25,56 +25,59 @@
         return size == 0 ? 0 : queuedCost;
     }
 
-    void add(Waiting waiting, double weight) {
+    void add(WaitingRequest waiting, double weight) {
         Organisation organisation = organisations.computeIfAbsent(waiting.request.organisation(), Organisation::new);
-        detach(organisation);
+        removeFromOrders(organisation);
         if (organisation.requests.isEmpty()) {
-            organisation.virtualTime = Math.max(organisation.virtualTime, virtualNow);
+            organisation.virtualTime = Math.max(organisation.virtualTime, virtualClock);
         }
         organisation.weight = weight;
         organisation.requests.add(waiting);
         organisation.queuedCost += waiting.cost;
         queuedCost += waiting.cost;
         size++;
-        attach(organisation);
+        addToOrders(organisation);
     }
 
-    void remove(Waiting waiting) {
+    void remove(WaitingRequest waiting) {
         Organisation organisation = organisations.get(waiting.request.organisation());
-        detach(organisation);
+        removeFromOrders(organisation);
         if (organisation.requests.remove(waiting)) {
             organisation.queuedCost -= waiting.cost;
             queuedCost -= waiting.cost;
             size--;
         }
-        attach(organisation);
+        addToOrders(organisation);
     }
 
-    /** Takes a request out because it is granted, and charges its organisation. */
-    void take(Waiting waiting) {
+    /** Removes a request that is granted, and charges its estimated cost to its organisation. */
+    void removeGranted(WaitingRequest waiting) {
         Organisation organisation = organisations.get(waiting.request.organisation());
-        virtualNow = Math.max(virtualNow, organisation.virtualTime);
+        virtualClock = Math.max(virtualClock, organisation.virtualTime);
         remove(waiting);
         charge(organisation.name, waiting.cost);
     }
 
-    /** Corrects what an organisation was charged, once the true cost is known. */
+    /**
+     * Charges a cost to an organisation. Once the actual cost of a request is known, the difference to its estimated cost
+     * is charged, which may be negative.
+     */
     void charge(String name, double cost) {
         Organisation organisation = organisations.get(name);
         if (organisation != null) {
-            detach(organisation);
+            removeFromOrders(organisation);
             organisation.virtualTime += cost / organisation.weight;
-            attach(organisation);
+            addToOrders(organisation);
         }
     }
 
-    /** Forgets organisations that wait for nothing and that the virtual clock has passed. */
-    void forgetIdle() {
-        organisations.values().removeIf(idle -> idle.requests.isEmpty() && idle.virtualTime <= virtualNow);
+    /** Removes the organisations that have no waiting request and whose virtual time the virtual clock has reached. */
+    void removeIdleOrganisations() {
+        organisations.values().removeIf(idle -> idle.requests.isEmpty() && idle.virtualTime <= virtualClock);
     }
 
-    /** Returns the next request of each organisation, the least served organisation first. */
-    Iterator<Waiting> heads() {
+    /** Returns the next request of each organisation, the organisation with the least virtual time first. */
+    Iterator<WaitingRequest> heads() {
         Iterator<Organisation> order = byVirtualTime.iterator();
         return new Iterator<>() {
             @Override
@@ -83,25 +86,25 @@
             }
 
             @Override
-            public Waiting next() {
+            public WaitingRequest next() {
                 return order.next().requests.first();
             }
         };
     }
 
-    /** Returns the request that is shed first: the latest deadline of the organisation that has most waiting. */
-    Waiting leastDeserving() {
+    /** Returns the request to shed next: the one with the latest deadline of the organisation with the most queued cost. */
+    WaitingRequest nextToShed() {
         return byQueuedCost.last().requests.last();
     }
 
-    private void detach(Organisation organisation) {
+    private void removeFromOrders(Organisation organisation) {
         if (!organisation.requests.isEmpty()) {
             byVirtualTime.remove(organisation);
             byQueuedCost.remove(organisation);
         }
     }
 
-    private void attach(Organisation organisation) {
+    private void addToOrders(Organisation organisation) {
         if (!organisation.requests.isEmpty()) {
             byVirtualTime.add(organisation);
             byQueuedCost.add(organisation);
@@ -109,11 +112,11 @@
     }
 
     /**
-     * Holds the waiting requests of one organisation.
+     * The waiting requests of one organisation.
      */
     private static final class Organisation {
         private final String name;
-        private final TreeSet<Waiting> requests = new TreeSet<>(Waiting::byDeadline);
+        private final TreeSet<WaitingRequest> requests = new TreeSet<>(WaitingRequest::compareDeadline);
         private double virtualTime;
         private double queuedCost;
         private double weight = 1;
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionDesk.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -10,17 +10,20 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Keeps the routes of one pool to the versions that they may use, and watches the new ones.
+ * Restricts the routes of one pool to the versions that they may use, and passes the outcomes of attempts during the move
+ * to a new version to its watch.
  */
-final class VersionDesk {
-    private static final double MOST_SLOWNESS = 12;
+final class VersionRouting {
+    /** The bound on the logarithm of the ratio of actual to reference time. */
+    private static final double MAX_LOG_SLOWNESS = 12;
+
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final Map<String, SplitCounter> counters = new HashMap<>();
     private final Map<String, VersionWatch> watches = new HashMap<>();
     private final Map<String, Long> watchedMoves = new HashMap<>();
 
-    void replace(Map<String, VersionSplit> splits) {
+    void replaceSplits(Map<String, VersionSplit> splits) {
         counters.keySet().retainAll(splits.keySet());
         watches.keySet().retainAll(splits.keySet());
         watchedMoves.keySet().retainAll(splits.keySet());
@@ -55,14 +58,14 @@
                 || split.allows(version, false) && counter.mayUseOld();
     }
 
-    /** Returns whether the next request of a route is to go to the new version if that has a free slot. */
-    boolean isNewDue(String route) {
+    /** Returns whether the next request of a route has to go to the new version if an upstream of it has a free slot. */
+    boolean isNewVersionDue(String route) {
         SplitCounter counter = counters.get(route);
         return counter != null && counter.split().moveId() > 0 && counter.isNewDue();
     }
 
     /** Returns whether an upstream runs the new version of a route. */
-    boolean isNew(String route, String version) {
+    boolean isNewVersion(String route, String version) {
         return counters.get(route).split().allows(version, true);
     }
 
@@ -74,24 +77,24 @@
     }
 
     /**
-     * Shows the watch of a route how an attempt ended; endings that say nothing about the upstream are left out.
+     * Passes the outcome of an attempt to the watch of its route, unless the outcome says nothing about the upstream.
      *
-     * <p>Guards against a good version taken back as slower: times are compared with a yardstick that never changes. Held
-     * against learnt speeds, the old version's times seem to drift while the pool learns how fast the new one is.
+     * <p>Times are compared with a reference that never changes. Compared with learnt speeds, the times of the old version
+     * would seem to drift while the pool learns the speed of the new one, and a good version would be taken back as slower.
      */
     void ended(String route, UpstreamState upstream, PermitOutcome outcome, int promptTokens, long now) {
         SplitCounter counter = counters.get(route);
-        boolean telling = outcome.ending() == PermitOutcome.Ending.ANSWERED
+        boolean relevant = outcome.ending() == PermitOutcome.Ending.ANSWERED
                 || outcome.ending().isFailure() && outcome.ending() != PermitOutcome.Ending.UNREACHABLE;
-        if (counter == null || counter.split().moveId() == 0 || !telling) {
+        if (counter == null || counter.split().moveId() == 0 || !relevant) {
             return;
         }
         boolean failed = outcome.ending().isFailure();
         double reference = SpeedEstimate.referenceMicros(promptTokens, Math.max(1, outcome.outputTokens()));
         double slowness = Math.log(Math.max(1, outcome.totalMicros()) / reference);
-        double bounded = Math.max(-MOST_SLOWNESS, Math.min(MOST_SLOWNESS, slowness));
+        double bounded = Math.max(-MAX_LOG_SLOWNESS, Math.min(MAX_LOG_SLOWNESS, slowness));
         if (counter.split().allows(upstream.row().version(), true)) {
-            int earlierAnswers = upstream.answers() - (failed ? 0 : 1);
+            int earlierAnswers = upstream.answerCount() - (failed ? 0 : 1);
             watch(route).observeNew(failed, bounded, earlierAnswers, now / MICROS_PER_MILLI);
         } else {
             watch(route).observeOld(failed, bounded);
--- a/decision/src/main/java/org/radishspur/decision/permit/Waiting.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/WaitingRequest.java
@@ -1,30 +1,34 @@
 package org.radishspur.decision.permit;
 
 /**
- * Holds one request in the queue.
+ * A request in the queue.
  */
-final class Waiting {
+final class WaitingRequest {
     final PermitRequest request;
     final long sequence;
+
+    /** The estimated cost by {@link PoolSpeeds#costOf}, in microseconds. */
     final double cost;
+
+    /** The time in microseconds after which the request can no longer meet its deadline. */
     final long latestStart;
 
-    /** How often another organisation's request has gone before this one although this one was first. */
-    int passes;
+    /** How often a request of another organisation was granted although this one was first in order. */
+    int timesPassedOver;
 
-    Waiting(PermitRequest request, long sequence, double cost, long latestStart) {
+    WaitingRequest(PermitRequest request, long sequence, double cost, long latestStart) {
         this.request = request;
         this.sequence = sequence;
         this.cost = cost;
         this.latestStart = latestStart;
     }
 
-    static int byDeadline(Waiting left, Waiting right) {
+    static int compareDeadline(WaitingRequest left, WaitingRequest right) {
         int order = Long.compare(left.request.deadlineAt(), right.request.deadlineAt());
         return order != 0 ? order : Long.compare(left.sequence, right.sequence);
     }
 
-    static int byLatestStart(Waiting left, Waiting right) {
+    static int compareLatestStart(WaitingRequest left, WaitingRequest right) {
         int order = Long.compare(left.latestStart, right.latestStart);
         return order != 0 ? order : Long.compare(left.sequence, right.sequence);
     }
--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -24,7 +24,8 @@
 import org.radishspur.replication.raft.WriteBatch;
 
 /**
- * Stores batches in journals that are only ever appended to, and snapshots in files of their own.
+ * Stores write batches in append-only journals, and each snapshot in a file of its own. A journal is deleted once a
+ * snapshot covers all its entries.
  */
 public final class FileDisk implements Disk {
     private static final int NUMBER_DIGITS = 20;
@@ -35,30 +36,30 @@
 
     private final DataFolder folder;
     private final Identity identity;
-    private final JournalFile.Factory journals;
+    private final JournalFile.Factory journalFactory;
     private final long journalBytes;
-    private final Deque<Journal> earlier = new ArrayDeque<>();
-    private final Set<Long> staged = ConcurrentHashMap.newKeySet();
+    private final Deque<ClosedJournal> closedJournals = new ArrayDeque<>();
+    private final Set<Long> stagedSnapshots = ConcurrentHashMap.newKeySet();
     private HardState hardState = HardState.INITIAL;
-    private JournalFile current;
+    private JournalFile currentJournal;
     private long currentNumber;
     private long currentLength;
-    private long currentGreatestIndex;
+    private long currentHighestIndex;
 
     /**
-     * Opens a formatted folder.
+     * Creates the disk of a formatted folder; nothing is read before {@link #recover()}.
      *
      * @param folder the folder.
      * @param identity the identity of the folder.
      */
     public FileDisk(DataFolder folder, Identity identity) {
-        this(folder, identity, JournalFile.ForChannel::new, STANDARD_JOURNAL_BYTES);
+        this(folder, identity, JournalFile.ChannelJournalFile::new, STANDARD_JOURNAL_BYTES);
     }
 
-    FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journals, long journalBytes) {
+    FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journalFactory, long journalBytes) {
         this.folder = folder;
         this.identity = identity;
-        this.journals = journals;
+        this.journalFactory = journalFactory;
         this.journalBytes = journalBytes;
     }
 
@@ -76,8 +77,9 @@
             if (files.isEmpty()) {
                 openJournal(1);
             } else if (currentLength == 0) {
-                // A crash tore the first record of this journal. Without it the election state would be gone as soon
-                // as the earlier journals are deleted, and the replica could vote twice in a term.
+                // A crash tore the first record of this journal, which repeats the election state. Without the record,
+                // the state would be lost once the earlier journals are deleted, and the replica could vote twice in a
+                // term.
                 appendRecord(new JournalRecord(identity.replica(), Optional.of(hardState), List.of(), 0, 0));
             }
             return replay.finish();
@@ -95,11 +97,11 @@
         }
         try {
             if (batch.snapshot().isPresent()
-                    && !staged.remove(batch.snapshot().get().lastIndex())) {
+                    && !stagedSnapshots.remove(batch.snapshot().get().lastIndex())) {
                 writeSnapshot(batch.snapshot().get());
             }
             if (currentLength > journalBytes) {
-                roll();
+                rollJournal();
             }
             hardState = batch.hardState().orElse(hardState);
             appendRecord(new JournalRecord(
@@ -108,7 +110,7 @@
                     batch.entries(),
                     batch.snapshot().map(Snapshot::lastIndex).orElse(0L),
                     batch.snapshot().map(Snapshot::lastTerm).orElse(0L)));
-            batch.snapshot().ifPresent(this::discardCovered);
+            batch.snapshot().ifPresent(this::deleteCoveredFiles);
         } catch (IOException exception) {
             throw DiskFaults.translate("can't write to " + folder.path(), exception);
         }
@@ -119,7 +121,7 @@
     public void stage(Snapshot snapshot) {
         try {
             writeSnapshot(snapshot);
-            staged.add(snapshot.lastIndex());
+            stagedSnapshots.add(snapshot.lastIndex());
         } catch (IOException exception) {
             throw DiskFaults.translate("can't write to " + folder.path(), exception);
         }
@@ -129,8 +131,8 @@
     @Override
     public void close() {
         try {
-            if (current != null) {
-                current.close();
+            if (currentJournal != null) {
+                currentJournal.close();
             }
         } catch (IOException exception) {
             throw DiskFaults.translate("can't close the journal in " + folder.path(), exception);
@@ -139,59 +141,60 @@
 
     private void replayJournal(Path file, boolean last, Replay replay) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
-        JournalReader.Intact intact =
-                JournalReader.read(bytes, last, file.getFileName().toString());
-        long greatest = 0;
+        JournalCodec.IntactPrefix intact =
+                JournalCodec.read(bytes, last, file.getFileName().toString());
+        long highest = 0;
         for (JournalRecord record : intact.records()) {
             if (!record.replica().equals(identity.replica())) {
                 throw new RadishspurException(
                         ErrorCode.FOREIGN_DATA, file.getFileName() + " was written by replica " + record.replica());
             }
-            greatest = Math.max(greatest, replay.apply(record));
+            highest = Math.max(highest, replay.apply(record));
         }
         long number = numberOf(file, JOURNAL_PREFIX);
         if (last) {
             currentNumber = number;
             currentLength = intact.length();
-            currentGreatestIndex = greatest;
-            current = journals.open(file);
-            current.truncate(currentLength);
-            current.force();
+            currentHighestIndex = highest;
+            currentJournal = journalFactory.open(file);
+            currentJournal.truncate(currentLength);
+            currentJournal.force();
         } else {
-            earlier.add(new Journal(file, greatest));
+            closedJournals.add(new ClosedJournal(file, highest));
         }
     }
 
     private void openJournal(long number) throws IOException {
         currentNumber = number;
         currentLength = 0;
-        currentGreatestIndex = 0;
-        current = journals.open(folder.path().resolve(nameOf(JOURNAL_PREFIX, number)));
+        currentHighestIndex = 0;
+        currentJournal = journalFactory.open(folder.path().resolve(nameOf(JOURNAL_PREFIX, number)));
         folder.syncFolder();
         appendRecord(new JournalRecord(identity.replica(), Optional.of(hardState), List.of(), 0, 0));
     }
 
-    private void roll() throws IOException {
-        current.close();
-        earlier.add(new Journal(folder.path().resolve(nameOf(JOURNAL_PREFIX, currentNumber)), currentGreatestIndex));
+    private void rollJournal() throws IOException {
+        currentJournal.close();
+        closedJournals.add(
+                new ClosedJournal(folder.path().resolve(nameOf(JOURNAL_PREFIX, currentNumber)), currentHighestIndex));
         openJournal(currentNumber + 1);
     }
 
     private void appendRecord(JournalRecord record) throws IOException {
-        ByteBuffer frame = JournalReader.frame(record);
+        ByteBuffer frame = JournalCodec.frame(record);
         int length = frame.remaining();
         try {
-            current.append(frame);
+            currentJournal.append(frame);
         } catch (IOException exception) {
-            // A full disk leaves half a record behind. It is cut off here, so that the journal stays intact and the
-            // same batch can be written again once there is space.
-            current.truncate(currentLength);
+            // A full disk can leave a partial record. It is cut off, so that the journal stays intact and the same
+            // batch can be written again once there is space.
+            currentJournal.truncate(currentLength);
             throw exception;
         }
-        current.force();
+        currentJournal.force();
         currentLength += length;
         for (LogEntry entry : record.entries()) {
-            currentGreatestIndex = Math.max(currentGreatestIndex, entry.index());
+            currentHighestIndex = Math.max(currentHighestIndex, entry.index());
         }
     }
 
@@ -213,7 +216,7 @@
         ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
         java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
         if (file.remaining() < Long.BYTES) {
-            throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is cut short");
+            throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is truncated");
         }
         long expected = file.getLong();
         byte[] payload = new byte[file.remaining()];
@@ -225,10 +228,10 @@
         return MessagePack.INSTANCE.decode(payload, Snapshot.class);
     }
 
-    private void discardCovered(Snapshot snapshot) {
+    private void deleteCoveredFiles(Snapshot snapshot) {
         try {
-            while (!earlier.isEmpty() && earlier.peek().greatestIndex() <= snapshot.lastIndex()) {
-                Files.deleteIfExists(earlier.remove().path());
+            while (!closedJournals.isEmpty() && closedJournals.peek().highestIndex() <= snapshot.lastIndex()) {
+                Files.deleteIfExists(closedJournals.remove().path());
             }
             List<Path> snapshots = folder.list(SNAPSHOT_PREFIX);
             for (Path old : snapshots.subList(0, Math.max(0, snapshots.size() - KEPT_SNAPSHOTS))) {
@@ -249,44 +252,44 @@
     }
 
     /**
-     * Remembers a journal that is full.
+     * Describes an earlier journal, to which nothing is appended any more.
      *
      * @param path the file.
-     * @param greatestIndex the greatest index of an entry in it.
+     * @param highestIndex the highest index of its entries, or 0 if it has none.
      */
-    private record Journal(Path path, long greatestIndex) {}
+    private record ClosedJournal(Path path, long highestIndex) {}
 
     /**
-     * Rebuilds the log by applying the records in the order in which they were written.
+     * Rebuilds the log by applying the journal records in the order in which they were written.
      */
     private final class Replay {
         private HardState hardState = HardState.INITIAL;
-        private Snapshot base;
+        private Snapshot baseSnapshot;
         private long snapshotIndex;
         private List<LogEntry> entries = new ArrayList<>();
 
-        Replay(Snapshot base) {
-            this.base = base;
+        Replay(Snapshot baseSnapshot) {
+            this.baseSnapshot = baseSnapshot;
         }
 
         long apply(JournalRecord record) throws IOException {
             hardState = record.hardState().orElse(hardState);
             if (record.snapshotIndex() > 0) {
-                applySnapshotMark(record.snapshotIndex(), record.snapshotTerm());
+                applySnapshotMarker(record.snapshotIndex(), record.snapshotTerm());
             }
-            long greatest = 0;
+            long highest = 0;
             for (LogEntry entry : record.entries()) {
                 while (!entries.isEmpty() && entries.get(entries.size() - 1).index() >= entry.index()) {
                     entries.remove(entries.size() - 1);
                 }
                 entries.add(entry);
-                greatest = Math.max(greatest, entry.index());
+                highest = Math.max(highest, entry.index());
             }
-            return greatest;
+            return highest;
         }
 
-        /** Keeps the entries behind a snapshot only if they continue it, as the replica itself did. */
-        private void applySnapshotMark(long index, long term) {
+        /** Keeps the entries after a snapshot only if the log matches it, as the running replica did. */
+        private void applySnapshotMarker(long index, long term) {
             boolean continues = entries.stream().anyMatch(entry -> entry.index() == index && entry.term() == term);
             snapshotIndex = index;
             entries = continues
@@ -298,20 +301,20 @@
 
         Recovered finish() throws IOException {
             if (snapshotIndex > 0) {
-                base = readSnapshot(snapshotIndex);
+                baseSnapshot = readSnapshot(snapshotIndex);
             }
             List<LogEntry> following = entries.stream()
-                    .filter(entry -> entry.index() > base.lastIndex())
+                    .filter(entry -> entry.index() > baseSnapshot.lastIndex())
                     .toList();
             for (int offset = 0; offset < following.size(); offset++) {
-                if (following.get(offset).index() != base.lastIndex() + 1 + offset) {
+                if (following.get(offset).index() != baseSnapshot.lastIndex() + 1 + offset) {
                     throw new RadishspurException(
                             ErrorCode.LOG_CORRUPT,
                             "the log has a gap before index "
                                     + following.get(offset).index());
                 }
             }
-            return new Recovered(hardState, base, following);
+            return new Recovered(hardState, baseSnapshot, following);
         }
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalReader.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
@@ -10,43 +10,44 @@
 import org.radishspur.replication.codec.MessagePack;
 
 /**
- * Frames the records of a journal and finds where an intact beginning ends.
+ * Encodes the records of a journal with checksums, and reads the intact records at the beginning of a journal.
  */
-final class JournalReader {
-    /** The bytes before each record: a mark, the length and the checksum. */
+final class JournalCodec {
+    /** The size of the header before each record: a magic number, the length and the checksum of the record. */
     static final int HEADER_BYTES = 12;
 
-    private static final int MARK = 0x52414453;
+    private static final int MAGIC = 0x52414453;
     private static final int MAXIMUM_RECORD_BYTES = 1 << 28;
 
-    private JournalReader() {}
+    private JournalCodec() {}
 
     static ByteBuffer frame(JournalRecord record) {
         byte[] payload = MessagePack.INSTANCE.encode(record);
         ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length);
-        frame.putInt(MARK).putInt(payload.length).putInt(checksum(payload, 0, payload.length));
+        frame.putInt(MAGIC).putInt(payload.length).putInt(checksum(payload, 0, payload.length));
         return frame.put(payload).flip();
     }
 
     /**
      * Reads the intact records at the beginning of a journal.
      *
-     * <p>Guards against taking corruption for a torn tail. Each batch is one record and is synced before the next one
-     * is written, so only the last record can be torn by a crash: an intact record behind a damaged one proves that
-     * the damaged one had been synced, that is, promised to others. Cutting it would forget a vote or an entry.
+     * <p>Corruption must not be taken for a torn tail. Each batch is one record and is synced before the next one is
+     * written, so a crash can tear only the last record. An intact record after a damaged one proves that the damaged one
+     * had been synced, so that other replicas may rely on it: truncating the journal there would lose a vote or an entry.
      *
      * @param bytes the content of the journal.
-     * @param last whether this is the latest journal, whose tail may be torn.
-     * @param name the name of the file, for the error.
-     * @return the records and the length of the intact beginning.
+     * @param last whether this is the latest journal, whose last record may be torn.
+     * @param name the name of the file, for error messages.
+     * @return the intact records and their length.
+     * @throws RadishspurException if the journal is damaged elsewhere than at a torn tail.
      */
-    static Intact read(byte[] bytes, boolean last, String name) {
+    static IntactPrefix read(byte[] bytes, boolean last, String name) {
         List<JournalRecord> records = new ArrayList<>();
         int position = 0;
         while (position < bytes.length) {
             int length = recordLengthAt(bytes, position);
             if (length < 0) {
-                boolean torn = last && !anyRecordAfter(bytes, position + 1);
+                boolean torn = last && !hasIntactRecordFrom(bytes, position + 1);
                 if (!torn) {
                     throw new RadishspurException(ErrorCode.LOG_CORRUPT, name + " is damaged at byte " + position);
                 }
@@ -57,30 +58,30 @@
             records.add(MessagePack.INSTANCE.decode(payload, JournalRecord.class));
             position += HEADER_BYTES + length;
         }
-        return new Intact(records, position);
+        return new IntactPrefix(records, position);
     }
 
-    private static boolean anyRecordAfter(byte[] bytes, int from) {
+    private static boolean hasIntactRecordFrom(byte[] bytes, int from) {
         for (int position = from; position + HEADER_BYTES <= bytes.length; position++) {
-            if (bytes[position] == MARK >>> 24 && recordLengthAt(bytes, position) >= 0) {
+            if (bytes[position] == MAGIC >>> 24 && recordLengthAt(bytes, position) >= 0) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Returns the length of the intact record at a position, or -1 where there is none. */
+    /** Returns the length of the intact record at a position, or -1 if there is none. */
     private static int recordLengthAt(byte[] bytes, int position) {
         if (bytes.length - position < HEADER_BYTES) {
             return -1;
         }
         ByteBuffer header = ByteBuffer.wrap(bytes, position, HEADER_BYTES);
-        int mark = header.getInt();
+        int magic = header.getInt();
         int length = header.getInt();
         int checksum = header.getInt();
         boolean fits =
                 length >= 0 && length <= MAXIMUM_RECORD_BYTES && length <= bytes.length - position - HEADER_BYTES;
-        if (mark != MARK || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
+        if (magic != MAGIC || !fits || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
             return -1;
         }
         return length;
@@ -93,10 +94,10 @@
     }
 
     /**
-     * Holds the intact beginning of a journal.
+     * Holds the intact records at the beginning of a journal.
      *
-     * @param records its records.
-     * @param length its length in bytes.
+     * @param records the records.
+     * @param length their length with headers, in bytes.
      */
-    record Intact(List<JournalRecord> records, long length) {}
+    record IntactPrefix(List<JournalRecord> records, long length) {}
 }
