--- a/replication/src/main/java/org/radishspur/replication/raft/Effects.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Effects.java
@@ -14,9 +14,9 @@
  * @param committed entries to apply, in order and exactly once.
  */
 public record Effects(
-        List<Outbound> immediate,
+        List<OutboundMessage> immediate,
         WriteBatch write,
-        List<Outbound> afterWrite,
+        List<OutboundMessage> afterWrite,
         Optional<Snapshot> installed,
         List<LogEntry> committed) {
 
@@ -26,5 +26,5 @@
      * @param to the identity of the replica that is to get it.
      * @param message the message.
      */
-    public record Outbound(String to, RaftMessage message) {}
+    public record OutboundMessage(String to, RaftMessage message) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/Followers.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Followers.java
@@ -11,8 +11,8 @@
  * Tracks for the leader how far the other replicas are, and what a quorum of them has.
  */
 final class Followers {
-    private static final int ABANDON_TIMEOUTS = 10;
-    private static final int LAG_SHARES = 20;
+    private static final int UNRESPONSIVE_ELECTION_TIMEOUTS = 10;
+    private static final int MAXIMUM_LAG_FACTOR = 20;
 
     private final RaftOptions options;
     private final String self;
@@ -28,53 +28,54 @@
     }
 
     /** Returns what is known of a replica; of a new one only from which index on entries are to be sent. */
-    Progress of(String replica, long nextIndex, long clock) {
+    Progress progressOf(String replica, long nextIndex, long clock) {
         return progress.computeIfAbsent(
                 replica, key -> new Progress(nextIndex, clock - options.electionTimeoutMillis()));
     }
 
     /** Returns the greatest index that a quorum has on disk. */
-    long storedByQuorum(Configuration configuration, long persistedIndex) {
+    long quorumMatchIndex(Configuration configuration, long persistedIndex) {
         List<Long> stored = new ArrayList<>();
         for (String voter : configuration.voters()) {
             Progress state = progress.get(voter);
             stored.add(voter.equals(self) ? persistedIndex : state == null ? 0 : state.matchIndex);
         }
-        return greatestOfQuorum(stored, configuration);
+        return greatestReachedByQuorum(stored, configuration);
     }
 
     /** Returns the leader's clock of the latest moment for which a quorum has answered a message sent then. */
-    long answeredByQuorum(Configuration configuration) {
+    long quorumAcknowledgedSendTime(Configuration configuration) {
         List<Long> answered = new ArrayList<>();
         for (String voter : configuration.voters()) {
             Progress state = progress.get(voter);
-            answered.add(voter.equals(self) ? Long.MAX_VALUE : state == null ? 0 : state.answeredSentAt);
+            answered.add(voter.equals(self) ? Long.MAX_VALUE : state == null ? 0 : state.acknowledgedSendTime);
         }
-        return greatestOfQuorum(answered, configuration);
+        return greatestReachedByQuorum(answered, configuration);
     }
 
     /**
      * Returns the index behind which the log must stay for replicas that answer but lag: one that has just taken a
      * snapshot would otherwise need the next one at once, and never catch up.
      */
-    long oldestNeeded(long index, long firstIndex, long clock) {
+    long oldestNeededIndex(long index, long firstIndex, long clock) {
         long oldest = Long.MAX_VALUE;
         for (Progress state : progress.values()) {
-            boolean answers = clock - state.answeredSentAt < ABANDON_TIMEOUTS * options.electionTimeoutMillis();
-            if (state.sending.isPresent() && answers) {
-                oldest = Math.min(oldest, state.sending.get().lastIndex());
+            boolean answers = clock - state.acknowledgedSendTime
+                    < UNRESPONSIVE_ELECTION_TIMEOUTS * options.electionTimeoutMillis();
+            if (state.snapshotInTransfer.isPresent() && answers) {
+                oldest = Math.min(oldest, state.snapshotInTransfer.get().lastIndex());
                 continue;
             }
-            state.sending = Optional.empty();
+            state.snapshotInTransfer = Optional.empty();
             long lag = index - state.matchIndex;
-            if (answers && state.matchIndex >= firstIndex && lag < LAG_SHARES * options.trailingEntries()) {
+            if (answers && state.matchIndex >= firstIndex && lag < MAXIMUM_LAG_FACTOR * options.trailingEntries()) {
                 oldest = Math.min(oldest, state.matchIndex);
             }
         }
         return oldest;
     }
 
-    private static long greatestOfQuorum(List<Long> values, Configuration configuration) {
+    private static long greatestReachedByQuorum(List<Long> values, Configuration configuration) {
         values.sort(Comparator.reverseOrder());
         return values.get(configuration.quorum() - 1);
     }
--- a/replication/src/main/java/org/radishspur/replication/raft/Progress.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Progress.java
@@ -13,22 +13,22 @@
     long nextIndex;
 
     /** The leader's clock when it sent the latest message that the replica has answered. */
-    long answeredSentAt;
+    long acknowledgedSendTime;
 
     /** The leader's clock when it last sent entries that are still unanswered, or 0. */
-    long pendingSince;
+    long unacknowledgedSince;
 
     /**
      * The snapshot on its way to the replica, if there is one. It is sent to its end even when a later one has been made:
      * a replica that starts over with each new snapshot may never hold a whole one.
      */
-    Optional<Snapshot> sending = Optional.empty();
+    Optional<Snapshot> snapshotInTransfer = Optional.empty();
 
     /** How many bytes of that snapshot the replica has taken. */
     long snapshotOffset;
 
     Progress(long nextIndex, long now) {
         this.nextIndex = nextIndex;
-        this.answeredSentAt = now;
+        this.acknowledgedSendTime = now;
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-import org.radishspur.replication.raft.Effects.Outbound;
+import org.radishspur.replication.raft.Effects.OutboundMessage;
 import org.radishspur.replication.raft.LogEntry.Payload;
 
 /**
@@ -18,10 +18,10 @@
  */
 public final class RaftCore {
     /** How many heartbeats a replica that has heard no leader yet waits at least, where leaders hold no lease. */
-    private static final int FIRST_HEARTBEATS = 1;
+    private static final int INITIAL_ELECTION_TIMEOUT_HEARTBEATS = 1;
 
     /** The longest time that is assumed for a write, in election timeouts. */
-    private static final int LONGEST_WRITE_TIMEOUTS = 8;
+    private static final int MAXIMUM_WRITE_ELECTION_TIMEOUTS = 8;
 
     private final RaftOptions options;
     private final String self;
@@ -29,7 +29,7 @@
     private final RaftLog log;
     private final Followers followers;
     private final Set<String> votes = new HashSet<>();
-    private final WriteTime writeTime;
+    private final WriteTimeEstimate writeTimeEstimate;
 
     private HardState hardState;
     private boolean hardStateDurable = true;
@@ -38,21 +38,21 @@
     private long commitIndex;
     private long appliedIndex;
     private long persistedIndex;
-    private long heardFromLeaderAt;
-    private boolean heardLeader;
+    private long leaderContactAt;
+    private boolean leaderSeen;
     private long electionDueAt;
     private long heartbeatDueAt;
-    private long leadingSince;
+    private long firstIndexAsLeader;
     private boolean transferring;
-    private long clock;
-    private SnapshotAssembly assembly = new SnapshotAssembly(0, 0, 0);
+    private long leaderClock;
+    private SnapshotAssembly incomingSnapshot = new SnapshotAssembly(0, 0, 0);
 
     private boolean hardStateChanged;
-    private List<LogEntry> unwritten = new ArrayList<>();
+    private List<LogEntry> unwrittenEntries = new ArrayList<>();
     private Optional<Snapshot> unwrittenSnapshot = Optional.empty();
-    private Optional<Snapshot> installed = Optional.empty();
-    private List<Outbound> immediate = new ArrayList<>();
-    private List<Outbound> afterWrite = new ArrayList<>();
+    private Optional<Snapshot> installedSnapshot = Optional.empty();
+    private List<OutboundMessage> immediate = new ArrayList<>();
+    private List<OutboundMessage> afterWrite = new ArrayList<>();
 
     /**
      * Creates the core of a replica that has just started.
@@ -68,7 +68,8 @@
         this.self = self;
         this.random = random;
         this.followers = new Followers(options, self);
-        this.writeTime = new WriteTime(LONGEST_WRITE_TIMEOUTS * options.electionTimeoutMillis());
+        this.writeTimeEstimate =
+                new WriteTimeEstimate(MAXIMUM_WRITE_ELECTION_TIMEOUTS * options.electionTimeoutMillis());
         this.hardState = recovered.hardState();
         this.log = new RaftLog(recovered.snapshot(), recovered.entries());
         this.commitIndex = recovered.snapshot().lastIndex();
@@ -76,9 +77,9 @@
         this.persistedIndex = log.lastIndex();
         // Guards against a stale read: before its restart this replica may have acknowledged a heartbeat whose lease
         // still runs. It counts as having just heard the leader, so that it can't help elect another one meanwhile.
-        this.heardFromLeaderAt = options.leaseMillis() > 0 ? now : now - options.electionTimeoutMillis();
+        this.leaderContactAt = options.leaseMillis() > 0 ? now : now - options.electionTimeoutMillis();
         if (recovered.snapshot().lastIndex() > 0) {
-            installed = Optional.of(recovered.snapshot());
+            installedSnapshot = Optional.of(recovered.snapshot());
         }
         scheduleElection(now);
     }
@@ -142,7 +143,7 @@
         if (role != Role.LEADER || transferring) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(appendOwn(new Payload.Command(bytes)));
+        return OptionalLong.of(appendAsLeader(new Payload.Command(bytes)));
     }
 
     /**
@@ -154,11 +155,11 @@
     public OptionalLong proposeConfiguration(Configuration configuration) {
         // A leader that has committed nothing in its own term doesn't know yet which change is the latest one, and two
         // changes under way could have quorums that don't meet: both cases are refused.
-        boolean settled = log.configurationIndex() <= commitIndex && commitIndex >= leadingSince;
+        boolean settled = log.configurationIndex() <= commitIndex && commitIndex >= firstIndexAsLeader;
         if (role != Role.LEADER || transferring || !settled) {
             return OptionalLong.empty();
         }
-        long index = appendOwn(new Payload.Membership(configuration));
+        long index = appendAsLeader(new Payload.Membership(configuration));
         configuration.voters().forEach(this::progressOf);
         configuration.learners().keySet().forEach(this::progressOf);
         return OptionalLong.of(index);
@@ -172,17 +173,17 @@
      * @param now the monotonic clock in milliseconds.
      */
     public void persisted(WriteBatch batch, long startedAt, long now) {
-        writeTime.learn(now - startedAt);
+        writeTimeEstimate.record(now - startedAt);
         batch.hardState().filter(hardState::equals).ifPresent(durable -> onHardStateDurable(now));
         if (!batch.entries().isEmpty()) {
             LogEntry last = batch.entries().get(batch.entries().size() - 1);
-            if (log.term(last.index()) == last.term()) {
+            if (log.termAt(last.index()) == last.term()) {
                 persistedIndex = Math.max(persistedIndex, last.index());
             }
         }
         batch.snapshot().ifPresent(snapshot -> persistedIndex = Math.max(persistedIndex, snapshot.lastIndex()));
         if (role == Role.LEADER) {
-            advanceCommit();
+            advanceCommitIndex();
         }
     }
 
@@ -193,7 +194,7 @@
      * @return the snapshot with an empty state.
      */
     public Snapshot describe(long index) {
-        return new Snapshot(index, log.term(index), log.configurationAt(index), new byte[0]);
+        return new Snapshot(index, log.termAt(index), log.configurationAt(index), new byte[0]);
     }
 
     /**
@@ -206,8 +207,9 @@
             return;
         }
         long index = made.lastIndex();
-        long oldestNeeded =
-                role == Role.LEADER ? followers.oldestNeeded(index, log.firstIndex(), clock) : Long.MAX_VALUE;
+        long oldestNeeded = role == Role.LEADER
+                ? followers.oldestNeededIndex(index, log.firstIndex(), leaderClock)
+                : Long.MAX_VALUE;
         log.compact(made, Math.min(index - options.trailingEntries(), oldestNeeded));
         unwrittenSnapshot = Optional.of(made);
     }
@@ -227,7 +229,7 @@
         // The lease ends here and for good: the election that follows does not wait for it.
         target.ifPresent(voter -> {
             transferring = true;
-            immediate.add(new Outbound(voter, new RaftMessage.TimeoutNow(hardState.term())));
+            immediate.add(new OutboundMessage(voter, new RaftMessage.TimeoutNow(hardState.term())));
         });
         return target.isPresent();
     }
@@ -250,13 +252,14 @@
         }
         WriteBatch write = new WriteBatch(
                 hardStateChanged ? Optional.of(hardState) : Optional.empty(),
-                List.copyOf(unwritten),
+                List.copyOf(unwrittenEntries),
                 unwrittenSnapshot);
-        Effects effects = new Effects(List.copyOf(immediate), write, List.copyOf(afterWrite), installed, committed);
+        Effects effects =
+                new Effects(List.copyOf(immediate), write, List.copyOf(afterWrite), installedSnapshot, committed);
         hardStateChanged = false;
-        unwritten = new ArrayList<>();
+        unwrittenEntries = new ArrayList<>();
         unwrittenSnapshot = Optional.empty();
-        installed = Optional.empty();
+        installedSnapshot = Optional.empty();
         immediate = new ArrayList<>();
         afterWrite = new ArrayList<>();
         return effects;
@@ -270,7 +273,7 @@
      * @return whether a read is linearizable now.
      */
     public boolean mayRead(long now) {
-        return role == Role.LEADER && !transferring && appliedIndex >= leadingSince && now < leaseEnd();
+        return role == Role.LEADER && !transferring && appliedIndex >= firstIndexAsLeader && now < leaseEnd();
     }
 
     /**
@@ -287,9 +290,9 @@
     public boolean confirmedSince(long since) {
         return role == Role.LEADER
                 && !transferring
-                && appliedIndex >= leadingSince
+                && appliedIndex >= firstIndexAsLeader
                 && appliedIndex >= commitIndex
-                && quorumAnsweredSentAt() > since;
+                && quorumAcknowledgedSendTime() > since;
     }
 
     /**
@@ -381,7 +384,9 @@
      * @return whether it may be promoted without making the quorum weaker.
      */
     public boolean isCaughtUp(String learner) {
-        return role == Role.LEADER && progressOf(learner).matchIndex >= commitIndex && commitIndex >= leadingSince;
+        return role == Role.LEADER
+                && progressOf(learner).matchIndex >= commitIndex
+                && commitIndex >= firstIndexAsLeader;
     }
 
     private void tickLeader(long now) {
@@ -390,7 +395,7 @@
             becomeFollower(hardState.term(), now);
             return;
         }
-        if (now - quorumAnsweredSentAt() > 2 * options.electionTimeoutMillis()) {
+        if (now - quorumAcknowledgedSendTime() > 2 * options.electionTimeoutMillis()) {
             becomeFollower(hardState.term(), now);
             return;
         }
@@ -401,11 +406,11 @@
 
     private void broadcast(long now) {
         heartbeatDueAt = now + options.heartbeatMillis();
-        clock = now;
+        leaderClock = now;
         for (String peer : peers()) {
             Progress state = progressOf(peer);
-            if (state.pendingSince > 0 && now - state.pendingSince > options.electionTimeoutMillis()) {
-                state.pendingSince = 0;
+            if (state.unacknowledgedSince > 0 && now - state.unacknowledgedSince > options.electionTimeoutMillis()) {
+                state.unacknowledgedSince = 0;
                 state.nextIndex = state.matchIndex + 1;
             }
             if (!sendEntries(peer, state)) {
@@ -430,7 +435,7 @@
     /** Sends what the peer lacks; returns whether there was anything to send. */
     private boolean sendEntries(String peer, Progress state) {
         if (state.nextIndex < log.firstIndex()) {
-            sendSnapshotPart(peer, state);
+            sendSnapshotChunk(peer, state);
             return true;
         }
         List<LogEntry> entries = log.slice(state.nextIndex, options.maximumEntriesPerMessage());
@@ -439,8 +444,8 @@
         }
         sendAppend(peer, state.nextIndex - 1, entries);
         state.nextIndex += entries.size();
-        if (state.pendingSince == 0) {
-            state.pendingSince = clock;
+        if (state.unacknowledgedSince == 0) {
+            state.unacknowledgedSince = leaderClock;
         }
         return true;
     }
@@ -451,27 +456,27 @@
     }
 
     private void sendAppend(String peer, long previous, List<LogEntry> entries) {
-        immediate.add(new Outbound(
+        immediate.add(new OutboundMessage(
                 peer,
                 new RaftMessage.AppendRequest(
-                        hardState.term(), previous, log.term(previous), entries, commitIndex, clock)));
+                        hardState.term(), previous, log.termAt(previous), entries, commitIndex, leaderClock)));
     }
 
-    private void sendSnapshotPart(String peer, Progress state) {
-        if (state.sending.isEmpty()) {
-            state.sending = Optional.of(log.snapshot());
+    private void sendSnapshotChunk(String peer, Progress state) {
+        if (state.snapshotInTransfer.isEmpty()) {
+            state.snapshotInTransfer = Optional.of(log.snapshot());
             state.snapshotOffset = 0;
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
-        if (state.pendingSince > 0) {
+        if (state.unacknowledgedSince > 0) {
             return;
         }
-        Snapshot snapshot = state.sending.get();
+        Snapshot snapshot = state.snapshotInTransfer.get();
         int begin = (int) state.snapshotOffset;
-        int end = Math.min(snapshot.state().length, begin + options.snapshotPartBytes());
+        int end = Math.min(snapshot.state().length, begin + options.snapshotChunkBytes());
         byte[] part = java.util.Arrays.copyOfRange(snapshot.state(), begin, end);
-        state.pendingSince = Math.max(1, clock);
-        immediate.add(new Outbound(
+        state.unacknowledgedSince = Math.max(1, leaderClock);
+        immediate.add(new OutboundMessage(
                 peer,
                 new RaftMessage.SnapshotRequest(
                         hardState.term(),
@@ -481,14 +486,14 @@
                         begin,
                         part,
                         end == snapshot.state().length,
-                        clock)));
+                        leaderClock)));
     }
 
     private void campaign(boolean preVote, boolean transfer, long now) {
         votes.clear();
         votes.add(self);
         leader = "";
-        awaitVotes(now);
+        scheduleElectionAfterVoteWrites(now);
         if (preVote) {
             role = Role.PRE_CANDIDATE;
         } else {
@@ -496,19 +501,19 @@
             setHardState(new HardState(hardState.term() + 1, self));
         }
         if (votes.size() >= log.configuration().quorum()) {
-            wonVotes(preVote, now);
+            onVotesWon(preVote, now);
             return;
         }
         long term = preVote ? hardState.term() + 1 : hardState.term();
         RaftMessage request = new RaftMessage.VoteRequest(term, preVote, transfer, log.lastIndex(), log.lastTerm());
         for (String voter : log.configuration().voters()) {
             if (!voter.equals(self)) {
-                afterWrite.add(new Outbound(voter, request));
+                afterWrite.add(new OutboundMessage(voter, request));
             }
         }
     }
 
-    private void wonVotes(boolean preVote, long now) {
+    private void onVotesWon(boolean preVote, long now) {
         if (preVote) {
             campaign(false, false, now);
         } else {
@@ -517,13 +522,13 @@
     }
 
     private void onVoteRequest(String from, RaftMessage.VoteRequest request, long now) {
-        boolean leaseMayRun = now - heardFromLeaderAt < options.electionTimeoutMillis() || role == Role.LEADER;
+        boolean leaseMayRun = now - leaderContactAt < options.electionTimeoutMillis() || role == Role.LEADER;
         if (leaseMayRun && !request.transfer()) {
             // A leader may be reading under its lease, which counts on this silence. The term isn't taken over either,
             // so that a replica coming back from a cut can't depose a healthy leader.
             if (request.term() <= hardState.term() || request.preVote()) {
-                afterWrite.add(
-                        new Outbound(from, new RaftMessage.VoteReply(hardState.term(), request.preVote(), false)));
+                afterWrite.add(new OutboundMessage(
+                        from, new RaftMessage.VoteReply(hardState.term(), request.preVote(), false)));
             }
             return;
         }
@@ -544,14 +549,14 @@
             // each other, and then vote for themselves. One of them, the same for all, goes on; nothing is lost if it
             // can't, as the others ask again after their next timeout.
             role = Role.FOLLOWER;
-            awaitVotes(now);
+            scheduleElectionAfterVoteWrites(now);
         }
         if (granted && !request.preVote()) {
             setHardState(new HardState(hardState.term(), from));
             scheduleElection(now);
         }
         long term = granted ? request.term() : hardState.term();
-        afterWrite.add(new Outbound(from, new RaftMessage.VoteReply(term, request.preVote(), granted)));
+        afterWrite.add(new OutboundMessage(from, new RaftMessage.VoteReply(term, request.preVote(), granted)));
     }
 
     private void onVoteReply(String from, RaftMessage.VoteReply reply, long now) {
@@ -564,20 +569,20 @@
                     .filter(voter -> log.configuration().voters().contains(voter))
                     .count();
             if (counted >= log.configuration().quorum()) {
-                wonVotes(reply.preVote(), now);
+                onVotesWon(reply.preVote(), now);
             }
         }
     }
 
     private void becomeLeader(long now) {
         role = Role.LEADER;
-        heardLeader = true;
+        leaderSeen = true;
         leader = self;
         transferring = false;
         followers.clear();
-        clock = now;
-        leadingSince = appendOwn(new Payload.Empty());
-        peers().forEach(peer -> followers.of(peer, leadingSince, clock));
+        leaderClock = now;
+        firstIndexAsLeader = appendAsLeader(new Payload.Empty());
+        peers().forEach(peer -> followers.progressOf(peer, firstIndexAsLeader, leaderClock));
         broadcast(now);
     }
 
@@ -593,29 +598,30 @@
 
     private void onAppendRequest(String from, RaftMessage.AppendRequest request, long now) {
         if (!acceptLeader(from, request.term(), now)) {
-            reply(from, false, log.lastIndex(), request.sentAt());
+            replyAfterWrite(from, false, log.lastIndex(), request.sentAt());
             return;
         }
         if (request.previousIndex() > log.lastIndex()) {
-            reply(from, false, log.lastIndex() + 1, request.sentAt());
+            replyAfterWrite(from, false, log.lastIndex() + 1, request.sentAt());
             return;
         }
         boolean compared = request.previousIndex() >= log.firstIndex() - 1;
-        if (compared && log.term(request.previousIndex()) != request.previousTerm()) {
-            reply(from, false, firstOfTerm(request.previousIndex()), request.sentAt());
+        if (compared && log.termAt(request.previousIndex()) != request.previousTerm()) {
+            replyAfterWrite(from, false, firstIndexOfTerm(request.previousIndex()), request.sentAt());
             return;
         }
         for (LogEntry entry : request.entries()) {
-            take(entry);
+            acceptEntry(entry);
         }
         long matched = request.previousIndex() + request.entries().size();
         commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), matched));
         if (hardStateDurable) {
             // Guards against a leader that steps down while disks are slow. Only what is on the disk is acknowledged.
-            immediate.add(new Outbound(from, appendReply(true, Math.min(matched, persistedIndex), request.sentAt())));
+            immediate.add(
+                    new OutboundMessage(from, appendReply(true, Math.min(matched, persistedIndex), request.sentAt())));
         }
         if (!hardStateDurable || persistedIndex < matched) {
-            reply(from, true, matched, request.sentAt());
+            replyAfterWrite(from, true, matched, request.sentAt());
         }
     }
 
@@ -625,41 +631,41 @@
         }
         role = Role.FOLLOWER;
         leader = from;
-        heardLeader = true;
-        heardFromLeaderAt = now;
+        leaderSeen = true;
+        leaderContactAt = now;
         scheduleElection(now);
         return true;
     }
 
-    private void take(LogEntry entry) {
+    private void acceptEntry(LogEntry entry) {
         if (entry.index() < log.firstIndex()) {
             return;
         }
         if (entry.index() <= log.lastIndex()) {
-            if (log.term(entry.index()) == entry.term()) {
+            if (log.termAt(entry.index()) == entry.term()) {
                 return;
             }
             if (entry.index() <= commitIndex) {
                 throw new IllegalStateException("a committed entry would be replaced at " + entry.index());
             }
             log.truncateFrom(entry.index());
-            unwritten.removeIf(pending -> pending.index() >= entry.index());
+            unwrittenEntries.removeIf(pending -> pending.index() >= entry.index());
             persistedIndex = Math.min(persistedIndex, entry.index() - 1);
         }
         log.append(entry);
-        unwritten.add(entry);
+        unwrittenEntries.add(entry);
     }
 
-    private long firstOfTerm(long index) {
+    private long firstIndexOfTerm(long index) {
         long first = index;
-        while (first > log.firstIndex() && first > commitIndex + 1 && log.term(first - 1) == log.term(index)) {
+        while (first > log.firstIndex() && first > commitIndex + 1 && log.termAt(first - 1) == log.termAt(index)) {
             first--;
         }
         return first;
     }
 
-    private void reply(String to, boolean matched, long index, long sentAt) {
-        afterWrite.add(new Outbound(to, appendReply(matched, index, sentAt)));
+    private void replyAfterWrite(String to, boolean matched, long index, long sentAt) {
+        afterWrite.add(new OutboundMessage(to, appendReply(matched, index, sentAt)));
     }
 
     private RaftMessage appendReply(boolean matched, long index, long sentAt) {
@@ -670,53 +676,55 @@
         if (role != Role.LEADER || reply.term() != hardState.term()) {
             return;
         }
-        clock = now;
+        leaderClock = now;
         Progress state = progressOf(from);
-        state.answeredSentAt = Math.max(state.answeredSentAt, reply.sentAt());
+        state.acknowledgedSendTime = Math.max(state.acknowledgedSendTime, reply.sentAt());
         if (reply.matched()) {
             state.matchIndex = Math.max(state.matchIndex, reply.index());
             state.nextIndex = Math.max(state.nextIndex, state.matchIndex + 1);
-            state.pendingSince = state.nextIndex > state.matchIndex + 1 ? now : 0;
-            advanceCommit();
+            state.unacknowledgedSince = state.nextIndex > state.matchIndex + 1 ? now : 0;
+            advanceCommitIndex();
         } else {
             state.nextIndex = Math.max(state.matchIndex + 1, Math.min(reply.index(), log.lastIndex() + 1));
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
     }
 
     private void onSnapshotRequest(String from, RaftMessage.SnapshotRequest request, long now) {
         if (!acceptLeader(from, request.term(), now)) {
-            snapshotReply(from, request, 0, false);
+            replyToSnapshotAfterWrite(from, request, 0, false);
             return;
         }
         if (request.lastIndex() <= commitIndex) {
-            snapshotReply(from, request, 0, true);
+            replyToSnapshotAfterWrite(from, request, 0, true);
             return;
         }
-        if (!assembly.isFor(request)) {
-            assembly = new SnapshotAssembly(request.term(), request.lastIndex(), request.lastTerm());
+        if (!incomingSnapshot.matches(request)) {
+            incomingSnapshot = new SnapshotAssembly(request.term(), request.lastIndex(), request.lastTerm());
         }
-        boolean complete = assembly.add(request);
+        boolean complete = incomingSnapshot.add(request);
         if (complete) {
-            install(new Snapshot(request.lastIndex(), request.lastTerm(), request.configuration(), assembly.bytes()));
-            assembly = new SnapshotAssembly(0, 0, 0);
+            install(new Snapshot(
+                    request.lastIndex(), request.lastTerm(), request.configuration(), incomingSnapshot.bytes()));
+            incomingSnapshot = new SnapshotAssembly(0, 0, 0);
         }
-        snapshotReply(from, request, assembly.size(), complete);
+        replyToSnapshotAfterWrite(from, request, incomingSnapshot.size(), complete);
     }
 
     private void install(Snapshot snapshot) {
         log.install(snapshot);
-        unwritten.removeIf(entry -> entry.index() <= snapshot.lastIndex() || entry.index() > log.lastIndex());
+        unwrittenEntries.removeIf(entry -> entry.index() <= snapshot.lastIndex() || entry.index() > log.lastIndex());
         // Until the snapshot is written, the disk may hold other entries than it behind the committed ones.
         persistedIndex = Math.min(persistedIndex, commitIndex);
         commitIndex = snapshot.lastIndex();
         appliedIndex = snapshot.lastIndex();
         unwrittenSnapshot = Optional.of(snapshot);
-        installed = Optional.of(snapshot);
+        installedSnapshot = Optional.of(snapshot);
     }
 
-    private void snapshotReply(String to, RaftMessage.SnapshotRequest request, long offset, boolean complete) {
-        afterWrite.add(new Outbound(
+    private void replyToSnapshotAfterWrite(
+            String to, RaftMessage.SnapshotRequest request, long offset, boolean complete) {
+        afterWrite.add(new OutboundMessage(
                 to,
                 new RaftMessage.SnapshotReply(
                         hardState.term(), request.lastIndex(), offset, complete, request.sentAt())));
@@ -726,18 +734,19 @@
         if (role != Role.LEADER || reply.term() != hardState.term()) {
             return;
         }
-        clock = now;
+        leaderClock = now;
         Progress state = progressOf(from);
-        state.answeredSentAt = Math.max(state.answeredSentAt, reply.sentAt());
+        state.acknowledgedSendTime = Math.max(state.acknowledgedSendTime, reply.sentAt());
         if (reply.installed()) {
             state.matchIndex = Math.max(state.matchIndex, reply.lastIndex());
             state.nextIndex = Math.max(state.nextIndex, state.matchIndex + 1);
-            state.sending = Optional.empty();
-            state.pendingSince = 0;
-            advanceCommit();
-        } else if (state.sending.isPresent() && state.sending.get().lastIndex() == reply.lastIndex()) {
+            state.snapshotInTransfer = Optional.empty();
+            state.unacknowledgedSince = 0;
+            advanceCommitIndex();
+        } else if (state.snapshotInTransfer.isPresent()
+                && state.snapshotInTransfer.get().lastIndex() == reply.lastIndex()) {
             state.snapshotOffset = reply.nextOffset();
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
     }
 
@@ -747,32 +756,32 @@
         }
     }
 
-    private void advanceCommit() {
-        long candidate = followers.storedByQuorum(log.configuration(), persistedIndex);
+    private void advanceCommitIndex() {
+        long candidate = followers.quorumMatchIndex(log.configuration(), persistedIndex);
         // Entries of earlier terms are never committed by counting replicas (section 5.4.2 of the paper).
-        if (candidate > commitIndex && log.term(candidate) == hardState.term()) {
+        if (candidate > commitIndex && log.termAt(candidate) == hardState.term()) {
             commitIndex = candidate;
         }
     }
 
-    private long quorumAnsweredSentAt() {
-        return followers.answeredByQuorum(log.configuration());
+    private long quorumAcknowledgedSendTime() {
+        return followers.quorumAcknowledgedSendTime(log.configuration());
     }
 
     private long leaseEnd() {
-        long answered = quorumAnsweredSentAt();
+        long answered = quorumAcknowledgedSendTime();
         return answered == Long.MAX_VALUE ? Long.MAX_VALUE : answered + options.leaseMillis();
     }
 
-    private long appendOwn(Payload payload) {
+    private long appendAsLeader(Payload payload) {
         LogEntry entry = new LogEntry(log.lastIndex() + 1, hardState.term(), payload);
         log.append(entry);
-        unwritten.add(entry);
+        unwrittenEntries.add(entry);
         return entry.index();
     }
 
     private Progress progressOf(String replica) {
-        return followers.of(replica, log.lastIndex() + 1, clock);
+        return followers.progressOf(replica, log.lastIndex() + 1, leaderClock);
     }
 
     private void setHardState(HardState changed) {
@@ -790,23 +799,25 @@
     private void onHardStateDurable(long now) {
         hardStateDurable = true;
         if (role == Role.CANDIDATE) {
-            awaitVotes(now);
+            scheduleElectionAfterVoteWrites(now);
         } else if (role != Role.LEADER) {
             scheduleElection(now);
         }
     }
 
     /** Leaves the voters the time to write their votes, and what they are writing before them. */
-    private void awaitVotes(long now) {
-        scheduleElection(now + 2 * writeTime.millis());
+    private void scheduleElectionAfterVoteWrites(long now) {
+        scheduleElection(now + 2 * writeTimeEstimate.millis());
     }
 
     private void scheduleElection(long now) {
         // A replica that has heard no leader since it started seeks elections sooner: where the whole group has
         // restarted there is no leader to wait for, and where there is one the promise that comes before a vote is
         // refused. That one heartbeat ends an outage sooner than two is not shown: votes split more often.
-        boolean alone = options.leaseMillis() == 0 && !heardLeader;
-        long least = alone ? FIRST_HEARTBEATS * options.heartbeatMillis() : options.electionTimeoutMillis();
+        boolean alone = options.leaseMillis() == 0 && !leaderSeen;
+        long least = alone
+                ? INITIAL_ELECTION_TIMEOUT_HEARTBEATS * options.heartbeatMillis()
+                : options.electionTimeoutMillis();
         electionDueAt = now + least + random.nextLong(Math.max(1, alone ? 2 * least : least));
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the term of an entry, or -1 where the log doesn't reach. */
-    long term(long index) {
+    long termAt(long index) {
         if (index == baseIndex) {
             return baseTerm;
         }
@@ -87,7 +87,7 @@
     void compact(Snapshot made, long keptBehind) {
         snapshot = made;
         long newBase = Math.max(baseIndex, Math.min(made.lastIndex(), keptBehind));
-        long newTerm = term(newBase);
+        long newTerm = termAt(newBase);
         entries.subList(0, (int) (newBase - baseIndex)).clear();
         Configuration base = configurationAt(newBase);
         configurations.headMap(newBase, true).clear();
@@ -98,7 +98,7 @@
 
     /** Takes a snapshot from the leader; entries behind it stay only if they provably continue it. */
     void install(Snapshot received) {
-        boolean continues = term(received.lastIndex()) == received.lastTerm();
+        boolean continues = termAt(received.lastIndex()) == received.lastTerm();
         List<LogEntry> kept = continues ? slice(received.lastIndex() + 1, Integer.MAX_VALUE / 2) : List.of();
         entries.clear();
         configurations.clear();
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftMessage.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftMessage.java
@@ -67,7 +67,7 @@
      * @param lastTerm the term of that entry.
      * @param configuration the set of replicas as of that entry.
      * @param offset where the part begins.
-     * @param part the bytes of the part.
+     * @param chunk the bytes of the part.
      * @param last whether this is the last part.
      * @param sentAt the leader's clock when it sent the message.
      */
@@ -77,7 +77,7 @@
             long lastTerm,
             Configuration configuration,
             long offset,
-            byte[] part,
+            byte[] chunk,
             boolean last,
             long sentAt)
             implements RaftMessage {}
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
@@ -9,7 +9,7 @@
  * @param leaseMillis how long a majority's answer lets the leader answer reads; shorter than the election timeout by
  *     more than clocks drift apart in that time; 0 where every read is confirmed by a majority instead.
  * @param maximumEntriesPerMessage how many entries one message carries at most.
- * @param snapshotPartBytes how many bytes of a snapshot one message carries at most.
+ * @param snapshotChunkBytes how many bytes of a snapshot one message carries at most.
  * @param trailingEntries how many applied entries stay in the log behind a snapshot, for followers a little behind.
  */
 public record RaftOptions(
@@ -17,7 +17,7 @@
         long electionTimeoutMillis,
         long leaseMillis,
         int maximumEntriesPerMessage,
-        int snapshotPartBytes,
+        int snapshotChunkBytes,
         int trailingEntries) {
     /** Fits hosts within a few milliseconds of each other. */
     public static final RaftOptions STANDARD = new RaftOptions(100, 600, 480, 256, 1 << 18, 1_000);
--- a/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
@@ -9,7 +9,7 @@
     private final long leaderTerm;
     private final long lastIndex;
     private final long lastTerm;
-    private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream content = new ByteArrayOutputStream();
 
     SnapshotAssembly(long leaderTerm, long lastIndex, long lastTerm) {
         this.leaderTerm = leaderTerm;
@@ -18,24 +18,24 @@
     }
 
     /** Returns whether a part continues this snapshot; another leader may have encoded the same state differently. */
-    boolean isFor(RaftMessage.SnapshotRequest request) {
+    boolean matches(RaftMessage.SnapshotRequest request) {
         return leaderTerm == request.term() && lastIndex == request.lastIndex() && lastTerm == request.lastTerm();
     }
 
     /** Adds a part; returns whether the snapshot is now whole. */
     boolean add(RaftMessage.SnapshotRequest request) {
-        if (request.offset() != collected.size()) {
+        if (request.offset() != content.size()) {
             return false;
         }
-        collected.writeBytes(request.part());
+        content.writeBytes(request.chunk());
         return request.last();
     }
 
     long size() {
-        return collected.size();
+        return content.size();
     }
 
     byte[] bytes() {
-        return collected.toByteArray();
+        return content.toByteArray();
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/WriteTime.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/WriteTimeEstimate.java
@@ -3,10 +3,10 @@
 /**
  * Estimates how long the disk takes for a write, from the slowest of the last few.
  */
-final class WriteTime {
-    private static final double KEPT = 0.7;
+final class WriteTimeEstimate {
+    private static final double DECAY_PER_WRITE = 0.7;
 
-    private final long longestMillis;
+    private final long maximumMillis;
     private long millis;
 
     /**
@@ -14,12 +14,12 @@
      *
      * @param longestMillis the bound of the estimate, in milliseconds.
      */
-    WriteTime(long longestMillis) {
-        this.longestMillis = longestMillis;
+    WriteTimeEstimate(long longestMillis) {
+        this.maximumMillis = longestMillis;
     }
 
-    void learn(long taken) {
-        millis = Math.min(longestMillis, Math.max(taken, (long) (KEPT * millis)));
+    void record(long taken) {
+        millis = Math.min(maximumMillis, Math.max(taken, (long) (DECAY_PER_WRITE * millis)));
     }
 
     long millis() {
--- a/replication/src/main/java/org/radishspur/replication/state/CatalogueState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/CatalogueState.java
@@ -46,7 +46,7 @@
      * @param periodMillis how long the move may take.
      * @param atMillis the proposer's wall clock.
      */
-    void start(String pool, String target, long periodMillis, long atMillis) {
+    void startRollout(String pool, String target, long periodMillis, long atMillis) {
         Rollout present = rollouts.get(pool);
         if (present == null || !present.target().equals(target)) {
             rollouts.put(pool, new Rollout(pool, target, periodMillis, atMillis, RolloutStage.RUNNING));
@@ -60,7 +60,7 @@
      * @param target the version of the rollout that is meant.
      * @param stage the new stage.
      */
-    void advance(String pool, String target, RolloutStage stage) {
+    void advanceRollout(String pool, String target, RolloutStage stage) {
         Rollout present = rollouts.get(pool);
         if (present != null
                 && present.target().equals(target)
@@ -152,10 +152,10 @@
         /** The target was found bad, and nothing goes to it any more. */
         ROLLED_BACK(true);
 
-        private final boolean last;
+        private final boolean terminal;
 
         RolloutStage(boolean last) {
-            this.last = last;
+            this.terminal = last;
         }
 
         /**
@@ -164,7 +164,7 @@
          * @return whether no other stage follows.
          */
         public boolean isFinal() {
-            return last;
+            return terminal;
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
@@ -12,9 +12,9 @@
  * when its holder is dead, nobody can know whether the request ran.
  */
 public final class ClaimTable {
-    private final long keepMillis;
+    private final long retentionMillis;
     private final LinkedHashMap<RequestKey, Claim> claims = new LinkedHashMap<>();
-    private long clock;
+    private long latestMillis;
 
     /**
      * Creates an empty table.
@@ -22,7 +22,7 @@
      * @param keepMillis how long a key is remembered after it was last touched.
      */
     public ClaimTable(long keepMillis) {
-        this.keepMillis = keepMillis;
+        this.retentionMillis = keepMillis;
     }
 
     /**
@@ -33,7 +33,7 @@
      */
     ClaimTable(long keepMillis, Image image) {
         this(keepMillis);
-        clock = image.clock();
+        latestMillis = image.latestMillis();
         image.claims().forEach(claim -> claims.put(claim.key(), claim));
     }
 
@@ -72,7 +72,7 @@
      */
     public void finish(ControlCommand.FinishClaim command) {
         expire(command.atMillis());
-        settle(command.key(), command.holder(), State.FINISHED, command.answer());
+        endClaim(command.key(), command.holder(), State.FINISHED, command.answer());
     }
 
     /**
@@ -82,7 +82,7 @@
      */
     public void release(ControlCommand.ReleaseClaim command) {
         expire(command.atMillis());
-        settle(command.key(), command.holder(), State.RELEASED, StoredAnswer.withoutBody(0));
+        endClaim(command.key(), command.holder(), State.RELEASED, StoredAnswer.withoutBody(0));
     }
 
     /**
@@ -100,7 +100,7 @@
      * @return the content.
      */
     Image image() {
-        return new Image(clock, new ArrayList<>(claims.values()));
+        return new Image(latestMillis, new ArrayList<>(claims.values()));
     }
 
     private ClaimAnswer grant(ControlCommand.Claim command) {
@@ -113,23 +113,23 @@
                         command.holder(),
                         State.HELD,
                         StoredAnswer.withoutBody(0),
-                        clock));
+                        latestMillis));
         return new ClaimAnswer.Granted();
     }
 
-    private void settle(RequestKey key, ClaimHolder holder, State state, StoredAnswer answer) {
+    private void endClaim(RequestKey key, ClaimHolder holder, State state, StoredAnswer answer) {
         Claim present = claims.get(key);
         if (present != null && present.state() == State.HELD && present.holder().equals(holder)) {
             claims.remove(key);
-            claims.put(key, new Claim(key, present.fingerprint(), holder, state, answer, clock));
+            claims.put(key, new Claim(key, present.fingerprint(), holder, state, answer, latestMillis));
         }
     }
 
     /** Forgets what was last touched too long ago. Every touch moves a claim to the end, so the oldest come first. */
     private void expire(long atMillis) {
-        clock = Math.max(clock, atMillis);
+        latestMillis = Math.max(latestMillis, atMillis);
         var oldest = claims.values().iterator();
-        while (oldest.hasNext() && oldest.next().touchedAt() <= clock - keepMillis) {
+        while (oldest.hasNext() && oldest.next().changedAtMillis() <= latestMillis - retentionMillis) {
             oldest.remove();
         }
     }
@@ -154,18 +154,23 @@
      * @param holder the attempt that claimed it last.
      * @param state how far the claim has come.
      * @param answer the answer, where the request ran.
-     * @param touchedAt when the claim last changed, in milliseconds since the epoch.
+     * @param changedAtMillis when the claim last changed, in milliseconds since the epoch.
      */
     public record Claim(
-            RequestKey key, String fingerprint, ClaimHolder holder, State state, StoredAnswer answer, long touchedAt) {}
+            RequestKey key,
+            String fingerprint,
+            ClaimHolder holder,
+            State state,
+            StoredAnswer answer,
+            long changedAtMillis) {}
 
     /**
      * Holds the content of the table for a snapshot.
      *
-     * @param clock the latest wall clock seen.
+     * @param latestMillis the latest wall clock seen.
      * @param claims the claims, those that were touched longest ago first.
      */
-    public record Image(long clock, List<Claim> claims) {}
+    public record Image(long latestMillis, List<Claim> claims) {}
 
     /**
      * Counts the claims in each state, for operators.
--- a/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
@@ -119,7 +119,7 @@
         /** {@inheritDoc} */
         @Override
         public void applyTo(CatalogueState state) {
-            state.start(pool, target, periodMillis, atMillis);
+            state.startRollout(pool, target, periodMillis, atMillis);
         }
     }
 
@@ -136,7 +136,7 @@
         /** {@inheritDoc} */
         @Override
         public void applyTo(CatalogueState state) {
-            state.advance(pool, target, stage);
+            state.advanceRollout(pool, target, stage);
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/state/ControlState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlState.java
@@ -117,25 +117,25 @@
             catalogue = new CatalogueState();
             return;
         }
-        Parts parts = MessagePack.INSTANCE.decode(bytes, Parts.class);
-        tables = restored(parts.tables(), TablesState.Image.class)
+        EncodedImage parts = MessagePack.INSTANCE.decode(bytes, EncodedImage.class);
+        tables = decodeUnlessEmpty(parts.tables(), TablesState.Image.class)
                 .map(TablesState::new)
                 .orElseGet(TablesState::new);
-        claims = restored(parts.claims(), ClaimTable.Image.class)
+        claims = decodeUnlessEmpty(parts.claims(), ClaimTable.Image.class)
                 .map(image -> new ClaimTable(options.claimKeepMillis(), image))
                 .orElseGet(() -> new ClaimTable(options.claimKeepMillis()));
-        suspects = restored(parts.suspects(), SuspectTable.Image.class)
+        suspects = decodeUnlessEmpty(parts.suspects(), SuspectTable.Image.class)
                 .map(image -> new SuspectTable(options.suspectKeepMillis(), image))
                 .orElseGet(() -> new SuspectTable(options.suspectKeepMillis()));
-        moves = restored(parts.moves(), MoveTable.Image.class)
+        moves = decodeUnlessEmpty(parts.moves(), MoveTable.Image.class)
                 .map(MoveTable::new)
                 .orElseGet(MoveTable::new);
-        catalogue = restored(parts.catalogue(), CatalogueState.Image.class)
+        catalogue = decodeUnlessEmpty(parts.catalogue(), CatalogueState.Image.class)
                 .map(CatalogueState::new)
                 .orElseGet(CatalogueState::new);
     }
 
-    private static <T> Optional<T> restored(byte[] part, Class<T> type) {
+    private static <T> Optional<T> decodeUnlessEmpty(byte[] part, Class<T> type) {
         return part.length == 0 ? Optional.empty() : Optional.of(MessagePack.INSTANCE.decode(part, type));
     }
 
@@ -197,19 +197,22 @@
          * @return the bytes of a snapshot.
          */
         public byte[] encode() {
-            return MessagePack.INSTANCE.encode(new Parts(
-                    encoded(
+            return MessagePack.INSTANCE.encode(new EncodedImage(
+                    encodeUnlessUnused(
                             tables,
                             tables.tables().revision() == 0 && tables.answers().isEmpty()),
-                    encoded(claims, claims.clock() == 0 && claims.claims().isEmpty()),
-                    encoded(
+                    encodeUnlessUnused(
+                            claims,
+                            claims.latestMillis() == 0 && claims.claims().isEmpty()),
+                    encodeUnlessUnused(
                             suspects,
-                            suspects.clock() == 0 && suspects.suspects().isEmpty()),
-                    encoded(moves, moves.latest().isEmpty() && moves.ended().isEmpty()),
-                    encoded(catalogue, false)));
+                            suspects.latestMillis() == 0 && suspects.suspects().isEmpty()),
+                    encodeUnlessUnused(
+                            moves, moves.latest().isEmpty() && moves.ended().isEmpty()),
+                    encodeUnlessUnused(catalogue, false)));
         }
 
-        private static byte[] encoded(Object part, boolean unused) {
+        private static byte[] encodeUnlessUnused(Object part, boolean unused) {
             return unused ? new byte[0] : MessagePack.INSTANCE.encode(part);
         }
     }
@@ -224,5 +227,5 @@
      * @param moves the moves of routes.
      * @param catalogue the catalogue and rollouts.
      */
-    private record Parts(byte[] tables, byte[] claims, byte[] suspects, byte[] moves, byte[] catalogue) {}
+    private record EncodedImage(byte[] tables, byte[] claims, byte[] suspects, byte[] moves, byte[] catalogue) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -20,8 +20,8 @@
  * from then on only proposals that fit where the move stands change it.
  */
 public final class MoveTable {
-    private static final int REMEMBERED_ENDED = 1_000;
-    private static final long STANDARD_WINDOW_MILLIS = 30L * 60 * 1000;
+    private static final int MAXIMUM_ENDED_MOVES = 1_000;
+    private static final long DEFAULT_MOVE_MILLIS = 30L * 60 * 1000;
 
     private final Map<String, Move> latest = new TreeMap<>();
     private final LinkedHashMap<Long, Move> ended = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
             Revisioned<RouteRow> old = before.routes().get(entry.getKey());
             boolean changed = entry.getValue().revision() == after.revision();
             if (changed && old != null) {
-                onRoute(old.row(), entry.getValue().row(), after.revision(), now);
+                onRouteEdit(old.row(), entry.getValue().row(), after.revision(), now);
             }
         }
     }
@@ -116,7 +116,7 @@
         return new Image(new ArrayList<>(latest.values()), new ArrayList<>(ended.values()));
     }
 
-    private void onRoute(RouteRow old, RouteRow row, long revision, long now) {
+    private void onRouteEdit(RouteRow old, RouteRow row, long revision, long now) {
         Move present = latest.get(row.name());
         String inUse = present == null ? old.version() : present.settledVersion();
         boolean sameWish = row.version().equals(old.version()) && row.completeByMillis() == old.completeByMillis();
@@ -125,7 +125,7 @@
         }
         if (present != null && !present.state().isFinal()) {
             if (row.version().equals(present.to())) {
-                retime(present, row, now);
+                changeCompletionTime(present, row, now);
                 return;
             }
             boolean back = row.version().equals(present.from());
@@ -137,14 +137,14 @@
             inUse = present.from();
         }
         if (!row.version().isEmpty() && !inUse.isEmpty() && !row.version().equals(inUse)) {
-            begin(row, inUse, revision, now);
+            beginMove(row, inUse, revision, now);
         } else {
-            retire(row.name());
+            archiveMove(row.name());
         }
     }
 
     /** Hastens or delays a move that is under way. */
-    private void retime(Move present, RouteRow row, long now) {
+    private void changeCompletionTime(Move present, RouteRow row, long now) {
         latest.put(
                 row.name(),
                 new Move(
@@ -161,23 +161,23 @@
                         present.history()));
     }
 
-    private void begin(RouteRow row, String from, long revision, long now) {
-        retire(row.name());
+    private void beginMove(RouteRow row, String from, long revision, long now) {
+        archiveMove(row.name());
         latest.put(row.name(), Move.begin(revision, row.name(), from, row.version(), now, completeBy(row, now)));
     }
 
-    private void retire(String route) {
+    private void archiveMove(String route) {
         Move old = latest.remove(route);
         if (old != null) {
             ended.put(old.id(), old);
-            if (ended.size() > REMEMBERED_ENDED) {
+            if (ended.size() > MAXIMUM_ENDED_MOVES) {
                 ended.remove(ended.keySet().iterator().next());
             }
         }
     }
 
     private static long completeBy(RouteRow row, long now) {
-        return row.completeByMillis() > 0 ? row.completeByMillis() : now + STANDARD_WINDOW_MILLIS;
+        return row.completeByMillis() > 0 ? row.completeByMillis() : now + DEFAULT_MOVE_MILLIS;
     }
 
     /**
--- a/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
@@ -16,11 +16,11 @@
     /** The number of crashes after which a request is refused everywhere. */
     public static final int CRASHES_TO_REFUSE = 2;
 
-    private static final int REMEMBERED = 10_000;
+    private static final int MAXIMUM_SUSPECTS = 10_000;
 
-    private final long keepMillis;
+    private final long retentionMillis;
     private final LinkedHashMap<String, Suspect> suspects = new LinkedHashMap<>();
-    private long clock;
+    private long latestMillis;
 
     /**
      * Creates an empty table.
@@ -28,12 +28,12 @@
      * @param keepMillis how long a suspect is remembered after its latest crash.
      */
     public SuspectTable(long keepMillis) {
-        this.keepMillis = keepMillis;
+        this.retentionMillis = keepMillis;
     }
 
     SuspectTable(long keepMillis, Image image) {
         this(keepMillis);
-        clock = image.clock();
+        latestMillis = image.latestMillis();
         image.suspects().forEach(suspect -> suspects.put(keyOf(suspect.pool(), suspect.fingerprint()), suspect));
     }
 
@@ -46,10 +46,10 @@
         expire(command.atMillis());
         String key = keyOf(command.pool(), command.fingerprint());
         Suspect present = suspects.remove(key);
-        Set<String> crashes = new TreeSet<>(present == null ? Set.of() : present.crashes());
+        Set<String> crashes = new TreeSet<>(present == null ? Set.of() : present.crashIds());
         crashes.add(command.crashId());
-        suspects.put(key, new Suspect(command.pool(), command.fingerprint(), crashes, clock));
-        if (suspects.size() > REMEMBERED) {
+        suspects.put(key, new Suspect(command.pool(), command.fingerprint(), crashes, latestMillis));
+        if (suspects.size() > MAXIMUM_SUSPECTS) {
             suspects.remove(suspects.keySet().iterator().next());
         }
     }
@@ -74,20 +74,20 @@
         Map<String, Integer> counts = new TreeMap<>();
         for (Suspect suspect : suspects.values()) {
             if (suspect.pool().equals(pool)) {
-                counts.put(suspect.fingerprint(), suspect.crashes().size());
+                counts.put(suspect.fingerprint(), suspect.crashIds().size());
             }
         }
         return counts;
     }
 
     Image image() {
-        return new Image(clock, new ArrayList<>(suspects.values()));
+        return new Image(latestMillis, new ArrayList<>(suspects.values()));
     }
 
     private void expire(long atMillis) {
-        clock = Math.max(clock, atMillis);
+        latestMillis = Math.max(latestMillis, atMillis);
         var oldest = suspects.values().iterator();
-        while (oldest.hasNext() && oldest.next().touchedAt() <= clock - keepMillis) {
+        while (oldest.hasNext() && oldest.next().reportedAtMillis() <= latestMillis - retentionMillis) {
             oldest.remove();
         }
     }
@@ -101,16 +101,16 @@
      *
      * @param pool the pool whose upstreams crashed.
      * @param fingerprint the digest of the request's content.
-     * @param crashes the crashes at which the request was in flight.
-     * @param touchedAt when the latest one was reported, in milliseconds since the epoch.
+     * @param crashIds the crashes at which the request was in flight.
+     * @param reportedAtMillis when the latest one was reported, in milliseconds since the epoch.
      */
-    public record Suspect(String pool, String fingerprint, Set<String> crashes, long touchedAt) {}
+    public record Suspect(String pool, String fingerprint, Set<String> crashIds, long reportedAtMillis) {}
 
     /**
      * Holds the content of the table for a snapshot.
      *
-     * @param clock the latest wall clock seen.
+     * @param latestMillis the latest wall clock seen.
      * @param suspects the suspects, those that were touched longest ago first.
      */
-    public record Image(long clock, List<Suspect> suspects) {}
+    public record Image(long latestMillis, List<Suspect> suspects) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
@@ -37,7 +37,7 @@
      * @param tables the tables to send.
      * @return the delta.
      */
-    public static TablesDelta whole(Tables tables) {
+    public static TablesDelta ofAll(Tables tables) {
         return new TablesDelta(
                 ANY_REVISION,
                 tables.revision(),
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -24,14 +24,14 @@
  */
 public final class TablesState {
     /** How many answers are remembered; the users' target makes 29,000 changes a day. */
-    static final int REMEMBERED_ANSWERS = 60_000;
+    static final int MAXIMUM_STORED_ANSWERS = 60_000;
 
-    private static final long SHORTEST_MOVE_MILLIS = 60_000;
-    private static final int REMEMBERED_REVISIONS = 2_000;
+    private static final long MINIMUM_MOVE_MILLIS = 60_000;
+    private static final int MAXIMUM_STORED_REVISIONS = 2_000;
 
     private Tables tables = Tables.EMPTY;
-    private final LinkedHashMap<String, Remembered> answers = new LinkedHashMap<>();
-    private final Deque<Change> history = new ArrayDeque<>();
+    private final LinkedHashMap<String, AnsweredEdit> answers = new LinkedHashMap<>();
+    private final Deque<ChangedRows> history = new ArrayDeque<>();
 
     /**
      * Creates empty tables.
@@ -53,16 +53,16 @@
      */
     public EditAnswer apply(TableEdit edit, long now) {
         int digest = Json.INSTANCE.write(edit).hashCode();
-        Remembered remembered = answers.get(edit.changeId());
+        AnsweredEdit remembered = answers.get(edit.changeId());
         if (remembered != null) {
             return remembered.digest() == digest
                     ? remembered.answer()
                     : new EditAnswer.Invalid(
                             List.of(new TableFault("changeId", "was used for another edit: " + edit.changeId())));
         }
-        EditAnswer answer = decide(edit, now);
-        answers.put(edit.changeId(), new Remembered(edit.changeId(), digest, answer));
-        if (answers.size() > REMEMBERED_ANSWERS) {
+        EditAnswer answer = validateAndApply(edit, now);
+        answers.put(edit.changeId(), new AnsweredEdit(edit.changeId(), digest, answer));
+        if (answers.size() > MAXIMUM_STORED_ANSWERS) {
             answers.remove(answers.keySet().iterator().next());
         }
         return answer;
@@ -86,11 +86,11 @@
     public TablesDelta since(long revision) {
         boolean covered = !history.isEmpty() && history.peekFirst().revision() <= revision + 1;
         if (revision <= 0 || revision > tables.revision() || !covered) {
-            return TablesDelta.whole(tables);
+            return TablesDelta.ofAll(tables);
         }
         Set<String> routes = new TreeSet<>();
         Set<String> pools = new TreeSet<>();
-        for (Change change : history) {
+        for (ChangedRows change : history) {
             if (change.revision() > revision) {
                 routes.addAll(change.routes());
                 pools.addAll(change.pools());
@@ -128,7 +128,7 @@
                 removedPools);
     }
 
-    private EditAnswer decide(TableEdit edit, long now) {
+    private EditAnswer validateAndApply(TableEdit edit, long now) {
         Tables changed = tables;
         long revision = tables.revision() + 1;
         if (edit.changes().isEmpty()) {
@@ -141,17 +141,17 @@
             changed = change.applyTo(changed, revision);
         }
         List<TableFault> faults = new ArrayList<>(TablesValidator.INSTANCE.validate(changed));
-        faults.addAll(unreachableTimes(edit, now));
+        faults.addAll(tooEarlyCompletionTimes(edit, now));
         if (!faults.isEmpty()) {
             return new EditAnswer.Invalid(faults);
         }
         tables = new Tables(revision, changed.routes(), changed.pools());
-        remember(revision, edit);
+        recordChangedRows(revision, edit);
         return new EditAnswer.Accepted(revision);
     }
 
     /** Finds routes that are to be on another version by a time that leaves no room for a look at that version. */
-    private List<TableFault> unreachableTimes(TableEdit edit, long now) {
+    private List<TableFault> tooEarlyCompletionTimes(TableEdit edit, long now) {
         List<TableFault> faults = new ArrayList<>();
         for (RowChange change : edit.changes()) {
             if (change instanceof RowChange.PutRoute put) {
@@ -160,10 +160,10 @@
                         && (!old.row().version().equals(put.row().version())
                                 || old.row().completeByMillis() != put.row().completeByMillis());
                 long by = put.row().completeByMillis();
-                if (moves && by > 0 && by < now + SHORTEST_MOVE_MILLIS) {
+                if (moves && by > 0 && by < now + MINIMUM_MOVE_MILLIS) {
                     faults.add(new TableFault(
                             "routes." + put.row().name() + ".completeByMillis",
-                            "must be at least " + SHORTEST_MOVE_MILLIS + " ms from now"));
+                            "must be at least " + MINIMUM_MOVE_MILLIS + " ms from now"));
                 }
             }
         }
@@ -181,14 +181,14 @@
                 row == null ? "" : Json.INSTANCE.write(row));
     }
 
-    private void remember(long revision, TableEdit edit) {
+    private void recordChangedRows(long revision, TableEdit edit) {
         Set<String> routes = new TreeSet<>();
         Set<String> pools = new TreeSet<>();
         for (RowChange change : edit.changes()) {
             (isRoute(change) ? routes : pools).add(change.rowName());
         }
-        history.addLast(new Change(revision, routes, pools));
-        if (history.size() > REMEMBERED_REVISIONS) {
+        history.addLast(new ChangedRows(revision, routes, pools));
+        if (history.size() > MAXIMUM_STORED_REVISIONS) {
             history.removeFirst();
         }
     }
@@ -204,7 +204,7 @@
      * @param digest a digest of the edit, which a resend must share.
      * @param answer the answer.
      */
-    public record Remembered(String changeId, int digest, EditAnswer answer) {}
+    public record AnsweredEdit(String changeId, int digest, EditAnswer answer) {}
 
     /**
      * Remembers which rows one revision changed.
@@ -213,7 +213,7 @@
      * @param routes the names of the routes.
      * @param pools the names of the pools.
      */
-    public record Change(long revision, Set<String> routes, Set<String> pools) {}
+    public record ChangedRows(long revision, Set<String> routes, Set<String> pools) {}
 
     /**
      * Holds the state for a snapshot.
@@ -222,7 +222,7 @@
      * @param answers the remembered answers, the oldest first.
      * @param history the remembered changes, the oldest first.
      */
-    public record Image(Tables tables, List<Remembered> answers, List<Change> history) {}
+    public record Image(Tables tables, List<AnsweredEdit> answers, List<ChangedRows> history) {}
 
     /**
      * Returns the answers that are remembered, by change.
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -14,13 +14,13 @@
 
 class RaftCoreTest {
     private static final RaftOptions OPTIONS = new RaftOptions(50, 300, 220, 16, 1_000, 10);
-    private static final Configuration THREE = Configuration.ofVoters(Set.of("a", "b", "c"));
+    private static final Configuration THREE_VOTERS = Configuration.ofVoters(Set.of("a", "b", "c"));
     private static final long START = 10_000;
     private static final long LATER = START + 700;
 
     private static RaftCore core(HardState hardState, List<LogEntry> entries) {
         return new RaftCore(
-                OPTIONS, "a", new Recovered(hardState, Snapshot.initial(THREE), entries), new Random(1), START);
+                OPTIONS, "a", new Recovered(hardState, Snapshot.initial(THREE_VOTERS), entries), new Random(1), START);
     }
 
     private static LogEntry entry(long index, long term) {
@@ -28,7 +28,7 @@
     }
 
     /** Makes the core the leader of the next term, with the votes of all. */
-    private static RaftCore leader(HardState hardState, List<LogEntry> entries) {
+    private static RaftCore electedLeader(HardState hardState, List<LogEntry> entries) {
         RaftCore core = core(hardState, entries);
         core.tick(LATER);
         core.drain();
@@ -39,7 +39,7 @@
         return core;
     }
 
-    private static RaftMessage.AppendReply stored(RaftCore core, long index, long sentAt) {
+    private static RaftMessage.AppendReply acknowledgement(RaftCore core, long index, long sentAt) {
         return new RaftMessage.AppendReply(core.term(), true, index, sentAt);
     }
 
@@ -56,7 +56,7 @@
             assertThat(effects.write().hardState()).isEqualTo(Optional.of(new HardState(6, "b")));
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, true)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, true)));
         }
 
         @Test
@@ -64,7 +64,7 @@
             RaftCore core = core(new HardState(6, "c"), List.of());
             core.receive("b", request, LATER);
             assertThat(core.drain().afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, false)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
 
         /** Guards against a failure in which an operator reads an old row from a leader that was cut off. */
@@ -90,7 +90,7 @@
             RaftCore core = core(new HardState(5, ""), List.of(entry(1, 5)));
             core.receive("b", request, LATER);
             assertThat(core.drain().afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, false)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
     }
 
@@ -98,47 +98,53 @@
     class Acknowledging {
         private final RaftCore follower = core(new HardState(5, ""), List.of(entry(1, 4), entry(2, 4), entry(3, 4)));
 
-        private List<RaftMessage> answersToHeartbeat(long previousIndex, long previousTerm) {
+        private List<RaftMessage> immediateRepliesToHeartbeat(long previousIndex, long previousTerm) {
             follower.receive(
                     "b", new RaftMessage.AppendRequest(5, previousIndex, previousTerm, List.of(), 0, LATER), LATER);
             return follower.drain().immediate().stream()
-                    .map(Effects.Outbound::message)
+                    .map(Effects.OutboundMessage::message)
                     .toList();
         }
 
         @Test
         void aHeartbeatIsAnsweredWithoutWaitingForTheDisk() {
-            assertThat(answersToHeartbeat(3, 4)).containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
+            assertThat(immediateRepliesToHeartbeat(3, 4))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
         }
 
         /** Guards against an accepted edit that is gone, as a follower acknowledged what it was still writing. */
         @Test
-        void whatIsStillBeingWrittenIsNotAcknowledged() {
+        void anEntryThatIsStillBeingWrittenIsNotAcknowledged() {
             follower.receive("b", new RaftMessage.AppendRequest(5, 3, 4, List.of(entry(4, 5)), 0, LATER), LATER);
             WriteBatch batch = follower.drain().write();
-            assertThat(answersToHeartbeat(4, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
+            assertThat(immediateRepliesToHeartbeat(4, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
             follower.persisted(batch, LATER, LATER);
-            assertThat(answersToHeartbeat(4, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
+            assertThat(immediateRepliesToHeartbeat(4, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
         }
 
         /** Guards against a replica that forgets after a restart which leader it has followed. */
         @Test
-        void nothingIsAcknowledgedBeforeTheTermIsOnTheDisk() {
+        void aHeartbeatOfANewTermIsNotAcknowledgedBeforeTheTermIsOnDisk() {
             follower.receive("b", new RaftMessage.AppendRequest(6, 3, 4, List.of(), 0, LATER), LATER);
             Effects effects = follower.drain();
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
         }
 
         /** Guards against a learner that votes before the snapshot it has received is on its disk. */
         @Test
         void aSnapshotThatIsNotWrittenIsNotAcknowledged() {
-            follower.receive("b", new RaftMessage.SnapshotRequest(5, 2, 5, THREE, 0, new byte[1], true, LATER), LATER);
+            follower.receive(
+                    "b", new RaftMessage.SnapshotRequest(5, 2, 5, THREE_VOTERS, 0, new byte[1], true, LATER), LATER);
             WriteBatch batch = follower.drain().write();
-            assertThat(answersToHeartbeat(2, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 0, LATER));
+            assertThat(immediateRepliesToHeartbeat(2, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 0, LATER));
             follower.persisted(batch, LATER, LATER);
-            assertThat(answersToHeartbeat(2, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 2, LATER));
+            assertThat(immediateRepliesToHeartbeat(2, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 2, LATER));
         }
     }
 
@@ -147,19 +153,19 @@
         /** Guards against a failure in which an accepted edit is replaced by another one. */
         @Test
         void anEntryOfAnEarlierTermIsNotCommittedByCounting() {
-            RaftCore core = leader(new HardState(2, ""), List.of(entry(1, 2)));
+            RaftCore core = electedLeader(new HardState(2, ""), List.of(entry(1, 2)));
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
-            core.receive("b", stored(core, 2, LATER), LATER);
+            core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.commitIndex()).isEqualTo(2);
         }
 
         @Test
         void aLeaderDoesNotCountItselfBeforeItsOwnDiskHasTheEntry() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             WriteBatch batch = core.drain().write();
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
             core.persisted(batch, LATER, LATER);
             assertThat(core.commitIndex()).isEqualTo(1);
@@ -169,10 +175,10 @@
     @Nested
     class Reading {
         @Test
-        void aLeaderThatNobodyAnswersStopsReadingBeforeAnotherCanBeElected() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aLeaderWithoutRepliesStopsReadingBeforeAnotherCanBeElected() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             core.drain();
             assertThat(core.mayRead(LATER + 1)).isTrue();
             assertThat(core.mayRead(LATER + OPTIONS.leaseMillis())).isFalse();
@@ -180,10 +186,10 @@
         }
 
         @Test
-        void aLeaderThatHandsOverReadsNoMore() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aLeaderThatTransfersLeadershipServesNoReads() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             core.drain();
             assertThat(core.transferLeadership()).isTrue();
             assertThat(core.mayRead(LATER + 1)).isFalse();
@@ -193,48 +199,48 @@
 
     @Nested
     class ChangingReplicas {
-        private final Configuration four = THREE.withLearner("d", "c");
+        private final Configuration withLearner = THREE_VOTERS.withLearner("d", "c");
 
         /** Guards against a failure in which two leaders accept edits at the same time after repairs. */
         @Test
         void aSecondChangeWaitsForTheFirst() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
-            assertThat(core.proposeConfiguration(four)).isPresent();
-            assertThat(core.proposeConfiguration(four.withPromoted("d"))).isEmpty();
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
+            assertThat(core.proposeConfiguration(withLearner)).isPresent();
+            assertThat(core.proposeConfiguration(withLearner.withPromoted("d"))).isEmpty();
         }
 
         @Test
-        void aNewLeaderFirstCommitsAnEntryOfItsOwn() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aNewLeaderRefusesChangesUntilItCommitsAnEntryOfItsTerm() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            assertThat(core.proposeConfiguration(four)).isEmpty();
+            assertThat(core.proposeConfiguration(withLearner)).isEmpty();
         }
 
         @Test
-        void aBlankReplicaIsNotCaughtUp() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void anEmptyReplicaIsNotCaughtUp() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
-            core.proposeConfiguration(four);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
+            core.proposeConfiguration(withLearner);
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 2, LATER), LATER);
+            core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isFalse();
-            core.receive("d", stored(core, 2, LATER), LATER);
+            core.receive("d", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isTrue();
         }
 
         @Test
         void aPromotionMarksTheReplacedVoterAsRetiring() {
-            Configuration promoted = four.withPromoted("d");
+            Configuration promoted = withLearner.withPromoted("d");
             assertThat(promoted.voters()).containsExactly("a", "b", "c", "d");
             assertThat(promoted.retiring()).containsExactly("c");
             assertThat(promoted.without("c")).isEqualTo(new Configuration(Set.of("a", "b", "d"), Map.of(), Set.of()));
         }
 
         @Test
-        void aBlankReplicaNeverSeeksAnElection() {
+        void anEmptyReplicaNeverStartsAnElection() {
             RaftCore blank = new RaftCore(
                     OPTIONS,
                     "d",
@@ -251,48 +257,48 @@
     class ConfirmedReads {
         /** Guards against a failure in which an operator reads a table that another leader has replaced. */
         @Test
-        void anAnswerToAnEarlierMessageConfirmsNothing() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aReplyToAnEarlierMessageDoesNotConfirmLeadership() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER + 1);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER + 1);
             core.drain();
             assertThat(core.confirmedSince(LATER - 1)).isTrue();
             assertThat(core.confirmedSince(LATER)).isFalse();
         }
 
         @Test
-        void anAnswerToALaterMessageConfirms() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aReplyToALaterMessageConfirmsLeadership() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER + 50), LATER + 51);
+            core.receive("b", acknowledgement(core, 1, LATER + 50), LATER + 51);
             core.drain();
             assertThat(core.confirmedSince(LATER + 49)).isTrue();
         }
 
         @Test
-        void aLeaderThatHasCommittedNothingInItsTermConfirmsNothing() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aLeaderWithoutACommitInItsTermIsNotConfirmed() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.receive("b", new RaftMessage.AppendReply(core.term(), true, 0, LATER + 50), LATER + 51);
             assertThat(core.confirmedSince(LATER)).isFalse();
         }
     }
 
     @Nested
-    class RestartOfAWholeGroup {
-        private final RaftOptions leaseless = new RaftOptions(50, 300, 0, 16, 1_000, 10);
+    class RestartOfAllReplicas {
+        private final RaftOptions withoutLease = new RaftOptions(50, 300, 0, 16, 1_000, 10);
 
         private RaftCore restarted(String name) {
             return new RaftCore(
-                    leaseless,
+                    withoutLease,
                     name,
-                    new Recovered(new HardState(4, ""), Snapshot.initial(THREE), List.of()),
+                    new Recovered(new HardState(4, ""), Snapshot.initial(THREE_VOTERS), List.of()),
                     new Random(1),
                     START);
         }
 
         /** Guards against a failure in which after a loss of power nothing is served for a second longer. */
         @Test
-        void oneOfTwoThatAskAtOnceYields() {
+        void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtOnce() {
             RaftCore higher = restarted("b");
             higher.tick(START + 350);
             assertThat(higher.role()).isEqualTo(Role.PRE_CANDIDATE);
@@ -305,14 +311,14 @@
         }
 
         @Test
-        void theFirstElectionIsSoughtSoonWhereNoLeaseCountsOnSilence() {
+        void theFirstElectionStartsEarlyWithoutALease() {
             RaftCore core = restarted("a");
             core.tick(START + 300);
             assertThat(core.role()).isEqualTo(Role.PRE_CANDIDATE);
         }
 
         @Test
-        void aReplicaThatHasHeardALeaderWaitsForItAsUsual() {
+        void aReplicaWithALeaderWaitsForTheFullElectionTimeout() {
             RaftCore core = restarted("a");
             core.receive("b", new RaftMessage.AppendRequest(4, 0, 0, List.of(), 0, 1), START + 10);
             core.tick(START + 300);
--- a/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
@@ -39,9 +39,9 @@
     @Nested
     class RollingOut {
         @Test
-        void startsTheSameOrderOnce() {
-            state.start("pool", "v2", 12_000, 100);
-            state.start("pool", "v2", 12_000, 900);
+        void startsTheSameRolloutOnce() {
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.startRollout("pool", "v2", 12_000, 900);
             assertThat(state.rollout("pool")).get().satisfies(rollout -> {
                 assertThat(rollout.startedAtMillis()).isEqualTo(100);
                 assertThat(rollout.stage()).isEqualTo(RolloutStage.RUNNING);
@@ -50,18 +50,18 @@
 
         @Test
         void neverLeavesAFinalStage() {
-            state.start("pool", "v2", 12_000, 100);
-            state.advance("pool", "v2", RolloutStage.ROLLED_BACK);
-            state.advance("pool", "v2", RolloutStage.COMPLETED);
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.advanceRollout("pool", "v2", RolloutStage.ROLLED_BACK);
+            state.advanceRollout("pool", "v2", RolloutStage.COMPLETED);
             assertThat(state.rollout("pool").orElseThrow().stage()).isEqualTo(RolloutStage.ROLLED_BACK);
         }
 
         /** A leader that was cut off proposes the end of a rollout whose place another one has taken. */
         @Test
         void ignoresTheEndOfARolloutThatWasReplaced() {
-            state.start("pool", "v2", 12_000, 100);
-            state.start("pool", "v3", 12_000, 200);
-            state.advance("pool", "v2", RolloutStage.COMPLETED);
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.startRollout("pool", "v3", 12_000, 200);
+            state.advanceRollout("pool", "v2", RolloutStage.COMPLETED);
             assertThat(state.rollout("pool").orElseThrow().stage()).isEqualTo(RolloutStage.RUNNING);
         }
     }
@@ -70,7 +70,7 @@
     class Evacuating {
         /** Guards against an order that is refused because it was sent again after its answer was lost. */
         @Test
-        void takesTheSameOrderTwice() {
+        void acceptsTheSameCommandTwice() {
             state.evacuate("a");
             state.evacuate("a");
             assertThat(state.evacuated()).containsExactly("a");
@@ -81,7 +81,7 @@
 
         /** Guards against one order that undoes another where two failure domains are emptied at once. */
         @Test
-        void keepsFailureDomainsApart() {
+        void readmitsOnlyTheNamedFailureDomain() {
             state.evacuate("a");
             state.evacuate("b");
             state.readmit("a");
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void survivesASnapshot() {
+    void keepsTheDocumentAndTheRolloutsInASnapshot() {
         ControlState whole = new ControlState(StateOptions.STANDARD);
         whole.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
         whole.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
--- a/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
@@ -8,14 +8,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class ClaimTableTest {
-    private static final long KEEP = 1_000;
+    private static final long RETENTION_MILLIS = 1_000;
     private static final RequestKey KEY = new RequestKey("crew", "haul-7");
     private static final ClaimHolder FIRST = new ClaimHolder("a", 1, 1);
     private static final ClaimHolder SECOND = new ClaimHolder("b", 1, 1);
     private static final StoredAnswer ANSWER =
             new StoredAnswer(201, "text/plain", "done".getBytes(StandardCharsets.UTF_8), true);
 
-    private final ClaimTable table = new ClaimTable(KEEP);
+    private final ClaimTable table = new ClaimTable(RETENTION_MILLIS);
 
     private ClaimAnswer claim(ClaimHolder holder, String fingerprint, long at) {
         return table.claim(new ControlCommand.Claim(KEY, fingerprint, holder, at));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theSameAttemptMayAskAgain() {
+    void theSameAttemptIsGrantedAgain() {
         claim(FIRST, "x", 0);
         assertThat(claim(FIRST, "x", 1)).isInstanceOf(ClaimAnswer.Granted.class);
     }
@@ -36,7 +36,7 @@
     @Test
     void anotherAttemptNeverTakesAClaimOver() {
         claim(FIRST, "x", 0);
-        assertThat(claim(SECOND, "x", KEEP - 1)).isEqualTo(new ClaimAnswer.Held(FIRST));
+        assertThat(claim(SECOND, "x", RETENTION_MILLIS - 1)).isEqualTo(new ClaimAnswer.Held(FIRST));
     }
 
     @Test
@@ -77,16 +77,16 @@
     }
 
     @Test
-    void aKeyIsForgottenAfterItsTime() {
+    void aKeyIsForgottenAfterTheRetentionTime() {
         claim(FIRST, "x", 0);
-        assertThat(claim(SECOND, "x", KEEP)).isInstanceOf(ClaimAnswer.Granted.class);
+        assertThat(claim(SECOND, "x", RETENTION_MILLIS)).isInstanceOf(ClaimAnswer.Granted.class);
     }
 
     @Test
-    void aSnapshotHoldsEverything() {
+    void aSnapshotKeepsAFinishedClaim() {
         claim(FIRST, "x", 5);
         table.finish(new ControlCommand.FinishClaim(KEY, FIRST, ANSWER, 6));
-        ClaimTable restored = new ClaimTable(KEEP, table.image());
+        ClaimTable restored = new ClaimTable(RETENTION_MILLIS, table.image());
         assertThat(restored.claim(new ControlCommand.Claim(KEY, "x", SECOND, 7)))
                 .isEqualTo(new ClaimAnswer.Finished(ANSWER));
     }
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void aTimeThatCannotBeMetIsRefusedWithTheEdit() {
+    void anEditWithTooEarlyACompletionTimeIsInvalid() {
         start();
         assertThat(put("2", NOW + 1, NOW)).isInstanceOf(EditAnswer.Invalid.class);
         assertThat(move()).isNull();
     }
 
     @Test
-    void aVersionThatNoUpstreamRunsIsRefusedWithTheEdit() {
+    void anEditToAVersionThatNoUpstreamRunsIsInvalid() {
         start();
         assertThat(put("9", NOW + HOUR, NOW)).isInstanceOf(EditAnswer.Invalid.class);
     }
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aCompletedMoveCanBeTurnedRoundByANewOne() {
+    void aCompletedMoveCanBeReversedByANewOne() {
         start();
         put("2", NOW + HOUR, NOW);
         propose(move(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anotherTimeHastensAMoveWithoutStartingItAnew() {
+    void anotherCompletionTimeDoesNotRestartAMove() {
         start();
         put("2", NOW + HOUR, NOW);
         propose(move(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
@@ -129,7 +129,7 @@
 
     /** Guards against a failure in which a version that was taken back at night gets requests again. */
     @Property(seed = "99", tries = 200, shrinking = ShrinkingMode.OFF)
-    void aMoveThatWasTakenBackStaysSo(@ForAll long seed) {
+    void aMoveThatWasTakenBackNeverChangesAgain(@ForAll long seed) {
         Random random = new Random(seed);
         start();
         put("2", NOW + HOUR, NOW);
--- a/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aSuspectIsForgottenAfterItsTime() {
+    void aSuspectIsForgottenAfterTheRetentionTime() {
         report("x", "crash-1", 0);
         report("y", "crash-2", 1_000);
         assertThat(table.crashes("pool")).containsOnlyKeys("y");
--- a/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
@@ -24,7 +24,7 @@
 
     /** Edits at random while copies follow by deltas, some of which are lost, repeated or late. */
     @Property(seed = "51", tries = 200, shrinking = ShrinkingMode.OFF)
-    void aCopyNeverGoesBackAndEndsEqual(@ForAll long seed) {
+    void aCopyNeverReturnsToAnOlderRevisionAndConverges(@ForAll long seed) {
         Random random = new Random(seed);
         TablesState source = new TablesState();
         Tables copy = Tables.EMPTY;
--- a/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
@@ -23,7 +23,7 @@
     }
 
     @Nested
-    class RacingOperators {
+    class ConcurrentEdits {
         @Test
         void exactlyOneOfTwoEditsWithEqualRevisionsIsAccepted() {
             state.apply(put("first", "p", 1, 0), 0);
@@ -58,7 +58,7 @@
     @Nested
     class Validation {
         @Test
-        void anEditIsAcceptedWholeOrNotAtAll() {
+        void anEditIsAppliedAtomically() {
             PoolRow good = new PoolRow("good", PoolKind.SERVICE, List.of(), 1, 1, Map.of());
             PoolRow bad = new PoolRow("Bad Name", PoolKind.SERVICE, List.of(), 0, 1, Map.of());
             EditAnswer answer = state.apply(
