--- a/replication/src/main/java/org/radishspur/replication/raft/Configuration.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Configuration.java
@@ -6,16 +6,17 @@
 import java.util.TreeSet;
 
 /**
- * Says which replicas vote and which only learn. A replica is named by its identity, which a new disk never inherits.
+ * Lists the replicas of a cluster by role: voters, learners and voters that are about to be removed. A replica is named
+ * by its identity; a replica whose disk was replaced has a new identity.
  *
  * @param voters the identities of the replicas that count for a quorum.
- * @param learners the identities of the replicas that are catching up, each with the voter that it is to replace, or
- *     with an empty text where it is to be added.
- * @param retiring the identities of voters whose replacement already votes and that are to be removed next.
+ * @param learners the identities of the replicas that receive the log but don't vote yet, each mapped to the identity
+ *     of the voter that it is to replace, or to an empty string where it is an additional replica.
+ * @param retiring the identities of the voters whose replacement votes already; they are removed next.
  */
 public record Configuration(Set<String> voters, Map<String, String> learners, Set<String> retiring) {
 
-    /** Copies the collections in a stable order, so that equal configurations have equal encodings. */
+    /** Copies the collections in sorted order, so that equal configurations have equal encodings. */
     public Configuration {
         voters = java.util.Collections.unmodifiableSet(new TreeSet<>(voters));
         learners = java.util.Collections.unmodifiableMap(new TreeMap<>(learners));
@@ -33,7 +34,7 @@
     }
 
     /**
-     * Returns the number of voters that make a majority.
+     * Returns the number of voters that form a majority.
      *
      * @return the size of a quorum.
      */
@@ -45,7 +46,7 @@
      * Returns whether a replica belongs to the configuration in any role.
      *
      * @param replica the identity of the replica.
-     * @return whether it votes or learns.
+     * @return whether it is a voter or a learner.
      */
     public boolean contains(String replica) {
         return voters.contains(replica) || learners.containsKey(replica);
@@ -55,48 +56,48 @@
      * Returns this configuration with one more learner.
      *
      * @param learner the identity of the learner.
-     * @param replaced the voter that it is to replace, or an empty text.
+     * @param replaced the identity of the voter that it is to replace, or an empty string.
      * @return the new configuration.
      */
     public Configuration withLearner(String learner, String replaced) {
-        Map<String, String> changed = new TreeMap<>(learners);
-        // A blank replica that lost its disk again before it was promoted will never catch up.
-        changed.values().removeIf(other -> !other.isEmpty() && other.equals(replaced));
-        changed.put(learner, replaced);
-        return new Configuration(voters, changed, retiring);
+        Map<String, String> newLearners = new TreeMap<>(learners);
+        // An earlier learner for the same voter has lost its disk before its promotion and can't catch up any more.
+        newLearners.values().removeIf(voter -> !voter.isEmpty() && voter.equals(replaced));
+        newLearners.put(learner, replaced);
+        return new Configuration(voters, newLearners, retiring);
     }
 
     /**
-     * Returns this configuration with a learner turned into a voter, and the voter that it replaces marked as retiring.
+     * Returns this configuration with a learner promoted to a voter, and the voter that it replaces marked as retiring.
      *
      * @param learner the identity of the learner.
      * @return the new configuration.
      */
     public Configuration withPromoted(String learner) {
-        Map<String, String> remaining = new TreeMap<>(learners);
-        String replaced = remaining.remove(learner);
-        Set<String> grown = new TreeSet<>(voters);
-        grown.add(learner);
-        Set<String> leaving = new TreeSet<>(retiring);
+        Map<String, String> remainingLearners = new TreeMap<>(learners);
+        String replaced = remainingLearners.remove(learner);
+        Set<String> newVoters = new TreeSet<>(voters);
+        newVoters.add(learner);
+        Set<String> newRetiring = new TreeSet<>(retiring);
         if (replaced != null && voters.contains(replaced)) {
-            leaving.add(replaced);
+            newRetiring.add(replaced);
         }
-        return new Configuration(grown, remaining, leaving);
+        return new Configuration(newVoters, remainingLearners, newRetiring);
     }
 
     /**
-     * Returns this configuration without a replica.
+     * Returns this configuration without one of its replicas.
      *
-     * @param replica the identity of the replica that goes.
+     * @param replica the identity of the replica to remove.
      * @return the new configuration.
      */
     public Configuration without(String replica) {
-        Set<String> shrunk = new TreeSet<>(voters);
-        shrunk.remove(replica);
-        Map<String, String> remaining = new TreeMap<>(learners);
-        remaining.remove(replica);
-        Set<String> leaving = new TreeSet<>(retiring);
-        leaving.remove(replica);
-        return new Configuration(shrunk, remaining, leaving);
+        Set<String> remainingVoters = new TreeSet<>(voters);
+        remainingVoters.remove(replica);
+        Map<String, String> remainingLearners = new TreeMap<>(learners);
+        remainingLearners.remove(replica);
+        Set<String> newRetiring = new TreeSet<>(retiring);
+        newRetiring.remove(replica);
+        return new Configuration(remainingVoters, remainingLearners, newRetiring);
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/Disk.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Disk.java
@@ -1,29 +1,30 @@
 package org.radishspur.replication.raft;
 
 /**
- * Stores what a replica must not lose. A call of {@link #write} that returns has made the batch durable; one that
- * throws leaves the replica in doubt, so that its process has to end.
+ * Stores the durable state of a replica. When {@link #write} returns, the batch is durable. When it throws, it is
+ * unknown whether the batch is durable, and the process of the replica must exit.
  */
 public interface Disk extends AutoCloseable {
 
     /**
-     * Reads what earlier runs have made durable.
+     * Reads the state that earlier runs of the process have made durable.
      *
      * @return the state to start from.
      */
     Recovered recover();
 
     /**
-     * Makes a batch durable.
+     * Writes a batch and makes it durable.
      *
-     * @param batch what to write.
+     * @param batch the batch to write.
      */
     void write(WriteBatch batch);
 
     /**
-     * Stores a large snapshot ahead of the batch that makes it count, from any thread, so that the batch is quick.
+     * Stores a large snapshot before the batch that puts it into effect, so that writing the batch takes little time.
+     * Any thread may call this method.
      *
-     * @param snapshot the snapshot.
+     * @param snapshot the snapshot to store.
      */
     void stage(Snapshot snapshot);
 
--- a/replication/src/main/java/org/radishspur/replication/raft/Effects.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Effects.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Lists what the surroundings of the core have to do after a step, in this order of dependence: messages that need no
- * disk go at once; messages that rest on the write go when it, and every earlier write, is durable.
+ * Lists the input and output that the caller of {@link RaftCore} has to do for it.
  *
- * @param immediate messages that may go before the write.
- * @param write what must become durable.
- * @param afterWrite messages that must wait for the write.
- * @param installed a snapshot that replaces the whole state machine, before the committed entries.
- * @param committed entries to apply, in order and exactly once.
+ * @param immediate the messages that may be sent before the write is durable.
+ * @param write the batch that must become durable.
+ * @param afterWrite the messages that may only be sent once this write and every earlier one are durable.
+ * @param installed the snapshot that replaces the whole state of the state machine before the committed entries are
+ *     applied, if there is one.
+ * @param committed the entries to apply to the state machine, in order and exactly once.
  */
 public record Effects(
         List<OutboundMessage> immediate,
@@ -21,9 +21,9 @@
         List<LogEntry> committed) {
 
     /**
-     * Addresses a message.
+     * Pairs a message with its receiver.
      *
-     * @param to the identity of the replica that is to get it.
+     * @param to the identity of the receiving replica.
      * @param message the message.
      */
     public record OutboundMessage(String to, RaftMessage message) {}
--- a/replication/src/main/java/org/radishspur/replication/raft/Followers.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Followers.java
@@ -8,10 +8,13 @@
 import java.util.Optional;
 
 /**
- * Tracks for the leader how far the other replicas are, and what a quorum of them has.
+ * Tracks the replication progress of the other replicas for the leader, and computes what a quorum has reached.
  */
 final class Followers {
+    /** After how many election timeouts without a reply a replica no longer holds back the compaction of the log. */
     private static final int UNRESPONSIVE_ELECTION_TIMEOUTS = 10;
+
+    /** How far a replica may lag and still hold back the compaction, in multiples of the trailing entries. */
     private static final int MAXIMUM_LAG_FACTOR = 20;
 
     private final RaftOptions options;
@@ -27,48 +30,53 @@
         progress.clear();
     }
 
-    /** Returns what is known of a replica; of a new one only from which index on entries are to be sent. */
+    /**
+     * Returns the progress of a replica; a new one counts as having replied to a message sent one election timeout ago.
+     */
     Progress progressOf(String replica, long nextIndex, long clock) {
         return progress.computeIfAbsent(
                 replica, key -> new Progress(nextIndex, clock - options.electionTimeoutMillis()));
     }
 
-    /** Returns the greatest index that a quorum has on disk. */
+    /** Returns the highest index that is durable on a quorum. */
     long quorumMatchIndex(Configuration configuration, long persistedIndex) {
-        List<Long> stored = new ArrayList<>();
+        List<Long> matchIndexes = new ArrayList<>();
         for (String voter : configuration.voters()) {
             Progress state = progress.get(voter);
-            stored.add(voter.equals(self) ? persistedIndex : state == null ? 0 : state.matchIndex);
+            matchIndexes.add(voter.equals(self) ? persistedIndex : state == null ? 0 : state.matchIndex);
         }
-        return greatestReachedByQuorum(stored, configuration);
+        return greatestReachedByQuorum(matchIndexes, configuration);
     }
 
-    /** Returns the leader's clock of the latest moment for which a quorum has answered a message sent then. */
+    /**
+     * Returns the latest time, in milliseconds of the leader's clock, such that a quorum has replied to messages sent
+     * then or later; {@link Long#MAX_VALUE} where the leader alone is a quorum.
+     */
     long quorumAcknowledgedSendTime(Configuration configuration) {
-        List<Long> answered = new ArrayList<>();
+        List<Long> sendTimes = new ArrayList<>();
         for (String voter : configuration.voters()) {
             Progress state = progress.get(voter);
-            answered.add(voter.equals(self) ? Long.MAX_VALUE : state == null ? 0 : state.acknowledgedSendTime);
+            sendTimes.add(voter.equals(self) ? Long.MAX_VALUE : state == null ? 0 : state.acknowledgedSendTime);
         }
-        return greatestReachedByQuorum(answered, configuration);
+        return greatestReachedByQuorum(sendTimes, configuration);
     }
 
     /**
-     * Returns the index behind which the log must stay for replicas that answer but lag: one that has just taken a
-     * snapshot would otherwise need the next one at once, and never catch up.
+     * Returns the index after which the log must be kept for replicas that reply but lag; without those entries, a
+     * replica that has just installed a snapshot would need the next one immediately and never catch up.
      */
     long oldestNeededIndex(long index, long firstIndex, long clock) {
         long oldest = Long.MAX_VALUE;
         for (Progress state : progress.values()) {
-            boolean answers = clock - state.acknowledgedSendTime
+            boolean responsive = clock - state.acknowledgedSendTime
                     < UNRESPONSIVE_ELECTION_TIMEOUTS * options.electionTimeoutMillis();
-            if (state.snapshotInTransfer.isPresent() && answers) {
+            if (state.snapshotInTransfer.isPresent() && responsive) {
                 oldest = Math.min(oldest, state.snapshotInTransfer.get().lastIndex());
                 continue;
             }
             state.snapshotInTransfer = Optional.empty();
             long lag = index - state.matchIndex;
-            if (answers && state.matchIndex >= firstIndex && lag < MAXIMUM_LAG_FACTOR * options.trailingEntries()) {
+            if (responsive && state.matchIndex >= firstIndex && lag < MAXIMUM_LAG_FACTOR * options.trailingEntries()) {
                 oldest = Math.min(oldest, state.matchIndex);
             }
         }
--- a/replication/src/main/java/org/radishspur/replication/raft/LogEntry.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/LogEntry.java
@@ -1,33 +1,33 @@
 package org.radishspur.replication.raft;
 
 /**
- * Holds one entry of the replicated log.
+ * Represents one entry of the replicated log.
  *
- * @param index the position in the log, from 1.
+ * @param index the position in the log, starting at 1.
  * @param term the term of the leader that appended it.
- * @param payload what the entry means.
+ * @param payload the content of the entry.
  */
 public record LogEntry(long index, long term, Payload payload) {
 
     /**
-     * Carries the meaning of an entry.
+     * Represents the content of an entry.
      */
     public sealed interface Payload {
 
         /**
-         * Does nothing; a new leader appends it to learn what is committed.
+         * Has no effect; a new leader appends it, because committing it commits all earlier entries as well.
          */
         record Empty() implements Payload {}
 
         /**
-         * Changes the set of replicas from the moment it is appended.
+         * Changes the configuration of the cluster. It takes effect when it is appended, not when it is committed.
          *
-         * @param configuration the new set of replicas.
+         * @param configuration the new configuration.
          */
         record Membership(Configuration configuration) implements Payload {}
 
         /**
-         * Carries one command for the state machine.
+         * Contains one command for the state machine.
          *
          * @param bytes the encoded command.
          */
--- a/replication/src/main/java/org/radishspur/replication/raft/Progress.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Progress.java
@@ -3,28 +3,29 @@
 import java.util.Optional;
 
 /**
- * Tracks what the leader knows of one other replica.
+ * Tracks the leader's replication state for one other replica. Times are in milliseconds of the leader's monotonic
+ * clock.
  */
 final class Progress {
-    /** The greatest index known to be on the replica's disk. */
+    /** The highest index known to be durable on the replica. */
     long matchIndex;
 
-    /** The index to send next. */
+    /** The index of the next entry to send. */
     long nextIndex;
 
-    /** The leader's clock when it sent the latest message that the replica has answered. */
+    /** When the leader sent the latest message that the replica has replied to. */
     long acknowledgedSendTime;
 
-    /** The leader's clock when it last sent entries that are still unanswered, or 0. */
+    /** Since when entries or a chunk of a snapshot wait for a reply, or 0 if nothing does. */
     long unacknowledgedSince;
 
     /**
-     * The snapshot on its way to the replica, if there is one. It is sent to its end even when a later one has been made:
-     * a replica that starts over with each new snapshot may never hold a whole one.
+     * The snapshot that is being sent to the replica, if any. Its transfer is completed even when a newer snapshot
+     * exists: if it started again with each new snapshot, it might never complete.
      */
     Optional<Snapshot> snapshotInTransfer = Optional.empty();
 
-    /** How many bytes of that snapshot the replica has taken. */
+    /** The number of bytes of that snapshot that the replica has acknowledged. */
     long snapshotOffset;
 
     Progress(long nextIndex, long now) {
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -12,15 +12,16 @@
 import org.radishspur.replication.raft.LogEntry.Payload;
 
 /**
- * Decides for one replica: messages, the clock and the results of writes go in, {@link Effects} come out.
+ * Implements the Raft algorithm for one replica. The caller passes in messages, the time and the completion of writes,
+ * and carries out the {@link Effects} that result.
  *
- * <p>The core is not safe for use by several threads; the control thread owns it.
+ * <p>This class is not thread-safe; only the control thread uses it.
  */
 public final class RaftCore {
-    /** How many heartbeats a replica that has heard no leader yet waits at least, where leaders hold no lease. */
+    /** The shortest election timeout of a replica that has seen no leader since its start, where no lease is used. */
     private static final int INITIAL_ELECTION_TIMEOUT_HEARTBEATS = 1;
 
-    /** The longest time that is assumed for a write, in election timeouts. */
+    /** The upper bound of the estimated write time, in election timeouts. */
     private static final int MAXIMUM_WRITE_ELECTION_TIMEOUTS = 8;
 
     private final RaftOptions options;
@@ -38,13 +39,24 @@
     private long commitIndex;
     private long appliedIndex;
     private long persistedIndex;
+
+    /** When the latest message of a leader was accepted, in milliseconds of the monotonic clock. */
     private long leaderContactAt;
+
+    /** Whether this replica has seen a leader, or led, since it started. */
     private boolean leaderSeen;
+
     private long electionDueAt;
     private long heartbeatDueAt;
+
+    /** The index of the first entry that this replica appended as the leader of its latest term. */
     private long firstIndexAsLeader;
+
     private boolean transferring;
+
+    /** The monotonic clock in milliseconds when this replica, as leader, last sent heartbeats or got a reply. */
     private long leaderClock;
+
     private SnapshotAssembly incomingSnapshot = new SnapshotAssembly(0, 0, 0);
 
     private boolean hardStateChanged;
@@ -57,9 +69,9 @@
     /**
      * Creates the core of a replica that has just started.
      *
-     * @param options times and sizes.
-     * @param self the identity of this replica's disk.
-     * @param recovered what the disk held.
+     * @param options the timeouts and size limits.
+     * @param self the identity of this replica, which belongs to its disk.
+     * @param recovered the durable state of the replica.
      * @param random the source of randomness for election timeouts.
      * @param now the monotonic clock in milliseconds.
      */
@@ -75,8 +87,9 @@
         this.commitIndex = recovered.snapshot().lastIndex();
         this.appliedIndex = commitIndex;
         this.persistedIndex = log.lastIndex();
-        // Guards against a stale read: before its restart this replica may have acknowledged a heartbeat whose lease
-        // still runs. It counts as having just heard the leader, so that it can't help elect another one meanwhile.
+        // Prevents stale reads: before its restart this replica may have acknowledged a heartbeat, and the lease that
+        // the leader derives from it may still be valid. Until it has expired, this replica must not vote for another
+        // one.
         this.leaderContactAt = options.leaseMillis() > 0 ? now : now - options.electionTimeoutMillis();
         if (recovered.snapshot().lastIndex() > 0) {
             installedSnapshot = Optional.of(recovered.snapshot());
@@ -85,7 +98,7 @@
     }
 
     /**
-     * Lets time pass.
+     * Starts an election or sends heartbeats if they are due.
      *
      * @param now the monotonic clock in milliseconds.
      */
@@ -102,7 +115,7 @@
     }
 
     /**
-     * Takes a message from another replica.
+     * Processes a message from another replica.
      *
      * @param from the identity of the sender.
      * @param message the message.
@@ -113,8 +126,8 @@
             onVoteRequest(from, request, now);
             return;
         }
-        boolean promise = message instanceof RaftMessage.VoteReply reply && reply.preVote() && reply.granted();
-        if (message.term() > hardState.term() && !promise) {
+        boolean preVoteGranted = message instanceof RaftMessage.VoteReply reply && reply.preVote() && reply.granted();
+        if (message.term() > hardState.term() && !preVoteGranted) {
             becomeFollower(message.term(), now);
         }
         if (message instanceof RaftMessage.VoteReply reply) {
@@ -127,17 +140,17 @@
             onSnapshotRequest(from, request, now);
         } else if (message instanceof RaftMessage.SnapshotReply reply) {
             onSnapshotReply(from, reply, now);
-        } else if (message instanceof RaftMessage.TimeoutNow order) {
-            onTimeoutNow(order, now);
+        } else if (message instanceof RaftMessage.TimeoutNow request) {
+            onTimeoutNow(request, now);
         }
     }
 
     /**
-     * Appends a command if this replica leads.
+     * Appends a command to the log if this replica is the leader.
      *
      * @param bytes the encoded command.
      * @param now the monotonic clock in milliseconds.
-     * @return the index of the entry, or nothing where this replica doesn't lead.
+     * @return the index of the entry, or empty where this replica isn't the leader or is transferring its leadership.
      */
     public OptionalLong propose(byte[] bytes, long now) {
         if (role != Role.LEADER || transferring) {
@@ -147,14 +160,14 @@
     }
 
     /**
-     * Appends a change of the set of replicas if this replica leads and no other change is under way.
+     * Appends a change of the configuration if this replica is the leader and no other change is in progress.
      *
-     * @param configuration the new set, which differs from the present one by one voter at most.
-     * @return the index of the entry, or nothing where the change is refused.
+     * @param configuration the new configuration, which differs from the current one by at most one voter.
+     * @return the index of the entry, or empty where the change is refused.
      */
     public OptionalLong proposeConfiguration(Configuration configuration) {
-        // A leader that has committed nothing in its own term doesn't know yet which change is the latest one, and two
-        // changes under way could have quorums that don't meet: both cases are refused.
+        // Refuses a change while another one is uncommitted, as their quorums might not overlap, and before the leader
+        // has committed an entry of its own term, as it doesn't know before then which change is the latest.
         boolean settled = log.configurationIndex() <= commitIndex && commitIndex >= firstIndexAsLeader;
         if (role != Role.LEADER || transferring || !settled) {
             return OptionalLong.empty();
@@ -166,14 +179,14 @@
     }
 
     /**
-     * Learns that a write has become durable.
+     * Processes the completion of a write, which is now durable.
      *
      * @param batch the batch that was written.
-     * @param startedAt the monotonic clock in milliseconds when it was given to the disk.
+     * @param startedAt the monotonic clock in milliseconds when the write was started.
      * @param now the monotonic clock in milliseconds.
      */
     public void persisted(WriteBatch batch, long startedAt, long now) {
-        writeTimeEstimate.record(now - startedAt);
+        writeTimeEstimate.recordWrite(now - startedAt);
         batch.hardState().filter(hardState::equals).ifPresent(durable -> onHardStateDurable(now));
         if (!batch.entries().isEmpty()) {
             LogEntry last = batch.entries().get(batch.entries().size() - 1);
@@ -188,9 +201,9 @@
     }
 
     /**
-     * Describes the snapshot that would stand for the log up to an applied entry, still without a state.
+     * Returns a snapshot of the log up to an applied entry that does not contain the state yet.
      *
-     * @param index the index of the last applied entry that the snapshot is to cover.
+     * @param index the index of the last applied entry that the snapshot covers.
      * @return the snapshot with an empty state.
      */
     public Snapshot describe(long index) {
@@ -198,26 +211,28 @@
     }
 
     /**
-     * Discards the log up to an applied entry, for which a snapshot stands from now on.
+     * Puts a snapshot of this replica into effect and discards entries that it covers. Some entries before its end are
+     * kept for followers that lag.
      *
-     * @param made the snapshot; one that is not later than the present one changes nothing.
+     * @param newSnapshot the snapshot; it is ignored where it isn't newer than the current one or covers entries that
+     *     aren't applied yet.
      */
-    public void compact(Snapshot made) {
-        if (made.lastIndex() <= log.snapshot().lastIndex() || made.lastIndex() > appliedIndex) {
+    public void compact(Snapshot newSnapshot) {
+        if (newSnapshot.lastIndex() <= log.snapshot().lastIndex() || newSnapshot.lastIndex() > appliedIndex) {
             return;
         }
-        long index = made.lastIndex();
+        long index = newSnapshot.lastIndex();
         long oldestNeeded = role == Role.LEADER
                 ? followers.oldestNeededIndex(index, log.firstIndex(), leaderClock)
                 : Long.MAX_VALUE;
-        log.compact(made, Math.min(index - options.trailingEntries(), oldestNeeded));
-        unwrittenSnapshot = Optional.of(made);
+        log.compact(newSnapshot, Math.min(index - options.trailingEntries(), oldestNeeded));
+        unwrittenSnapshot = Optional.of(newSnapshot);
     }
 
     /**
-     * Hands leadership to the most advanced follower, as before a planned stop.
+     * Transfers the leadership to a voter that has the whole log, for example before a planned stop.
      *
-     * @return whether a follower was asked to take over.
+     * @return whether a voter was asked to take over.
      */
     public boolean transferLeadership() {
         if (role != Role.LEADER) {
@@ -226,7 +241,7 @@
         Optional<String> target = log.configuration().voters().stream()
                 .filter(voter -> !voter.equals(self) && progressOf(voter).matchIndex == log.lastIndex())
                 .findFirst();
-        // The lease ends here and for good: the election that follows does not wait for it.
+        // The lease ends now, because the election that follows does not wait for it to expire.
         target.ifPresent(voter -> {
             transferring = true;
             immediate.add(new OutboundMessage(voter, new RaftMessage.TimeoutNow(hardState.term())));
@@ -235,9 +250,9 @@
     }
 
     /**
-     * Takes what the steps since the last call have led to.
+     * Returns the effects of all calls since the previous call of this method, and clears them.
      *
-     * @return the effects.
+     * @return the effects, which the caller must carry out.
      */
     public Effects drain() {
         if (role == Role.LEADER) {
@@ -266,8 +281,8 @@
     }
 
     /**
-     * Returns whether this replica may answer a read from its own state: it leads, has applied an entry of its own term,
-     * and a majority has answered it so recently that no other leader can have been elected.
+     * Returns whether this replica may serve a read from its own state. It may if it is the leader, has applied an
+     * entry of its own term, and a majority has replied to it so recently that no other leader can have been elected.
      *
      * @param now the monotonic clock in milliseconds.
      * @return whether a read is linearizable now.
@@ -277,15 +292,16 @@
     }
 
     /**
-     * Returns whether a majority has confirmed, after a moment, that this replica leads; then its applied state is at
-     * least as new as everything that was committed before that moment.
+     * Returns whether a majority has confirmed after the given time that this replica is the leader. If so, its applied
+     * state includes everything that was committed before that time.
      *
-     * <p>Guards against a leader that was suspended: the monotonic clock stands still meanwhile, so that its lease seems
-     * to run on while another leader commits. A confirmation is an answer to a message sent strictly later, which a
-     * replica that follows another leader by now does not give.
+     * <p>Unlike a lease, this also holds for a leader whose process or host was suspended: the monotonic clock stops
+     * during the suspension, so that the lease appears valid while another leader commits entries. A confirmation is a
+     * reply to a message sent strictly after the given time; a replica that follows another leader by then does not
+     * send one.
      *
      * @param since the monotonic clock in milliseconds when the read began.
-     * @return whether the read may be answered.
+     * @return whether the read may be served.
      */
     public boolean confirmedSince(long since) {
         return role == Role.LEADER
@@ -305,7 +321,7 @@
     }
 
     /**
-     * Returns the present term.
+     * Returns the current term.
      *
      * @return the term.
      */
@@ -316,7 +332,7 @@
     /**
      * Returns the identity of the leader.
      *
-     * @return the identity, or an empty text where none is known.
+     * @return the identity, or an empty string where no leader is known.
      */
     public String leader() {
         return leader;
@@ -332,16 +348,16 @@
     }
 
     /**
-     * Returns the latest set of replicas in the log, whether committed or not.
+     * Returns the latest configuration in the log, whether it is committed or not.
      *
-     * @return the set of replicas.
+     * @return the configuration.
      */
     public Configuration configuration() {
         return log.configuration();
     }
 
     /**
-     * Returns the greatest index known to be committed.
+     * Returns the highest index known to be committed.
      *
      * @return the index.
      */
@@ -350,7 +366,7 @@
     }
 
     /**
-     * Returns the index of the last entry.
+     * Returns the index of the last entry of the log.
      *
      * @return the index.
      */
@@ -359,7 +375,7 @@
     }
 
     /**
-     * Returns the first index that is still in the log.
+     * Returns the index of the first entry that is still in the log.
      *
      * @return the index.
      */
@@ -378,10 +394,10 @@
     }
 
     /**
-     * Returns whether a learner's disk holds everything that is committed.
+     * Returns whether a learner has every committed entry on its disk.
      *
      * @param learner the identity of the learner.
-     * @return whether it may be promoted without making the quorum weaker.
+     * @return whether it has, and can therefore be promoted without weakening the quorum.
      */
     public boolean isCaughtUp(String learner) {
         return role == Role.LEADER
@@ -390,11 +406,11 @@
     }
 
     private void tickLeader(long now) {
-        // Check-quorum: a leader that a cut has silenced stops leading, so that nobody waits for it in vain.
         if (!log.configuration().voters().contains(self) && log.configurationIndex() <= commitIndex) {
             becomeFollower(hardState.term(), now);
             return;
         }
+        // Check-quorum: a leader that is cut off from the majority steps down, so that requests don't wait for it.
         if (now - quorumAcknowledgedSendTime() > 2 * options.electionTimeoutMillis()) {
             becomeFollower(hardState.term(), now);
             return;
@@ -432,7 +448,7 @@
         return peers;
     }
 
-    /** Sends what the peer lacks; returns whether there was anything to send. */
+    /** Sends the peer the entries or the snapshot that it lacks; returns whether it lacks any. */
     private boolean sendEntries(String peer, Progress state) {
         if (state.nextIndex < log.firstIndex()) {
             sendSnapshotChunk(peer, state);
@@ -522,10 +538,10 @@
     }
 
     private void onVoteRequest(String from, RaftMessage.VoteRequest request, long now) {
-        boolean leaseMayRun = now - leaderContactAt < options.electionTimeoutMillis() || role == Role.LEADER;
-        if (leaseMayRun && !request.transfer()) {
-            // A leader may be reading under its lease, which counts on this silence. The term isn't taken over either,
-            // so that a replica coming back from a cut can't depose a healthy leader.
+        boolean leaseMayBeValid = now - leaderContactAt < options.electionTimeoutMillis() || role == Role.LEADER;
+        if (leaseMayBeValid && !request.transfer()) {
+            // The leader's lease relies on this replica not voting. The replica doesn't adopt the term of the request
+            // either, so that a replica whose connection was restored can't depose a healthy leader.
             if (request.term() <= hardState.term() || request.preVote()) {
                 afterWrite.add(new OutboundMessage(
                         from, new RaftMessage.VoteReply(hardState.term(), request.preVote(), false)));
@@ -537,17 +553,16 @@
         }
         boolean upToDate = request.lastTerm() > log.lastTerm()
                 || request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex();
-        boolean free = request.preVote()
+        boolean voteAvailable = request.preVote()
                 ? request.term() > hardState.term()
                 : request.term() == hardState.term()
                         && (hardState.votedFor().isEmpty()
                                 || hardState.votedFor().equals(from));
-        boolean granted = upToDate && free;
+        boolean granted = upToDate && voteAvailable;
         if (granted && request.preVote() && role == Role.PRE_CANDIDATE && from.compareTo(self) < 0) {
-            // Guards against split votes where a whole group restarts: all would ask for promises at once, get them
-            // from
-            // each other, and then vote for themselves. One of them, the same for all, goes on; nothing is lost if it
-            // can't, as the others ask again after their next timeout.
+            // Avoids split votes when all replicas restart at the same time: all of them would request pre-votes at
+            // once, grant them to each other and then vote for themselves. Only the one with the lowest identity
+            // proceeds. If it fails, the others request pre-votes again after their next timeout.
             role = Role.FOLLOWER;
             scheduleElectionAfterVoteWrites(now);
         }
@@ -562,13 +577,13 @@
     private void onVoteReply(String from, RaftMessage.VoteReply reply, long now) {
         Role expected = reply.preVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE;
         long term = reply.preVote() ? hardState.term() + 1 : hardState.term();
-        boolean counts = log.configuration().voters().contains(from);
-        if (role == expected && reply.granted() && reply.term() == term && counts) {
+        boolean fromVoter = log.configuration().voters().contains(from);
+        if (role == expected && reply.granted() && reply.term() == term && fromVoter) {
             votes.add(from);
-            long counted = votes.stream()
+            long voteCount = votes.stream()
                     .filter(voter -> log.configuration().voters().contains(voter))
                     .count();
-            if (counted >= log.configuration().quorum()) {
+            if (voteCount >= log.configuration().quorum()) {
                 onVotesWon(reply.preVote(), now);
             }
         }
@@ -605,8 +620,8 @@
             replyAfterWrite(from, false, log.lastIndex() + 1, request.sentAt());
             return;
         }
-        boolean compared = request.previousIndex() >= log.firstIndex() - 1;
-        if (compared && log.termAt(request.previousIndex()) != request.previousTerm()) {
+        boolean comparable = request.previousIndex() >= log.firstIndex() - 1;
+        if (comparable && log.termAt(request.previousIndex()) != request.previousTerm()) {
             replyAfterWrite(from, false, firstIndexOfTerm(request.previousIndex()), request.sentAt());
             return;
         }
@@ -616,7 +631,8 @@
         long matched = request.previousIndex() + request.entries().size();
         commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), matched));
         if (hardStateDurable) {
-            // Guards against a leader that steps down while disks are slow. Only what is on the disk is acknowledged.
+            // Replies without waiting for the write, so that a leader doesn't step down while disks are slow. Only
+            // entries that are already on the disk are acknowledged.
             immediate.add(
                     new OutboundMessage(from, appendReply(true, Math.min(matched, persistedIndex), request.sentAt())));
         }
@@ -646,7 +662,7 @@
                 return;
             }
             if (entry.index() <= commitIndex) {
-                throw new IllegalStateException("a committed entry would be replaced at " + entry.index());
+                throw new IllegalStateException("leader sent another entry for the committed index " + entry.index());
             }
             log.truncateFrom(entry.index());
             unwrittenEntries.removeIf(pending -> pending.index() >= entry.index());
@@ -714,7 +730,7 @@
     private void install(Snapshot snapshot) {
         log.install(snapshot);
         unwrittenEntries.removeIf(entry -> entry.index() <= snapshot.lastIndex() || entry.index() > log.lastIndex());
-        // Until the snapshot is written, the disk may hold other entries than it behind the committed ones.
+        // Until the snapshot is written, entries on the disk after the committed ones may differ from it.
         persistedIndex = Math.min(persistedIndex, commitIndex);
         commitIndex = snapshot.lastIndex();
         appliedIndex = snapshot.lastIndex();
@@ -750,15 +766,15 @@
         }
     }
 
-    private void onTimeoutNow(RaftMessage.TimeoutNow order, long now) {
-        if (order.term() == hardState.term() && log.configuration().voters().contains(self)) {
+    private void onTimeoutNow(RaftMessage.TimeoutNow request, long now) {
+        if (request.term() == hardState.term() && log.configuration().voters().contains(self)) {
             campaign(false, true, now);
         }
     }
 
     private void advanceCommitIndex() {
         long candidate = followers.quorumMatchIndex(log.configuration(), persistedIndex);
-        // Entries of earlier terms are never committed by counting replicas (section 5.4.2 of the paper).
+        // Entries of earlier terms are never committed by counting replicas (section 5.4.2 of the Raft paper).
         if (candidate > commitIndex && log.termAt(candidate) == hardState.term()) {
             commitIndex = candidate;
         }
@@ -791,10 +807,11 @@
     }
 
     /**
-     * Lets the time to an election begin when a vote is on the disk, as nobody has it before.
+     * Restarts the election timeout once a vote or a new term is durable, as the messages that depend on it are only
+     * sent then.
      *
-     * <p>Guards against a group that elects no leader while its disks are slow: each replica would seek the next election
-     * before the votes of the last one were written.
+     * <p>Otherwise replicas with slow disks could never elect a leader: each would start the next election before the
+     * votes of the previous one were written.
      */
     private void onHardStateDurable(long now) {
         hardStateDurable = true;
@@ -805,19 +822,19 @@
         }
     }
 
-    /** Leaves the voters the time to write their votes, and what they are writing before them. */
+    /** Schedules the next election, allowing for voters to write their votes and the batches queued before them. */
     private void scheduleElectionAfterVoteWrites(long now) {
         scheduleElection(now + 2 * writeTimeEstimate.millis());
     }
 
     private void scheduleElection(long now) {
-        // A replica that has heard no leader since it started seeks elections sooner: where the whole group has
-        // restarted there is no leader to wait for, and where there is one the promise that comes before a vote is
-        // refused. That one heartbeat ends an outage sooner than two is not shown: votes split more often.
-        boolean alone = options.leaseMillis() == 0 && !leaderSeen;
-        long least = alone
+        // A replica that has seen no leader since it started begins an election early. If all replicas have restarted,
+        // there is no leader to wait for; if there is a leader, the pre-vote is refused. It isn't shown that one
+        // heartbeat ends an outage sooner than two do, as votes are split more often.
+        boolean noLeaderSeen = options.leaseMillis() == 0 && !leaderSeen;
+        long shortest = noLeaderSeen
                 ? INITIAL_ELECTION_TIMEOUT_HEARTBEATS * options.heartbeatMillis()
                 : options.electionTimeoutMillis();
-        electionDueAt = now + least + random.nextLong(Math.max(1, alone ? 2 * least : least));
+        electionDueAt = now + shortest + random.nextLong(Math.max(1, noLeaderSeen ? 2 * shortest : shortest));
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * Holds the entries of the log that follow the latest snapshot, and the set of replicas that they lead to.
+ * Holds the part of the log that has not been discarded, and the configurations that it contains.
  */
 final class RaftLog {
     private final List<LogEntry> entries = new ArrayList<>();
@@ -38,7 +38,7 @@
         return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
     }
 
-    /** Returns the term of an entry, or -1 where the log doesn't reach. */
+    /** Returns the term of an entry, or -1 where the log doesn't contain it. */
     long termAt(long index) {
         if (index == baseIndex) {
             return baseTerm;
@@ -50,15 +50,16 @@
         return entries.get((int) (index - baseIndex - 1));
     }
 
-    List<LogEntry> slice(long from, int most) {
+    List<LogEntry> slice(long from, int limit) {
         int begin = (int) (from - baseIndex - 1);
-        int end = Math.min(entries.size(), begin + most);
+        int end = Math.min(entries.size(), begin + limit);
         return begin >= end ? List.of() : List.copyOf(entries.subList(begin, end));
     }
 
     void append(LogEntry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalStateException("log gap before " + entry.index() + " after " + lastIndex());
+            throw new IllegalStateException(
+                    "can't append entry " + entry.index() + " to a log that ends at " + lastIndex());
         }
         entries.add(entry);
         if (entry.payload() instanceof LogEntry.Payload.Membership membership) {
@@ -83,20 +84,22 @@
         return configurations.floorEntry(index).getValue();
     }
 
-    /** Takes a snapshot that this replica made itself and keeps the entries behind an index. */
-    void compact(Snapshot made, long keptBehind) {
-        snapshot = made;
-        long newBase = Math.max(baseIndex, Math.min(made.lastIndex(), keptBehind));
-        long newTerm = termAt(newBase);
-        entries.subList(0, (int) (newBase - baseIndex)).clear();
-        Configuration base = configurationAt(newBase);
-        configurations.headMap(newBase, true).clear();
-        configurations.put(newBase, base);
-        baseIndex = newBase;
-        baseTerm = newTerm;
+    /**
+     * Replaces the snapshot with a newer one of this replica and discards the entries up to an index that it covers.
+     */
+    void compact(Snapshot newSnapshot, long discardUpTo) {
+        snapshot = newSnapshot;
+        long newBaseIndex = Math.max(baseIndex, Math.min(newSnapshot.lastIndex(), discardUpTo));
+        long newBaseTerm = termAt(newBaseIndex);
+        entries.subList(0, (int) (newBaseIndex - baseIndex)).clear();
+        Configuration baseConfiguration = configurationAt(newBaseIndex);
+        configurations.headMap(newBaseIndex, true).clear();
+        configurations.put(newBaseIndex, baseConfiguration);
+        baseIndex = newBaseIndex;
+        baseTerm = newBaseTerm;
     }
 
-    /** Takes a snapshot from the leader; entries behind it stay only if they provably continue it. */
+    /** Installs a snapshot from the leader; the entries after it are kept only if the log contains its last entry. */
     void install(Snapshot received) {
         boolean continues = termAt(received.lastIndex()) == received.lastTerm();
         List<LogEntry> kept = continues ? slice(received.lastIndex() + 1, Integer.MAX_VALUE / 2) : List.of();
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
@@ -1,16 +1,18 @@
 package org.radishspur.replication.raft;
 
 /**
- * Holds the times and sizes that a replica works with; times are in milliseconds.
+ * Holds the timeouts and size limits of a replica.
  *
- * @param heartbeatMillis how often a leader shows that it lives.
- * @param electionTimeoutMillis how long a follower waits at least before it seeks an election; a random part of up to
- *     the same length is added.
- * @param leaseMillis how long a majority's answer lets the leader answer reads; shorter than the election timeout by
- *     more than clocks drift apart in that time; 0 where every read is confirmed by a majority instead.
- * @param maximumEntriesPerMessage how many entries one message carries at most.
- * @param snapshotChunkBytes how many bytes of a snapshot one message carries at most.
- * @param trailingEntries how many applied entries stay in the log behind a snapshot, for followers a little behind.
+ * @param heartbeatMillis the interval between the heartbeats of a leader, in milliseconds.
+ * @param electionTimeoutMillis the shortest time without contact to a leader after which a follower starts an election,
+ *     in milliseconds; a random time of up to the same length is added.
+ * @param leaseMillis how long the replies of a majority allow the leader to serve reads, in milliseconds; it must be
+ *     shorter than the election timeout by more than the drift of the hosts' clocks in that time; 0 disables the lease,
+ *     and a majority has to confirm each read.
+ * @param maximumEntriesPerMessage the maximum number of entries in one message.
+ * @param snapshotChunkBytes the maximum number of bytes of a snapshot in one message.
+ * @param trailingEntries the number of applied entries that stay in the log before the end of a snapshot, so that
+ *     followers that lag a little don't need the snapshot.
  */
 public record RaftOptions(
         long heartbeatMillis,
@@ -19,6 +21,6 @@
         int maximumEntriesPerMessage,
         int snapshotChunkBytes,
         int trailingEntries) {
-    /** Fits hosts within a few milliseconds of each other. */
+    /** The options for hosts with a network latency of a few milliseconds. */
     public static final RaftOptions STANDARD = new RaftOptions(100, 600, 480, 256, 1 << 18, 1_000);
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/Role.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Role.java
@@ -1,15 +1,15 @@
 package org.radishspur.replication.raft;
 
 /**
- * Names the part that a replica plays in its present term.
+ * Lists the roles of a replica in its current term.
  */
 public enum Role {
-    /** It follows a leader, or waits to hear of one. */
+    /** It follows a leader, or waits for one to be elected. */
     FOLLOWER,
-    /** It asks whether an election would succeed, without disturbing anybody. */
+    /** It asks the voters whether an election would succeed, without starting a new term. */
     PRE_CANDIDATE,
-    /** It seeks votes. */
+    /** It requests votes in an election. */
     CANDIDATE,
-    /** It leads. */
+    /** It is the leader of the term. */
     LEADER
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
@@ -3,7 +3,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Collects the parts of one snapshot in order; a part that doesn't fit on the end is ignored and asked for again.
+ * Assembles a snapshot from its chunks in order. A chunk at another offset is ignored; the reply states the offset that
+ * the leader has to send from.
  */
 final class SnapshotAssembly {
     private final long leaderTerm;
@@ -17,12 +18,12 @@
         this.lastTerm = lastTerm;
     }
 
-    /** Returns whether a part continues this snapshot; another leader may have encoded the same state differently. */
+    /** Returns whether a chunk belongs to this snapshot; another leader may have encoded the same state differently. */
     boolean matches(RaftMessage.SnapshotRequest request) {
         return leaderTerm == request.term() && lastIndex == request.lastIndex() && lastTerm == request.lastTerm();
     }
 
-    /** Adds a part; returns whether the snapshot is now whole. */
+    /** Adds a chunk; returns whether the snapshot is now complete. */
     boolean add(RaftMessage.SnapshotRequest request) {
         if (request.offset() != content.size()) {
             return false;
--- a/replication/src/main/java/org/radishspur/replication/raft/WriteTimeEstimate.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/WriteTimeEstimate.java
@@ -1,25 +1,26 @@
 package org.radishspur.replication.raft;
 
 /**
- * Estimates how long the disk takes for a write, from the slowest of the last few.
+ * Estimates how long a disk write takes. The estimate is the slowest recent write and decays with each faster one.
  */
 final class WriteTimeEstimate {
+    /** The share of the estimate that remains after a faster write. */
     private static final double DECAY_PER_WRITE = 0.7;
 
     private final long maximumMillis;
     private long millis;
 
     /**
-     * Creates an estimate for a disk that hasn't written yet.
+     * Creates an estimate of 0 for a disk that has not written yet.
      *
-     * @param longestMillis the bound of the estimate, in milliseconds.
+     * @param maximumMillis the upper bound of the estimate, in milliseconds.
      */
-    WriteTimeEstimate(long longestMillis) {
-        this.maximumMillis = longestMillis;
+    WriteTimeEstimate(long maximumMillis) {
+        this.maximumMillis = maximumMillis;
     }
 
-    void record(long taken) {
-        millis = Math.min(maximumMillis, Math.max(taken, (long) (DECAY_PER_WRITE * millis)));
+    void recordWrite(long writeMillis) {
+        millis = Math.min(maximumMillis, Math.max(writeMillis, (long) (DECAY_PER_WRITE * millis)));
     }
 
     long millis() {
--- a/replication/src/main/java/org/radishspur/replication/state/ControlState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlState.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Counts the commands that may have changed crash suspects, moves or evacuations, so that a listener needn't compare them after
-     * each of the far more frequent claims.
+     * Counts the commands that may have changed crash suspects, moves or evacuations, so that a listener needn't
+     * compare them after each of the far more frequent claims.
      *
      * @return the number of such commands since the process started.
      */
@@ -218,8 +218,8 @@
     }
 
     /**
-     * Holds an encoded state, part by part. A part that was never used takes no bytes, and the classes that it is made of
-     * aren't set up for it when a process starts, which saves a control host with few cores a third of its start.
+     * Holds an encoded state, part by part. A part that was never used takes no bytes, and the classes that it is made
+     * of aren't set up for it when a process starts, which saves a control host with few cores a third of its start.
      *
      * @param tables the tables and answers.
      * @param claims the claims.
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -16,8 +16,8 @@
 import org.radishspur.model.table.Tables;
 
 /**
- * Holds the latest move of each route, and the moves before it. An edit that gives a route another version begins a move;
- * from then on only proposals that fit where the move stands change it.
+ * Holds the latest move of each route, and the moves before it. An edit that gives a route another version begins a
+ * move; from then on only proposals that fit where the move stands change it.
  */
 public final class MoveTable {
     private static final int MAXIMUM_ENDED_MOVES = 1_000;
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -199,7 +199,7 @@
 
     @Nested
     class ChangingReplicas {
-        private final Configuration withLearner = THREE_VOTERS.withLearner("d", "c");
+        private final Configuration withReplacement = THREE_VOTERS.withLearner("d", "c");
 
         /** Guards against a failure in which two leaders accept edits at the same time after repairs. */
         @Test
@@ -207,15 +207,16 @@
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
-            assertThat(core.proposeConfiguration(withLearner)).isPresent();
-            assertThat(core.proposeConfiguration(withLearner.withPromoted("d"))).isEmpty();
+            assertThat(core.proposeConfiguration(withReplacement)).isPresent();
+            assertThat(core.proposeConfiguration(withReplacement.withPromoted("d")))
+                    .isEmpty();
         }
 
         @Test
         void aNewLeaderRefusesChangesUntilItCommitsAnEntryOfItsTerm() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            assertThat(core.proposeConfiguration(withLearner)).isEmpty();
+            assertThat(core.proposeConfiguration(withReplacement)).isEmpty();
         }
 
         @Test
@@ -223,7 +224,7 @@
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
-            core.proposeConfiguration(withLearner);
+            core.proposeConfiguration(withReplacement);
             core.persisted(core.drain().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isFalse();
@@ -233,7 +234,7 @@
 
         @Test
         void aPromotionMarksTheReplacedVoterAsRetiring() {
-            Configuration promoted = withLearner.withPromoted("d");
+            Configuration promoted = withReplacement.withPromoted("d");
             assertThat(promoted.voters()).containsExactly("a", "b", "c", "d");
             assertThat(promoted.retiring()).containsExactly("c");
             assertThat(promoted.without("c")).isEqualTo(new Configuration(Set.of("a", "b", "d"), Map.of(), Set.of()));
