--- a/replication/src/main/java/org/radishspur/replication/state/CatalogueState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/CatalogueState.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 
 /**
- * Holds the newest catalogue document, the rollouts of pools and the failure domains that are evacuated.
+ * Holds the latest catalogue document, the rollouts of pools and the evacuated failure domains.
  *
- * <p>The document is kept as the operator sent it, so that it is read back unchanged; a document whose revision is not
- * higher than the present one changes nothing, which makes resends and races harmless.
+ * <p>The document is stored exactly as the operator sent it, so that it is returned unchanged. A document whose
+ * revision isn't higher than the current one is ignored, so that retries and concurrent publications do no harm.
  */
 public final class CatalogueState {
     private Document document = Document.NONE;
@@ -28,49 +28,49 @@
     }
 
     /**
-     * Puts a document in force if it is newer than the present one.
+     * Replaces the document if the given one has a higher revision.
      *
-     * @param offered the document.
+     * @param newDocument the document to publish.
      */
-    void publish(Document offered) {
-        if (offered.revision() > document.revision()) {
-            document = offered;
+    void publish(Document newDocument) {
+        if (newDocument.revision() > document.revision()) {
+            document = newDocument;
         }
     }
 
     /**
-     * Starts a rollout, unless the same one was started before.
+     * Starts a rollout, unless the latest rollout of the pool has the same target.
      *
-     * @param pool the pool whose requests are to move.
-     * @param target the version that they are to move to.
-     * @param periodMillis how long the move may take.
-     * @param atMillis the proposer's wall clock.
+     * @param pool the pool whose requests move.
+     * @param target the version that they move to.
+     * @param periodMillis how long the move may take, in milliseconds.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     void startRollout(String pool, String target, long periodMillis, long atMillis) {
-        Rollout present = rollouts.get(pool);
-        if (present == null || !present.target().equals(target)) {
+        Rollout current = rollouts.get(pool);
+        if (current == null || !current.target().equals(target)) {
             rollouts.put(pool, new Rollout(pool, target, periodMillis, atMillis, RolloutStage.RUNNING));
         }
     }
 
     /**
-     * Moves a rollout to another stage, unless it has ended or another one has taken its place.
+     * Moves a rollout to another stage, unless it has ended or was replaced by another one.
      *
      * @param pool the pool.
-     * @param target the version of the rollout that is meant.
+     * @param target the target version of the rollout to change.
      * @param stage the new stage.
      */
     void advanceRollout(String pool, String target, RolloutStage stage) {
-        Rollout present = rollouts.get(pool);
-        if (present != null
-                && present.target().equals(target)
-                && !present.stage().isFinal()) {
-            rollouts.put(pool, present.withStage(stage));
+        Rollout current = rollouts.get(pool);
+        if (current != null
+                && current.target().equals(target)
+                && !current.stage().isFinal()) {
+            rollouts.put(pool, current.withStage(stage));
         }
     }
 
     /**
-     * Takes the upstreams of a failure domain out of service, or does nothing where they are already.
+     * Takes the upstreams of a failure domain out of service; does nothing where they already are.
      *
      * @param failureDomain the failure domain.
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Takes the upstreams of a failure domain back into service, or does nothing where they are in service.
+     * Puts the upstreams of a failure domain back into service; does nothing where they already are.
      *
      * @param failureDomain the failure domain.
      */
@@ -88,16 +88,16 @@
     }
 
     /**
-     * Returns the document in force.
+     * Returns the current document.
      *
-     * @return the document; its revision is 0 before the first one.
+     * @return the document; its revision is 0 before the first one is published.
      */
     public Document document() {
         return document;
     }
 
     /**
-     * Returns the latest rollout of every pool that has had one.
+     * Returns the latest rollout of each pool that has had one.
      *
      * @return the rollouts.
      */
@@ -109,16 +109,16 @@
      * Finds the latest rollout of a pool.
      *
      * @param pool the pool.
-     * @return the rollout, or nothing where there was none.
+     * @return the rollout, or empty where the pool has had none.
      */
     public Optional<Rollout> rollout(String pool) {
         return Optional.ofNullable(rollouts.get(pool));
     }
 
     /**
-     * Returns the failure domains whose upstreams are to get no new request.
+     * Returns the failure domains whose upstreams get no new requests.
      *
-     * @return the names.
+     * @return the names of the failure domains.
      */
     public Set<String> evacuated() {
         return Set.copyOf(evacuated);
@@ -129,37 +129,37 @@
     }
 
     /**
-     * Holds one document.
+     * Holds a catalogue document.
      *
      * @param revision the revision that the document states.
-     * @param text the document as it was sent.
+     * @param text the document as the operator sent it.
      */
     public record Document(long revision, String text) {
-        /** Stands for the absence of a document. */
+        /** The empty document that is current before the first one is published. */
         public static final Document NONE = new Document(0, "");
     }
 
     /**
-     * Lists how far a rollout may be.
+     * Lists the stages of a rollout.
      */
     public enum RolloutStage {
-        /** A small share of the requests goes to the target, to judge it. */
+        /** A small share of the requests goes to the target version, to evaluate it. */
         RUNNING(false),
-        /** The target was found good, and all requests go to it. */
+        /** The target version passed the evaluation, and all requests go to it. */
         MOVING(false),
-        /** The target is the pool's version now. */
+        /** The target version is now the version of the pool. */
         COMPLETED(true),
-        /** The target was found bad, and nothing goes to it any more. */
+        /** The target version failed the evaluation, and no requests go to it any more. */
         ROLLED_BACK(true);
 
         private final boolean terminal;
 
-        RolloutStage(boolean last) {
-            this.terminal = last;
+        RolloutStage(boolean terminal) {
+            this.terminal = terminal;
         }
 
         /**
-         * Returns whether the rollout has ended.
+         * Returns whether a rollout in this stage has ended.
          *
          * @return whether no other stage follows.
          */
@@ -172,26 +172,26 @@
      * Describes the move of a pool's requests to upstreams of another version.
      *
      * @param pool the pool.
-     * @param target the version that the requests are to move to.
-     * @param periodMillis how long the move may take.
-     * @param startedAtMillis the wall clock of the replica that took the order.
-     * @param stage how far it is.
+     * @param target the version that the requests move to.
+     * @param periodMillis how long the move may take, in milliseconds.
+     * @param startedAtMillis the wall clock of the proposer of the rollout, in milliseconds since the epoch.
+     * @param stage the current stage.
      */
     public record Rollout(String pool, String target, long periodMillis, long startedAtMillis, RolloutStage stage) {
-        Rollout withStage(RolloutStage changed) {
-            return new Rollout(pool, target, periodMillis, startedAtMillis, changed);
+        Rollout withStage(RolloutStage newStage) {
+            return new Rollout(pool, target, periodMillis, startedAtMillis, newStage);
         }
     }
 
     /**
-     * Holds the state for a snapshot.
+     * Holds a copy of the state for a snapshot.
      *
-     * @param document the document in force.
-     * @param rollouts the rollouts.
-     * @param evacuated the evacuated failure domains; a snapshot of an older version has none.
+     * @param document the current document.
+     * @param rollouts the latest rollout of each pool.
+     * @param evacuated the evacuated failure domains; {@code null} in snapshots of versions without evacuations.
      */
     public record Image(Document document, Collection<Rollout> rollouts, Set<String> evacuated) {
-        /** Puts the empty set where nothing was stored. */
+        /** Replaces a missing set of failure domains with an empty one. */
         public Image {
             evacuated = evacuated == null ? Set.of() : Set.copyOf(evacuated);
         }
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimAnswer.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * Answers a claim.
+ * Represents the answer to a claim on a request.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonSubTypes({
@@ -17,31 +17,31 @@
 public sealed interface ClaimAnswer {
 
     /**
-     * Says that the asking attempt, and no other, may dispatch the request.
+     * Grants the claim: only the claiming attempt may dispatch the request.
      */
     record Granted() implements ClaimAnswer {}
 
     /**
-     * Says that another attempt holds the request and has not said how it ended.
+     * Refuses the claim because another attempt holds it and has not finished or released it.
      *
-     * @param holder the attempt that holds it.
+     * @param holder the attempt that holds the claim.
      */
     record Held(ClaimHolder holder) implements ClaimAnswer {}
 
     /**
-     * Says that the request ran.
+     * Refuses the claim because the request has finished.
      *
-     * @param answer the answer it got.
+     * @param answer the stored answer to the request.
      */
     record Finished(StoredAnswer answer) implements ClaimAnswer {}
 
     /**
-     * Says that the key was used for a request with other content.
+     * Refuses the claim because the key was used for a request with different content.
      */
     record Reused() implements ClaimAnswer {}
 
     /**
-     * Says that this very attempt has given the request up before.
+     * Refuses the claim because the same attempt has already released it.
      */
     record Withdrawn() implements ClaimAnswer {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
@@ -8,8 +8,8 @@
 import org.radishspur.model.request.RequestKey;
 
 /**
- * Remembers for each key which attempt may dispatch the request and how it ended. A claim is never taken over: even
- * when its holder is dead, nobody can know whether the request ran.
+ * Stores for each key which attempt may dispatch the request and how the request ended. A claim never passes to another
+ * attempt while it is held: even if the process of its holder has failed, the request may have run.
  */
 public final class ClaimTable {
     private final long retentionMillis;
@@ -19,56 +19,56 @@
     /**
      * Creates an empty table.
      *
-     * @param keepMillis how long a key is remembered after it was last touched.
+     * @param retentionMillis how long a key is kept after its claim last changed, in milliseconds.
      */
-    public ClaimTable(long keepMillis) {
-        this.retentionMillis = keepMillis;
+    public ClaimTable(long retentionMillis) {
+        this.retentionMillis = retentionMillis;
     }
 
     /**
-     * Restores a table.
+     * Restores a table from a snapshot.
      *
-     * @param keepMillis how long a key is remembered.
+     * @param retentionMillis how long a key is kept after its claim last changed, in milliseconds.
      * @param image the content of the table.
      */
-    ClaimTable(long keepMillis, Image image) {
-        this(keepMillis);
+    ClaimTable(long retentionMillis, Image image) {
+        this(retentionMillis);
         latestMillis = image.latestMillis();
         image.claims().forEach(claim -> claims.put(claim.key(), claim));
     }
 
     /**
-     * Claims a request.
+     * Claims a request for an attempt.
      *
      * @param command the claim.
-     * @return what the claiming attempt may do.
+     * @return whether the claim is granted, and if not, why.
      */
     public ClaimAnswer claim(ControlCommand.Claim command) {
         expire(command.atMillis());
-        Claim present = claims.get(command.key());
-        if (present == null) {
+        Claim current = claims.get(command.key());
+        if (current == null) {
             return grant(command);
         }
-        if (present.state() == State.RELEASED) {
-            // A late copy of the claim that its own holder has given up must not bring that claim back to life: nobody
-            // would ever finish it.
-            return present.holder().equals(command.holder()) ? new ClaimAnswer.Withdrawn() : grant(command);
+        if (current.state() == State.RELEASED) {
+            // A delayed duplicate of a claim that its holder has released must not be granted: no attempt would ever
+            // finish it.
+            return current.holder().equals(command.holder()) ? new ClaimAnswer.Withdrawn() : grant(command);
         }
-        if (!present.fingerprint().equals(command.fingerprint())) {
+        if (!current.fingerprint().equals(command.fingerprint())) {
             return new ClaimAnswer.Reused();
         }
-        if (present.state() == State.FINISHED) {
-            return new ClaimAnswer.Finished(present.answer());
+        if (current.state() == State.FINISHED) {
+            return new ClaimAnswer.Finished(current.answer());
         }
-        return present.holder().equals(command.holder())
+        return current.holder().equals(command.holder())
                 ? new ClaimAnswer.Granted()
-                : new ClaimAnswer.Held(present.holder());
+                : new ClaimAnswer.Held(current.holder());
     }
 
     /**
-     * Records how a request ended.
+     * Records the answer to a request that has finished. Ignored if the attempt doesn't hold the claim.
      *
-     * @param command the end.
+     * @param command the holder and the answer.
      */
     public void finish(ControlCommand.FinishClaim command) {
         expire(command.atMillis());
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Frees a request that did not run.
+     * Releases the claim on a request that did not run. Ignored if the attempt doesn't hold the claim.
      *
      * @param command the release.
      */
@@ -86,16 +86,16 @@
     }
 
     /**
-     * Returns the number of keys remembered.
+     * Returns the number of stored claims.
      *
-     * @return the number.
+     * @return the number of claims in any state.
      */
     public int size() {
         return claims.size();
     }
 
     /**
-     * Copies the content of the table.
+     * Returns a copy of the content for a snapshot.
      *
      * @return the content.
      */
@@ -118,42 +118,42 @@
     }
 
     private void endClaim(RequestKey key, ClaimHolder holder, State state, StoredAnswer answer) {
-        Claim present = claims.get(key);
-        if (present != null && present.state() == State.HELD && present.holder().equals(holder)) {
+        Claim current = claims.get(key);
+        if (current != null && current.state() == State.HELD && current.holder().equals(holder)) {
             claims.remove(key);
-            claims.put(key, new Claim(key, present.fingerprint(), holder, state, answer, latestMillis));
+            claims.put(key, new Claim(key, current.fingerprint(), holder, state, answer, latestMillis));
         }
     }
 
-    /** Forgets what was last touched too long ago. Every touch moves a claim to the end, so the oldest come first. */
+    /** Removes expired claims. Each change moves a claim to the end of the map, so that the oldest ones come first. */
     private void expire(long atMillis) {
         latestMillis = Math.max(latestMillis, atMillis);
-        var oldest = claims.values().iterator();
-        while (oldest.hasNext() && oldest.next().changedAtMillis() <= latestMillis - retentionMillis) {
-            oldest.remove();
+        var iterator = claims.values().iterator();
+        while (iterator.hasNext() && iterator.next().changedAtMillis() <= latestMillis - retentionMillis) {
+            iterator.remove();
         }
     }
 
     /**
-     * Names how far a claim has come.
+     * Lists the states of a claim.
      */
     public enum State {
-        /** Its holder may be running the request. */
+        /** The holder may be running the request. */
         HELD,
-        /** The request ran. */
+        /** The request has finished, or its outcome is unknown and it must not run again. */
         FINISHED,
-        /** The request did not run. */
+        /** The request did not run and may be claimed again. */
         RELEASED
     }
 
     /**
-     * Holds one claim.
+     * Holds the claim on one request.
      *
      * @param key the identity of the request.
      * @param fingerprint the digest of the request.
-     * @param holder the attempt that claimed it last.
-     * @param state how far the claim has come.
-     * @param answer the answer, where the request ran.
+     * @param holder the attempt whose claim was granted last.
+     * @param state the state of the claim.
+     * @param answer the answer to the request, or a placeholder where the request has not finished.
      * @param changedAtMillis when the claim last changed, in milliseconds since the epoch.
      */
     public record Claim(
@@ -167,15 +167,15 @@
     /**
      * Holds the content of the table for a snapshot.
      *
-     * @param latestMillis the latest wall clock seen.
-     * @param claims the claims, those that were touched longest ago first.
+     * @param latestMillis the latest wall clock of any command, in milliseconds since the epoch.
+     * @param claims the claims, least recently changed first.
      */
     public record Image(long latestMillis, List<Claim> claims) {}
 
     /**
-     * Counts the claims in each state, for operators.
+     * Counts the claims in each state, for the operators' status.
      *
-     * @return the number of held claims.
+     * @return the number of claims by the name of the state.
      */
     public Map<String, Integer> counts() {
         Map<String, Integer> counts = new java.util.TreeMap<>();
--- a/replication/src/main/java/org/radishspur/replication/state/ControlAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlAnswer.java
@@ -5,7 +5,7 @@
 import org.radishspur.model.table.EditAnswer;
 
 /**
- * Answers a committed command.
+ * Represents the answer to a committed command.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonSubTypes({
@@ -16,21 +16,21 @@
 public sealed interface ControlAnswer {
 
     /**
-     * Answers an edit.
+     * Contains the answer to an edit.
      *
      * @param answer the answer.
      */
     record OfEdit(EditAnswer answer) implements ControlAnswer {}
 
     /**
-     * Answers a claim.
+     * Contains the answer to a claim.
      *
      * @param answer the answer.
      */
     record OfClaim(ClaimAnswer answer) implements ControlAnswer {}
 
     /**
-     * Confirms a command that has nothing to tell.
+     * Confirms a command that has no result.
      */
     record Done() implements ControlAnswer {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
@@ -5,14 +5,15 @@
 import org.radishspur.model.table.TableEdit;
 
 /**
- * Changes the control state once it is committed. Every command may be proposed again without harm.
+ * Represents a command that changes the control state once it is committed. All commands are idempotent, so that a
+ * proposer may retry them.
  */
 public sealed interface ControlCommand {
 
     /**
-     * Returns the proposer's wall clock, by which records expire.
+     * Returns the proposer's wall clock, which determines when claims and crash suspects expire.
      *
-     * @return milliseconds since the epoch.
+     * @return the time in milliseconds since the epoch.
      */
     long atMillis();
 
@@ -20,73 +21,73 @@
      * Applies an edit of the tables.
      *
      * @param edit the edit.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ApplyEdit(TableEdit edit, long atMillis) implements ControlCommand {}
 
     /**
-     * Claims a request for one dispatch by one entry process.
+     * Claims a request, so that only one attempt may dispatch it.
      *
      * @param key the identity of the request.
-     * @param fingerprint a digest of the request, which a resend must share.
-     * @param holder the process and attempt that claim.
-     * @param atMillis the proposer's wall clock.
+     * @param fingerprint a digest of the request; a request with the same key and another digest is refused.
+     * @param holder the process and attempt that claim the request.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record Claim(RequestKey key, String fingerprint, ClaimHolder holder, long atMillis) implements ControlCommand {}
 
     /**
-     * Records that a claimed request ran to its end.
+     * Records the answer to a claimed request that has finished.
      *
      * @param key the identity of the request.
      * @param holder the process and attempt that hold the claim.
-     * @param answer the answer, or one without a body where it was too large to store.
-     * @param atMillis the proposer's wall clock.
+     * @param answer the answer; it has no body where the body was too large to store.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record FinishClaim(RequestKey key, ClaimHolder holder, StoredAnswer answer, long atMillis)
             implements ControlCommand {}
 
     /**
-     * Records the holder's proof that a claimed request did not run, so that a resend may claim it again.
+     * Releases a claim because its holder knows that the request didn't run, so that a retry may claim it again.
      *
      * @param key the identity of the request.
      * @param holder the process and attempt that hold the claim.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ReleaseClaim(RequestKey key, ClaimHolder holder, long atMillis) implements ControlCommand {}
 
     /**
-     * Records that a request was in flight at an upstream when it crashed.
+     * Records that a request was in flight at an upstream when the upstream crashed.
      *
      * @param pool the pool of the upstream.
      * @param fingerprint the digest of the request's content.
-     * @param crashId what tells this crash from others, so that several reports of it count once.
-     * @param atMillis the proposer's wall clock.
+     * @param crashId the identity of the crash, so that several reports of it count once.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ReportCrash(String pool, String fingerprint, String crashId, long atMillis) implements ControlCommand {}
 
     /**
-     * Changes a move, if it still stands where the proposal says.
+     * Changes the move of a route, if the move is still in the state and stage that the proposal expects.
      *
-     * @param proposal the change.
-     * @param atMillis the proposer's wall clock.
+     * @param proposal the proposed change.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ChangeMove(MoveDriver.Proposal proposal, long atMillis) implements ControlCommand {}
 
     /**
-     * Records that a suspect ran to its end without a crash.
+     * Removes a crash suspect because the request finished without a crash.
      *
      * @param pool the pool of the upstream.
      * @param fingerprint the digest of the request's content.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ClearSuspect(String pool, String fingerprint, long atMillis) implements ControlCommand {}
 
     /**
-     * Changes the catalogue, its rollouts or the evacuated failure domains.
+     * Represents a command that changes the catalogue, its rollouts or the evacuated failure domains.
      */
     sealed interface CatalogueCommand extends ControlCommand {
         /**
-         * Carries the change out.
+         * Applies the change.
          *
          * @param state the state to change.
          */
@@ -94,10 +95,10 @@
     }
 
     /**
-     * Puts a whole catalogue in force.
+     * Publishes a catalogue document.
      *
-     * @param document the document.
-     * @param atMillis the proposer's wall clock.
+     * @param document the complete document.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record PublishCatalogue(CatalogueState.Document document, long atMillis) implements CatalogueCommand {
         /** {@inheritDoc} */
@@ -108,12 +109,12 @@
     }
 
     /**
-     * Starts the move of a pool's requests to another version.
+     * Starts the move of a pool's requests to upstreams of another version.
      *
      * @param pool the pool.
-     * @param target the version.
-     * @param periodMillis how long the move may take.
-     * @param atMillis the proposer's wall clock.
+     * @param target the version that the requests move to.
+     * @param periodMillis how long the move may take, in milliseconds.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record StartRollout(String pool, String target, long periodMillis, long atMillis) implements CatalogueCommand {
         /** {@inheritDoc} */
@@ -127,9 +128,9 @@
      * Moves a rollout to another stage.
      *
      * @param pool the pool.
-     * @param target the version of the rollout that is meant.
+     * @param target the target version of the rollout to change.
      * @param stage the new stage.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record AdvanceRollout(String pool, String target, CatalogueState.RolloutStage stage, long atMillis)
             implements CatalogueCommand {
@@ -144,7 +145,7 @@
      * Takes the upstreams of a failure domain out of service.
      *
      * @param failureDomain the failure domain.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record EvacuateDomain(String failureDomain, long atMillis) implements CatalogueCommand {
         /** {@inheritDoc} */
@@ -155,10 +156,10 @@
     }
 
     /**
-     * Takes the upstreams of a failure domain back into service.
+     * Puts the upstreams of a failure domain back into service.
      *
      * @param failureDomain the failure domain.
-     * @param atMillis the proposer's wall clock.
+     * @param atMillis the proposer's wall clock, in milliseconds since the epoch.
      */
     record ReadmitDomain(String failureDomain, long atMillis) implements CatalogueCommand {
         /** {@inheritDoc} */
--- a/replication/src/main/java/org/radishspur/replication/state/ControlState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlState.java
@@ -7,7 +7,8 @@
 import org.radishspur.replication.codec.MessagePack;
 
 /**
- * Holds everything that the control replicas agree on; the same commands in the same order make the same state.
+ * Implements the state machine that the control replicas replicate. It is deterministic: the same commands in the same
+ * order result in the same state.
  */
 public final class ControlState {
     private final StateOptions options;
@@ -21,7 +22,7 @@
     /**
      * Creates the state before the first command.
      *
-     * @param options how long the state remembers.
+     * @param options the retention times.
      */
     public ControlState(StateOptions options) {
         this.options = options;
@@ -36,7 +37,7 @@
      * Applies a committed command.
      *
      * @param command the command.
-     * @return the answer to whoever proposed it.
+     * @return the answer for the proposer.
      */
     public ControlAnswer apply(ControlCommand command) {
         if (command instanceof ControlCommand.ApplyEdit edit) {
@@ -75,10 +76,10 @@
     }
 
     /**
-     * Counts the commands that may have changed crash suspects, moves or evacuations, so that a listener needn't
-     * compare them after each of the far more frequent claims.
+     * Returns how many commands may have changed crash suspects, moves, the catalogue or evacuations. A listener
+     * compares these only when the number has changed, instead of after each of the far more frequent claims.
      *
-     * @return the number of such commands since the process started.
+     * @return the number of such commands and of restored snapshots since this object was created.
      */
     public long auxiliaryChanges() {
         return auxiliaryChanges;
@@ -87,7 +88,7 @@
     /**
      * Returns the moves of routes between versions.
      *
-     * @return the moves.
+     * @return the table of moves.
      */
     public MoveTable moves() {
         return moves;
@@ -103,9 +104,9 @@
     }
 
     /**
-     * Replaces the whole state by a snapshot.
+     * Replaces the whole state with that of a snapshot.
      *
-     * @param bytes the encoded state, or nothing for the state before the first command.
+     * @param bytes the encoded state, or an empty array for the state before the first command.
      */
     public void restore(byte[] bytes) {
         auxiliaryChanges++;
@@ -117,30 +118,31 @@
             catalogue = new CatalogueState();
             return;
         }
-        EncodedImage parts = MessagePack.INSTANCE.decode(bytes, EncodedImage.class);
-        tables = decodeUnlessEmpty(parts.tables(), TablesState.Image.class)
+        EncodedImage encoded = MessagePack.INSTANCE.decode(bytes, EncodedImage.class);
+        tables = decodeUnlessEmpty(encoded.tables(), TablesState.Image.class)
                 .map(TablesState::new)
                 .orElseGet(TablesState::new);
-        claims = decodeUnlessEmpty(parts.claims(), ClaimTable.Image.class)
+        claims = decodeUnlessEmpty(encoded.claims(), ClaimTable.Image.class)
                 .map(image -> new ClaimTable(options.claimKeepMillis(), image))
                 .orElseGet(() -> new ClaimTable(options.claimKeepMillis()));
-        suspects = decodeUnlessEmpty(parts.suspects(), SuspectTable.Image.class)
+        suspects = decodeUnlessEmpty(encoded.suspects(), SuspectTable.Image.class)
                 .map(image -> new SuspectTable(options.suspectKeepMillis(), image))
                 .orElseGet(() -> new SuspectTable(options.suspectKeepMillis()));
-        moves = decodeUnlessEmpty(parts.moves(), MoveTable.Image.class)
+        moves = decodeUnlessEmpty(encoded.moves(), MoveTable.Image.class)
                 .map(MoveTable::new)
                 .orElseGet(MoveTable::new);
-        catalogue = decodeUnlessEmpty(parts.catalogue(), CatalogueState.Image.class)
+        catalogue = decodeUnlessEmpty(encoded.catalogue(), CatalogueState.Image.class)
                 .map(CatalogueState::new)
                 .orElseGet(CatalogueState::new);
     }
 
-    private static <T> Optional<T> decodeUnlessEmpty(byte[] part, Class<T> type) {
-        return part.length == 0 ? Optional.empty() : Optional.of(MessagePack.INSTANCE.decode(part, type));
+    private static <T> Optional<T> decodeUnlessEmpty(byte[] section, Class<T> type) {
+        return section.length == 0 ? Optional.empty() : Optional.of(MessagePack.INSTANCE.decode(section, type));
     }
 
     /**
-     * Copies the whole state. The copy shares its records, which never change, so that it is quick.
+     * Returns a copy of the whole state. This takes little time, because the copy shares its immutable records with the
+     * state.
      *
      * @return the copy, which any thread may encode.
      */
@@ -149,7 +151,7 @@
     }
 
     /**
-     * Returns the tables and the answers to edits.
+     * Returns the tables and the stored answers to edits.
      *
      * @return the state of the tables.
      */
@@ -158,9 +160,9 @@
     }
 
     /**
-     * Returns the claims.
+     * Returns the claims on requests.
      *
-     * @return the claims.
+     * @return the table of claims.
      */
     public ClaimTable claims() {
         return claims;
@@ -169,14 +171,14 @@
     /**
      * Returns the crash suspects.
      *
-     * @return the suspects.
+     * @return the table of crash suspects.
      */
     public SuspectTable suspects() {
         return suspects;
     }
 
     /**
-     * Holds the whole state for a snapshot.
+     * Holds a copy of the whole state for a snapshot.
      *
      * @param tables the tables and answers.
      * @param claims the claims.
@@ -192,9 +194,9 @@
             CatalogueState.Image catalogue) {
 
         /**
-         * Encodes the copy.
+         * Encodes the copy as MessagePack.
          *
-         * @return the bytes of a snapshot.
+         * @return the encoded state of a snapshot.
          */
         public byte[] encode() {
             return MessagePack.INSTANCE.encode(new EncodedImage(
@@ -212,14 +214,15 @@
                     encodeUnlessUnused(catalogue, false)));
         }
 
-        private static byte[] encodeUnlessUnused(Object part, boolean unused) {
-            return unused ? new byte[0] : MessagePack.INSTANCE.encode(part);
+        private static byte[] encodeUnlessUnused(Object section, boolean unused) {
+            return unused ? new byte[0] : MessagePack.INSTANCE.encode(section);
         }
     }
 
     /**
-     * Holds an encoded state, part by part. A part that was never used takes no bytes, and the classes that it is made
-     * of aren't set up for it when a process starts, which saves a control host with few cores a third of its start.
+     * Holds the encoded sections of the state. A section that was never used is an empty array, so that a process that
+     * starts doesn't load the classes to decode it, which shortens the start of a control host with few cores by a
+     * third.
      *
      * @param tables the tables and answers.
      * @param claims the claims.
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -16,18 +16,20 @@
 import org.radishspur.model.table.Tables;
 
 /**
- * Holds the latest move of each route, and the moves before it. An edit that gives a route another version begins a
- * move; from then on only proposals that fit where the move stands change it.
+ * Stores the latest move of each route to another version, and earlier moves. An accepted edit that changes the version
+ * of a route begins a move; after that, only proposals that match the current state and stage of the move change it.
  */
 public final class MoveTable {
     private static final int MAXIMUM_ENDED_MOVES = 1_000;
+
+    /** How long a move may take where the route states no completion time. */
     private static final long DEFAULT_MOVE_MILLIS = 30L * 60 * 1000;
 
     private final Map<String, Move> latest = new TreeMap<>();
     private final LinkedHashMap<Long, Move> ended = new LinkedHashMap<>();
 
     /**
-     * Creates a table without moves.
+     * Creates an empty table.
      */
     public MoveTable() {}
 
@@ -37,11 +39,11 @@
     }
 
     /**
-     * Begins, ends or leaves alone moves as an accepted edit asks for.
+     * Begins, changes, takes back or removes moves according to an accepted edit.
      *
      * @param before the tables before the edit.
-     * @param after the tables after it.
-     * @param now the proposer's wall clock.
+     * @param after the tables after the edit.
+     * @param now the proposer's wall clock, in milliseconds since the epoch.
      */
     public void onEdit(Tables before, Tables after, long now) {
         latest.keySet().removeIf(route -> !after.routes().containsKey(route));
@@ -55,21 +57,22 @@
     }
 
     /**
-     * Changes a move if it still stands where the proposal says; a taken back move never changes again.
+     * Changes a move if it is still in the state and stage that the proposal expects. A move that hasn't ended can be
+     * taken back from any state and stage; a move that has ended never changes again.
      *
-     * @param proposal the change.
-     * @param now the proposer's wall clock.
+     * @param proposal the proposed change.
+     * @param now the proposer's wall clock, in milliseconds since the epoch.
      */
     public void change(MoveDriver.Proposal proposal, long now) {
-        Move present = latest.get(proposal.route());
-        if (present == null
-                || present.id() != proposal.moveId()
-                || present.state().isFinal()) {
+        Move current = latest.get(proposal.route());
+        if (current == null
+                || current.id() != proposal.moveId()
+                || current.state().isFinal()) {
             return;
         }
-        boolean fits = present.state() == proposal.seenState() && present.stage() == proposal.seenStage();
-        if (fits || proposal.state() == MoveState.TAKEN_BACK) {
-            latest.put(present.route(), present.with(proposal.state(), proposal.stage(), proposal.reason(), now));
+        boolean matches = current.state() == proposal.seenState() && current.stage() == proposal.seenStage();
+        if (matches || proposal.state() == MoveState.TAKEN_BACK) {
+            latest.put(current.route(), current.with(proposal.state(), proposal.stage(), proposal.reason(), now));
         }
     }
 
@@ -83,18 +86,18 @@
     }
 
     /**
-     * Returns the moves that were followed by another one of the same route.
+     * Returns the moves that are no longer the latest one of their route.
      *
-     * @return the moves, the earliest first.
+     * @return the moves, earliest first.
      */
     public List<Move> ended() {
         return List.copyOf(ended.values());
     }
 
     /**
-     * Says which versions serve each route.
+     * Returns which versions serve each route.
      *
-     * @param tables the tables in force.
+     * @param tables the current tables.
      * @param moves the latest move of each route.
      * @return the splits by route; a route without a version is left out.
      */
@@ -117,48 +120,50 @@
     }
 
     private void onRouteEdit(RouteRow old, RouteRow row, long revision, long now) {
-        Move present = latest.get(row.name());
-        String inUse = present == null ? old.version() : present.settledVersion();
-        boolean sameWish = row.version().equals(old.version()) && row.completeByMillis() == old.completeByMillis();
-        if (sameWish) {
+        Move current = latest.get(row.name());
+        String currentVersion = current == null ? old.version() : current.settledVersion();
+        boolean unchanged = row.version().equals(old.version()) && row.completeByMillis() == old.completeByMillis();
+        if (unchanged) {
             return;
         }
-        if (present != null && !present.state().isFinal()) {
-            if (row.version().equals(present.to())) {
-                changeCompletionTime(present, row, now);
+        if (current != null && !current.state().isFinal()) {
+            if (row.version().equals(current.to())) {
+                changeCompletionTime(current, row, now);
                 return;
             }
-            boolean back = row.version().equals(present.from());
+            boolean back = row.version().equals(current.from());
             TakeBackReason reason = back ? TakeBackReason.BY_OPERATOR : TakeBackReason.SUPERSEDED;
-            latest.put(row.name(), present.with(MoveState.TAKEN_BACK, present.stage(), reason, now));
+            latest.put(row.name(), current.with(MoveState.TAKEN_BACK, current.stage(), reason, now));
             if (back) {
                 return;
             }
-            inUse = present.from();
+            currentVersion = current.from();
         }
-        if (!row.version().isEmpty() && !inUse.isEmpty() && !row.version().equals(inUse)) {
-            beginMove(row, inUse, revision, now);
+        if (!row.version().isEmpty()
+                && !currentVersion.isEmpty()
+                && !row.version().equals(currentVersion)) {
+            beginMove(row, currentVersion, revision, now);
         } else {
             archiveMove(row.name());
         }
     }
 
-    /** Hastens or delays a move that is under way. */
-    private void changeCompletionTime(Move present, RouteRow row, long now) {
+    /** Gives a move that has not ended another completion time. */
+    private void changeCompletionTime(Move current, RouteRow row, long now) {
         latest.put(
                 row.name(),
                 new Move(
-                        present.id(),
-                        present.route(),
-                        present.from(),
-                        present.to(),
-                        present.startedAt(),
+                        current.id(),
+                        current.route(),
+                        current.from(),
+                        current.to(),
+                        current.startedAt(),
                         completeBy(row, now),
-                        present.state(),
-                        present.stage(),
-                        present.stageSince(),
-                        present.reason(),
-                        present.history()));
+                        current.state(),
+                        current.stage(),
+                        current.stageSince(),
+                        current.reason(),
+                        current.history()));
     }
 
     private void beginMove(RouteRow row, String from, long revision, long now) {
@@ -184,7 +189,7 @@
      * Holds the content of the table for a snapshot.
      *
      * @param latest the latest move of each route.
-     * @param ended the moves before them, the earliest first.
+     * @param ended the earlier moves, earliest first.
      */
     public record Image(List<Move> latest, List<Move> ended) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/StoredAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/StoredAnswer.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * Holds the answer to a request that ran, for callers that ask again.
+ * Holds the answer to a request that was dispatched, for callers that retry the request.
  *
- * @param status the HTTP status.
- * @param contentType the type of the body, or an empty text.
- * @param body the whole body.
- * @param whole whether the body is stored; an answer that was too large is remembered without it.
+ * @param status the HTTP status, or 0 where it is unknown whether the request ran.
+ * @param contentType the content type of the body, or an empty string.
+ * @param body the complete body, or an empty array where it isn't stored.
+ * @param whole whether the body is stored; a body that was too large isn't.
  */
 public record StoredAnswer(int status, String contentType, byte[] body, boolean whole) {
     private static final int UNKNOWN_STATUS = 0;
 
     /**
-     * Creates the memory of an answer whose body was too large to store.
+     * Creates an answer whose body was too large to store.
      *
      * @param status the HTTP status.
      * @return the answer without its body.
@@ -24,16 +24,16 @@
     }
 
     /**
-     * Creates the memory of a request that was dispatched and of which nobody can say whether it ran.
+     * Creates the answer for a request that was dispatched and may or may not have run.
      *
-     * @return the memory.
+     * @return the answer without a status and body.
      */
     public static StoredAnswer ofUnknownOutcome() {
         return new StoredAnswer(UNKNOWN_STATUS, "", new byte[0], false);
     }
 
     /**
-     * Returns whether nobody can say whether the request ran.
+     * Returns whether it is unknown if the request ran.
      *
      * @return whether the outcome is unknown.
      */
--- a/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
@@ -9,13 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Remembers which requests were in flight at upstreams when they crashed, so that a request that crashes every upstream
- * is found although its caller sends it again to another entry.
+ * Stores the crash suspects: the requests that were in flight at an upstream when it crashed. As the table is
+ * replicated, a request that crashes each upstream is detected even if its caller retries it at another node.
  */
 public final class SuspectTable {
-    /** The number of crashes after which a request is refused everywhere. */
+    /** The number of crashes after which all nodes refuse the request. */
     public static final int CRASHES_TO_REFUSE = 2;
 
+    /** The maximum number of suspects; the one that was reported least recently is dropped first. */
     private static final int MAXIMUM_SUSPECTS = 10_000;
 
     private final long retentionMillis;
@@ -25,39 +26,39 @@
     /**
      * Creates an empty table.
      *
-     * @param keepMillis how long a suspect is remembered after its latest crash.
+     * @param retentionMillis how long a suspect is kept after its latest report, in milliseconds.
      */
-    public SuspectTable(long keepMillis) {
-        this.retentionMillis = keepMillis;
+    public SuspectTable(long retentionMillis) {
+        this.retentionMillis = retentionMillis;
     }
 
-    SuspectTable(long keepMillis, Image image) {
-        this(keepMillis);
+    SuspectTable(long retentionMillis, Image image) {
+        this(retentionMillis);
         latestMillis = image.latestMillis();
         image.suspects().forEach(suspect -> suspects.put(keyOf(suspect.pool(), suspect.fingerprint()), suspect));
     }
 
     /**
-     * Records that a request was in flight at a crash; several reports of one crash count once.
+     * Records that a request was in flight when an upstream crashed. Several reports of one crash count once.
      *
      * @param command the report.
      */
     public void report(ControlCommand.ReportCrash command) {
         expire(command.atMillis());
         String key = keyOf(command.pool(), command.fingerprint());
-        Suspect present = suspects.remove(key);
-        Set<String> crashes = new TreeSet<>(present == null ? Set.of() : present.crashIds());
-        crashes.add(command.crashId());
-        suspects.put(key, new Suspect(command.pool(), command.fingerprint(), crashes, latestMillis));
+        Suspect current = suspects.remove(key);
+        Set<String> crashIds = new TreeSet<>(current == null ? Set.of() : current.crashIds());
+        crashIds.add(command.crashId());
+        suspects.put(key, new Suspect(command.pool(), command.fingerprint(), crashIds, latestMillis));
         if (suspects.size() > MAXIMUM_SUSPECTS) {
             suspects.remove(suspects.keySet().iterator().next());
         }
     }
 
     /**
-     * Forgets a suspect that ran to its end.
+     * Removes a suspect that has finished without a crash.
      *
-     * @param command the news.
+     * @param command the suspect to remove.
      */
     public void clear(ControlCommand.ClearSuspect command) {
         expire(command.atMillis());
@@ -86,9 +87,9 @@
 
     private void expire(long atMillis) {
         latestMillis = Math.max(latestMillis, atMillis);
-        var oldest = suspects.values().iterator();
-        while (oldest.hasNext() && oldest.next().reportedAtMillis() <= latestMillis - retentionMillis) {
-            oldest.remove();
+        var iterator = suspects.values().iterator();
+        while (iterator.hasNext() && iterator.next().reportedAtMillis() <= latestMillis - retentionMillis) {
+            iterator.remove();
         }
     }
 
@@ -97,20 +98,20 @@
     }
 
     /**
-     * Holds one suspect.
+     * Holds one crash suspect.
      *
      * @param pool the pool whose upstreams crashed.
      * @param fingerprint the digest of the request's content.
-     * @param crashIds the crashes at which the request was in flight.
-     * @param reportedAtMillis when the latest one was reported, in milliseconds since the epoch.
+     * @param crashIds the identities of the crashes during which the request was in flight.
+     * @param reportedAtMillis when a crash was last reported, in milliseconds since the epoch.
      */
     public record Suspect(String pool, String fingerprint, Set<String> crashIds, long reportedAtMillis) {}
 
     /**
      * Holds the content of the table for a snapshot.
      *
-     * @param latestMillis the latest wall clock seen.
-     * @param suspects the suspects, those that were touched longest ago first.
+     * @param latestMillis the latest wall clock of any command, in milliseconds since the epoch.
+     * @param suspects the suspects, least recently reported first.
      */
     public record Image(long latestMillis, List<Suspect> suspects) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
@@ -11,14 +11,14 @@
 import org.radishspur.model.table.Tables;
 
 /**
- * Brings a copy of the tables from one revision to a later one.
+ * Describes the changes that bring a copy of the tables from one revision to a later one.
  *
  * @param fromRevision the revision that the copy must have, or -1 where the delta replaces the whole copy.
  * @param toRevision the revision that the copy has afterwards.
- * @param routes the routes that changed.
- * @param pools the pools that changed.
- * @param removedRoutes the routes that are gone.
- * @param removedPools the pools that are gone.
+ * @param routes the routes that were added or changed.
+ * @param pools the pools that were added or changed.
+ * @param removedRoutes the names of the removed routes.
+ * @param removedPools the names of the removed pools.
  */
 public record TablesDelta(
         long fromRevision,
@@ -28,13 +28,13 @@
         Set<String> removedRoutes,
         Set<String> removedPools) {
 
-    /** The revision that stands for "whatever the copy holds". */
+    /** The value of {@code fromRevision} for a delta that applies to a copy of any revision. */
     public static final long ANY_REVISION = -1;
 
     /**
-     * Creates the delta that replaces a whole copy.
+     * Creates a delta that replaces the whole copy.
      *
-     * @param tables the tables to send.
+     * @param tables the tables that the copy has afterwards.
      * @return the delta.
      */
     public static TablesDelta ofAll(Tables tables) {
@@ -51,7 +51,8 @@
      * Applies the delta to a copy.
      *
      * @param copy the copy.
-     * @return the later tables, or the copy itself where the delta doesn't lead on from it.
+     * @return the changed tables, or the copy itself where it is as new as the delta or has another revision than the
+     *     delta requires.
      */
     public Tables applyTo(Tables copy) {
         boolean replaces = fromRevision == ANY_REVISION;
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -20,13 +20,16 @@
 import org.radishspur.model.table.TablesValidator;
 
 /**
- * Applies edits to the tables and remembers the answers, so that a resent edit gets its first answer again.
+ * Applies edits to the tables and stores the answers, so that an edit that is sent again gets its original answer.
  */
 public final class TablesState {
-    /** How many answers are remembered; the users' target makes 29,000 changes a day. */
+    /** The number of answers to keep, which covers two days at the required rate of 29,000 changes a day. */
     static final int MAXIMUM_STORED_ANSWERS = 60_000;
 
+    /** The shortest time in which a route can move to another version, as that version is evaluated first. */
     private static final long MINIMUM_MOVE_MILLIS = 60_000;
+
+    /** The number of revisions whose changes are kept for deltas. */
     private static final int MAXIMUM_STORED_REVISIONS = 2_000;
 
     private Tables tables = Tables.EMPTY;
@@ -34,7 +37,7 @@
     private final Deque<ChangedRows> history = new ArrayDeque<>();
 
     /**
-     * Creates empty tables.
+     * Creates a state with empty tables.
      */
     public TablesState() {}
 
@@ -45,18 +48,18 @@
     }
 
     /**
-     * Applies an edit, unless it was answered before.
+     * Applies an edit, or returns the stored answer where the edit was applied before.
      *
      * @param edit the edit.
      * @param now the proposer's wall clock, in milliseconds since the epoch.
-     * @return the answer, the same for every resend.
+     * @return the answer, which is the same each time that the edit is sent.
      */
     public EditAnswer apply(TableEdit edit, long now) {
         int digest = Json.INSTANCE.write(edit).hashCode();
-        AnsweredEdit remembered = answers.get(edit.changeId());
-        if (remembered != null) {
-            return remembered.digest() == digest
-                    ? remembered.answer()
+        AnsweredEdit stored = answers.get(edit.changeId());
+        if (stored != null) {
+            return stored.digest() == digest
+                    ? stored.answer()
                     : new EditAnswer.Invalid(
                             List.of(new TableFault("changeId", "was used for another edit: " + edit.changeId())));
         }
@@ -69,7 +72,7 @@
     }
 
     /**
-     * Returns the tables as they stand.
+     * Returns the current tables.
      *
      * @return the tables.
      */
@@ -78,10 +81,11 @@
     }
 
     /**
-     * Makes what a copy needs to catch up.
+     * Returns the delta that brings a copy of the tables up to date.
      *
      * @param revision the revision of the copy.
-     * @return the changes since then, or the whole tables where they are not remembered that far back.
+     * @return the changes since that revision, or the complete tables where some of these changes aren't stored any
+     *     more.
      */
     public TablesDelta since(long revision) {
         boolean covered = !history.isEmpty() && history.peekFirst().revision() <= revision + 1;
@@ -100,7 +104,7 @@
     }
 
     /**
-     * Copies the state for a snapshot.
+     * Returns a copy of the state for a snapshot.
      *
      * @return the copy.
      */
@@ -150,17 +154,17 @@
         return new EditAnswer.Accepted(revision);
     }
 
-    /** Finds routes that are to be on another version by a time that leaves no room for a look at that version. */
+    /** Finds routes whose completion time leaves too little time to evaluate the version that they move to. */
     private List<TableFault> tooEarlyCompletionTimes(TableEdit edit, long now) {
         List<TableFault> faults = new ArrayList<>();
         for (RowChange change : edit.changes()) {
             if (change instanceof RowChange.PutRoute put) {
                 Revisioned<RouteRow> old = tables.routes().get(put.row().name());
-                boolean moves = old != null
+                boolean versionOrTimeChanged = old != null
                         && (!old.row().version().equals(put.row().version())
                                 || old.row().completeByMillis() != put.row().completeByMillis());
-                long by = put.row().completeByMillis();
-                if (moves && by > 0 && by < now + MINIMUM_MOVE_MILLIS) {
+                long completeByMillis = put.row().completeByMillis();
+                if (versionOrTimeChanged && completeByMillis > 0 && completeByMillis < now + MINIMUM_MOVE_MILLIS) {
                     faults.add(new TableFault(
                             "routes." + put.row().name() + ".completeByMillis",
                             "must be at least " + MINIMUM_MOVE_MILLIS + " ms from now"));
@@ -198,36 +202,36 @@
     }
 
     /**
-     * Remembers the answer to one edit.
+     * Holds the answer to one edit.
      *
      * @param changeId the identity of the edit.
-     * @param digest a digest of the edit, which a resend must share.
+     * @param digest a digest of the edit; an edit with the same identity and another digest is refused.
      * @param answer the answer.
      */
     public record AnsweredEdit(String changeId, int digest, EditAnswer answer) {}
 
     /**
-     * Remembers which rows one revision changed.
+     * Lists the rows that one revision changed.
      *
      * @param revision the revision.
-     * @param routes the names of the routes.
-     * @param pools the names of the pools.
+     * @param routes the names of the changed or deleted routes.
+     * @param pools the names of the changed or deleted pools.
      */
     public record ChangedRows(long revision, Set<String> routes, Set<String> pools) {}
 
     /**
-     * Holds the state for a snapshot.
+     * Holds a copy of the state for a snapshot.
      *
      * @param tables the tables.
-     * @param answers the remembered answers, the oldest first.
-     * @param history the remembered changes, the oldest first.
+     * @param answers the stored answers, oldest first.
+     * @param history the stored changes, oldest first.
      */
     public record Image(Tables tables, List<AnsweredEdit> answers, List<ChangedRows> history) {}
 
     /**
-     * Returns the answers that are remembered, by change.
+     * Returns the stored answers to edits.
      *
-     * @return the number of remembered answers.
+     * @return the answers by the identity of the edit, oldest first.
      */
     public Map<String, EditAnswer> rememberedAnswers() {
         Map<String, EditAnswer> copy = new LinkedHashMap<>();
--- a/replication/src/main/java/org/radishspur/replication/state/package-info.java
+++ b/replication/src/main/java/org/radishspur/replication/state/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Holds the deterministic state machines on the replicated log: tables, claims and fencing.
+ * Contains the deterministic state machine of the control replicas: tables, claims, crash suspects, moves and the
+ * catalogue.
  */
 package org.radishspur.replication.state;
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -27,7 +27,7 @@
         return new LogEntry(index, term, new Payload.Command(new byte[] {(byte) index}));
     }
 
-    /** Makes the core the leader of the next term, with the votes of all. */
+    /** Returns a core that was elected leader of the next term with the votes of "a" and "b". */
     private static RaftCore electedLeader(HardState hardState, List<LogEntry> entries) {
         RaftCore core = core(hardState, entries);
         core.tick(LATER);
@@ -47,7 +47,7 @@
     class Voting {
         private final RaftMessage request = new RaftMessage.VoteRequest(6, false, false, 0, 0);
 
-        /** Guards against a failure in which an edit that was accepted is gone after two control hosts restarted. */
+        /** Guards against a second vote in the same term after a restart, which can lose an accepted edit. */
         @Test
         void aVoteIsWrittenBeforeItIsSent() {
             RaftCore core = core(new HardState(5, ""), List.of());
@@ -67,7 +67,7 @@
                     .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
 
-        /** Guards against a failure in which an operator reads an old row from a leader that was cut off. */
+        /** Guards against stale reads from a leader that is cut off but whose lease is still valid. */
         @Test
         void aReplicaThatHasJustRestartedGivesNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
@@ -112,7 +112,7 @@
                     .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
         }
 
-        /** Guards against an accepted edit that is gone, as a follower acknowledged what it was still writing. */
+        /** Guards against the loss of an accepted edit that a follower acknowledged before it was durable. */
         @Test
         void anEntryThatIsStillBeingWrittenIsNotAcknowledged() {
             follower.receive("b", new RaftMessage.AppendRequest(5, 3, 4, List.of(entry(4, 5)), 0, LATER), LATER);
@@ -124,7 +124,7 @@
                     .containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
         }
 
-        /** Guards against a replica that forgets after a restart which leader it has followed. */
+        /** Guards against a replica that acknowledges a new leader and has lost its term after a restart. */
         @Test
         void aHeartbeatOfANewTermIsNotAcknowledgedBeforeTheTermIsOnDisk() {
             follower.receive("b", new RaftMessage.AppendRequest(6, 3, 4, List.of(), 0, LATER), LATER);
@@ -134,7 +134,7 @@
                     .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
         }
 
-        /** Guards against a learner that votes before the snapshot it has received is on its disk. */
+        /** Guards against a learner that is promoted before the snapshot that it received is durable. */
         @Test
         void aSnapshotThatIsNotWrittenIsNotAcknowledged() {
             follower.receive(
@@ -150,7 +150,7 @@
 
     @Nested
     class Committing {
-        /** Guards against a failure in which an accepted edit is replaced by another one. */
+        /** Guards against the replacement of a committed entry after a change of leaders. */
         @Test
         void anEntryOfAnEarlierTermIsNotCommittedByCounting() {
             RaftCore core = electedLeader(new HardState(2, ""), List.of(entry(1, 2)));
@@ -201,7 +201,7 @@
     class ChangingReplicas {
         private final Configuration withReplacement = THREE_VOTERS.withLearner("d", "c");
 
-        /** Guards against a failure in which two leaders accept edits at the same time after repairs. */
+        /** Guards against two leaders with separate quorums after several replicas were replaced. */
         @Test
         void aSecondChangeWaitsForTheFirst() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
@@ -242,21 +242,21 @@
 
         @Test
         void anEmptyReplicaNeverStartsAnElection() {
-            RaftCore blank = new RaftCore(
+            RaftCore empty = new RaftCore(
                     OPTIONS,
                     "d",
                     new Recovered(HardState.INITIAL, Snapshot.initial(Configuration.ofVoters(Set.of())), List.of()),
                     new Random(1),
                     START);
-            blank.tick(LATER + 10_000);
-            assertThat(blank.role()).isEqualTo(Role.FOLLOWER);
-            assertThat(blank.drain().afterWrite()).isEmpty();
+            empty.tick(LATER + 10_000);
+            assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
+            assertThat(empty.drain().afterWrite()).isEmpty();
         }
     }
 
     @Nested
     class ConfirmedReads {
-        /** Guards against a failure in which an operator reads a table that another leader has replaced. */
+        /** Guards against stale reads from a leader that was suspended while another one was elected. */
         @Test
         void aReplyToAnEarlierMessageDoesNotConfirmLeadership() {
             RaftCore core = electedLeader(new HardState(1, ""), List.of());
@@ -297,18 +297,18 @@
                     START);
         }
 
-        /** Guards against a failure in which after a loss of power nothing is served for a second longer. */
+        /** Guards against split votes after a power failure, which delay the first election by a second. */
         @Test
         void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtOnce() {
-            RaftCore higher = restarted("b");
-            higher.tick(START + 350);
-            assertThat(higher.role()).isEqualTo(Role.PRE_CANDIDATE);
-            higher.receive("a", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
-            assertThat(higher.role()).isEqualTo(Role.FOLLOWER);
-            RaftCore lower = restarted("a");
-            lower.tick(START + 350);
-            lower.receive("b", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
-            assertThat(lower.role()).isEqualTo(Role.PRE_CANDIDATE);
+            RaftCore higherIdentity = restarted("b");
+            higherIdentity.tick(START + 350);
+            assertThat(higherIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
+            higherIdentity.receive("a", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
+            assertThat(higherIdentity.role()).isEqualTo(Role.FOLLOWER);
+            RaftCore lowerIdentity = restarted("a");
+            lowerIdentity.tick(START + 350);
+            lowerIdentity.receive("b", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
+            assertThat(lowerIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
         }
 
         @Test
--- a/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
@@ -19,7 +19,7 @@
             assertThat(state.document()).isEqualTo(new Document(9, "nine"));
         }
 
-        /** An answer was lost, and the operator sends an older change again after a newer one: nothing goes back. */
+        /** Guards against the return of an old document when an operator retries it after a newer one was published. */
         @Test
         void ignoresAnOlderRevisionThatArrivesAgain() {
             state.publish(new Document(9, "nine"));
@@ -27,7 +27,7 @@
             assertThat(state.document().revision()).isEqualTo(9);
         }
 
-        /** Two operators use one revision for different content: the first one stands. */
+        /** Guards against replicas with different documents when two operators use the same revision. */
         @Test
         void ignoresOtherContentUnderTheSameRevision() {
             state.publish(new Document(9, "nine"));
@@ -56,7 +56,7 @@
             assertThat(state.rollout("pool").orElseThrow().stage()).isEqualTo(RolloutStage.ROLLED_BACK);
         }
 
-        /** A leader that was cut off proposes the end of a rollout whose place another one has taken. */
+        /** Guards against a delayed command of an earlier leader that ends the rollout that replaced its own. */
         @Test
         void ignoresTheEndOfARolloutThatWasReplaced() {
             state.startRollout("pool", "v2", 12_000, 100);
@@ -68,7 +68,7 @@
 
     @Nested
     class Evacuating {
-        /** Guards against an order that is refused because it was sent again after its answer was lost. */
+        /** Guards against a failure when an operator retries a command whose answer was lost. */
         @Test
         void acceptsTheSameCommandTwice() {
             state.evacuate("a");
@@ -79,7 +79,7 @@
             assertThat(state.evacuated()).isEmpty();
         }
 
-        /** Guards against one order that undoes another where two failure domains are emptied at once. */
+        /** Guards against a readmission that affects another failure domain evacuated at the same time. */
         @Test
         void readmitsOnlyTheNamedFailureDomain() {
             state.evacuate("a");
@@ -89,19 +89,19 @@
         }
     }
 
-    /** Guards against an acknowledged evacuation that is lost with the log entries that a snapshot replaces. */
+    /** Guards against the loss of an acknowledged evacuation when its log entry is replaced by a snapshot. */
     @Test
     void keepsEvacuationsInASnapshot() {
-        ControlState whole = new ControlState(StateOptions.STANDARD);
-        whole.apply(new ControlCommand.EvacuateDomain("a", 1));
-        whole.apply(new ControlCommand.EvacuateDomain("b", 2));
-        whole.apply(new ControlCommand.ReadmitDomain("a", 3));
+        ControlState original = new ControlState(StateOptions.STANDARD);
+        original.apply(new ControlCommand.EvacuateDomain("a", 1));
+        original.apply(new ControlCommand.EvacuateDomain("b", 2));
+        original.apply(new ControlCommand.ReadmitDomain("a", 3));
         ControlState restored = new ControlState(StateOptions.STANDARD);
-        restored.restore(whole.image().encode());
+        restored.restore(original.image().encode());
         assertThat(restored.catalogue().evacuated()).containsExactly("b");
     }
 
-    /** Guards against a replica that can't start on the snapshot of a version without evacuations. */
+    /** Guards against a replica that can't start from a snapshot written by a version without evacuations. */
     @Test
     void readsAnImageWithoutEvacuations() {
         assertThat(new CatalogueState.Image(Document.NONE, java.util.List.of(), null).evacuated())
@@ -110,12 +110,13 @@
 
     @Test
     void keepsTheDocumentAndTheRolloutsInASnapshot() {
-        ControlState whole = new ControlState(StateOptions.STANDARD);
-        whole.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
-        whole.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
+        ControlState original = new ControlState(StateOptions.STANDARD);
+        original.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
+        original.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
         ControlState restored = new ControlState(StateOptions.STANDARD);
-        restored.restore(whole.image().encode());
+        restored.restore(original.image().encode());
         assertThat(restored.catalogue().document()).isEqualTo(new Document(4, "four"));
-        assertThat(restored.catalogue().rollouts()).isEqualTo(whole.catalogue().rollouts());
+        assertThat(restored.catalogue().rollouts())
+                .isEqualTo(original.catalogue().rollouts());
     }
 }
--- a/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
@@ -32,7 +32,7 @@
         assertThat(claim(FIRST, "x", 1)).isInstanceOf(ClaimAnswer.Granted.class);
     }
 
-    /** Guards against a failure in which a crew looks over its quota because its report was recorded twice. */
+    /** Guards against a request that runs twice and counts twice towards the quota of its organisation. */
     @Test
     void anotherAttemptNeverTakesAClaimOver() {
         claim(FIRST, "x", 0);
@@ -53,7 +53,7 @@
         assertThat(claim(SECOND, "x", 2)).isInstanceOf(ClaimAnswer.Granted.class);
     }
 
-    /** Guards against a failure in which the resends of a report are refused as "in progress" until the key expires. */
+    /** Guards against retries that are refused as in progress until the key expires. */
     @Test
     void aLateCopyOfAReleasedClaimStaysWithdrawn() {
         claim(FIRST, "x", 0);
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -30,18 +30,19 @@
     private static final long HOUR = 3_600_000;
 
     private final ControlState state = new ControlState(StateOptions.STANDARD);
-    private int edits;
+    private int editCount;
 
     private static UpstreamRow upstream(String version) {
         return new UpstreamRow("runs-" + version, "127.0.0.1:1", "domain", "hardware", false, version);
     }
 
     private EditAnswer put(String version, long completeBy, long now) {
-        var present = state.tables().tables().routes().get("route");
+        var current = state.tables().tables().routes().get("route");
         RouteRow row = new RouteRow(
                 "route", List.of(), "/", "pool", true, false, Tier.LOW, Tier.LOW, 1, 1, 1, version, completeBy);
-        RowChange change = new RowChange.PutRoute(row, present == null ? 0 : present.revision());
-        var answer = state.apply(new ControlCommand.ApplyEdit(new TableEdit("edit-" + edits++, List.of(change)), now));
+        RowChange change = new RowChange.PutRoute(row, current == null ? 0 : current.revision());
+        var answer =
+                state.apply(new ControlCommand.ApplyEdit(new TableEdit("edit-" + editCount++, List.of(change)), now));
         return ((ControlAnswer.OfEdit) answer).answer();
     }
 
@@ -127,7 +128,7 @@
         assertThat(move().completeBy()).isEqualTo(NOW + HOUR / 2);
     }
 
-    /** Guards against a failure in which a version that was taken back at night gets requests again. */
+    /** Guards against requests to a version whose move was taken back, caused by delayed proposals or a snapshot. */
     @Property(seed = "99", tries = 200, shrinking = ShrinkingMode.OFF)
     void aMoveThatWasTakenBackNeverChangesAgain(@ForAll long seed) {
         Random random = new Random(seed);
@@ -146,9 +147,9 @@
             Move now = move();
             assertThat(!takenBack || now.state() == MoveState.TAKEN_BACK).isTrue();
             assertThat(now.share()).isLessThanOrEqualTo(takenBack ? 0 : 1);
-            boolean both = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
+            boolean doneAndTakenBack = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
                     && now.state() == MoveState.TAKEN_BACK;
-            assertThat(both).as("done and taken back").isFalse();
+            assertThat(doneAndTakenBack).as("done and taken back").isFalse();
             takenBack |= now.state() == MoveState.TAKEN_BACK;
             seen.add(now);
         }
--- a/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
@@ -22,18 +22,19 @@
         return new TableEdit(changeId, List.of(new RowChange.PutPool(row, expected)));
     }
 
-    /** Edits at random while copies follow by deltas, some of which are lost, repeated or late. */
+    /** Guards against copies that go wrong when deltas are lost, repeated or delayed, with random edits in between. */
     @Property(seed = "51", tries = 200, shrinking = ShrinkingMode.OFF)
     void aCopyNeverReturnsToAnOlderRevisionAndConverges(@ForAll long seed) {
         Random random = new Random(seed);
         TablesState source = new TablesState();
         Tables copy = Tables.EMPTY;
-        List<TablesDelta> underWay = new ArrayList<>();
+        List<TablesDelta> sentDeltas = new ArrayList<>();
         for (int step = 0; step < 120; step++) {
             edit(source, random, step);
-            underWay.add(source.since(copy.revision()));
+            sentDeltas.add(source.since(copy.revision()));
             if (random.nextInt(3) > 0) {
-                Tables changed = underWay.get(random.nextInt(underWay.size())).applyTo(copy);
+                Tables changed =
+                        sentDeltas.get(random.nextInt(sentDeltas.size())).applyTo(copy);
                 assertThat(changed.revision()).isGreaterThanOrEqualTo(copy.revision());
                 copy = changed;
             }
@@ -44,9 +45,9 @@
 
     private void edit(TablesState source, Random random, int step) {
         String pool = "p" + random.nextInt(5);
-        var present = source.tables().pools().get(pool);
-        long revision = present == null ? 0 : present.revision();
-        if (present != null && random.nextInt(4) == 0) {
+        var current = source.tables().pools().get(pool);
+        long revision = current == null ? 0 : current.revision();
+        if (current != null && random.nextInt(4) == 0) {
             source.apply(new TableEdit("c" + step, List.of(new RowChange.DeletePool(pool, revision))), 0);
         } else {
             source.apply(put("c" + step, pool, step + 1, revision), 0);
--- a/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
@@ -35,7 +35,7 @@
             });
         }
 
-        /** Guards against a failure in which a change that was accepted long ago is reported as a conflict. */
+        /** Guards against a late retry of an accepted edit that is answered with a conflict. */
         @Test
         void aResendAfterAThousandEditsAndASnapshotGetsItsFirstAnswer() {
             EditAnswer first = state.apply(put("lost", "p", 1, 0), 0);
