--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -140,8 +140,8 @@
             onSnapshotRequest(from, request, now);
         } else if (message instanceof RaftMessage.SnapshotReply reply) {
             onSnapshotReply(from, reply, now);
-        } else if (message instanceof RaftMessage.TimeoutNow request) {
-            onTimeoutNow(request, now);
+        } else if (message instanceof RaftMessage.TimeoutNow timeoutNow) {
+            onTimeoutNow(timeoutNow, now);
         }
     }
 
@@ -168,8 +168,8 @@
     public OptionalLong proposeConfiguration(Configuration configuration) {
         // Refuses a change while another one is uncommitted, as their quorums might not overlap, and before the leader
         // has committed an entry of its own term, as it doesn't know before then which change is the latest.
-        boolean settled = log.configurationIndex() <= commitIndex && commitIndex >= firstIndexAsLeader;
-        if (role != Role.LEADER || transferring || !settled) {
+        boolean changeAllowed = log.configurationIndex() <= commitIndex && commitIndex >= firstIndexAsLeader;
+        if (role != Role.LEADER || transferring || !changeAllowed) {
             return OptionalLong.empty();
         }
         long index = appendAsLeader(new Payload.Membership(configuration));
@@ -222,10 +222,10 @@
             return;
         }
         long index = newSnapshot.lastIndex();
-        long oldestNeeded = role == Role.LEADER
+        long oldestNeededIndex = role == Role.LEADER
                 ? followers.oldestNeededIndex(index, log.firstIndex(), leaderClock)
                 : Long.MAX_VALUE;
-        log.compact(newSnapshot, Math.min(index - options.trailingEntries(), oldestNeeded));
+        log.compact(newSnapshot, Math.min(index - options.trailingEntries(), oldestNeededIndex));
         unwrittenSnapshot = Optional.of(newSnapshot);
     }
 
@@ -766,8 +766,9 @@
         }
     }
 
-    private void onTimeoutNow(RaftMessage.TimeoutNow request, long now) {
-        if (request.term() == hardState.term() && log.configuration().voters().contains(self)) {
+    private void onTimeoutNow(RaftMessage.TimeoutNow timeoutNow, long now) {
+        if (timeoutNow.term() == hardState.term()
+                && log.configuration().voters().contains(self)) {
             campaign(false, true, now);
         }
     }
@@ -829,8 +830,8 @@
 
     private void scheduleElection(long now) {
         // A replica that has seen no leader since it started begins an election early. If all replicas have restarted,
-        // there is no leader to wait for; if there is a leader, the pre-vote is refused. It isn't shown that one
-        // heartbeat ends an outage sooner than two do, as votes are split more often.
+        // there is no leader to wait for; if there is a leader, the pre-vote is refused. One heartbeat rather than two
+        // starts the election sooner but splits votes more often, so that it may not shorten an outage.
         boolean noLeaderSeen = options.leaseMillis() == 0 && !leaderSeen;
         long shortest = noLeaderSeen
                 ? INITIAL_ELECTION_TIMEOUT_HEARTBEATS * options.heartbeatMillis()
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
@@ -128,9 +128,9 @@
     /** Removes expired claims. Each change moves a claim to the end of the map, so that the oldest ones come first. */
     private void expire(long atMillis) {
         latestMillis = Math.max(latestMillis, atMillis);
-        var iterator = claims.values().iterator();
-        while (iterator.hasNext() && iterator.next().changedAtMillis() <= latestMillis - retentionMillis) {
-            iterator.remove();
+        var claimIterator = claims.values().iterator();
+        while (claimIterator.hasNext() && claimIterator.next().changedAtMillis() <= latestMillis - retentionMillis) {
+            claimIterator.remove();
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -17,7 +17,8 @@
 
 /**
  * Stores the latest move of each route to another version, and earlier moves. An accepted edit that changes the version
- * of a route begins a move; after that, only proposals that match the current state and stage of the move change it.
+ * of a route begins a move. After that, the move only changes by proposals that match its current state and stage, by
+ * being taken back, or by another edit.
  */
 public final class MoveTable {
     private static final int MAXIMUM_ENDED_MOVES = 1_000;
@@ -131,10 +132,10 @@
                 changeCompletionTime(current, row, now);
                 return;
             }
-            boolean back = row.version().equals(current.from());
-            TakeBackReason reason = back ? TakeBackReason.BY_OPERATOR : TakeBackReason.SUPERSEDED;
+            boolean reverts = row.version().equals(current.from());
+            TakeBackReason reason = reverts ? TakeBackReason.BY_OPERATOR : TakeBackReason.SUPERSEDED;
             latest.put(row.name(), current.with(MoveState.TAKEN_BACK, current.stage(), reason, now));
-            if (back) {
+            if (reverts) {
                 return;
             }
             currentVersion = current.from();
--- a/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
@@ -87,9 +87,10 @@
 
     private void expire(long atMillis) {
         latestMillis = Math.max(latestMillis, atMillis);
-        var iterator = suspects.values().iterator();
-        while (iterator.hasNext() && iterator.next().reportedAtMillis() <= latestMillis - retentionMillis) {
-            iterator.remove();
+        var suspectIterator = suspects.values().iterator();
+        while (suspectIterator.hasNext()
+                && suspectIterator.next().reportedAtMillis() <= latestMillis - retentionMillis) {
+            suspectIterator.remove();
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Applies an edit, or returns the stored answer where the edit was applied before.
+     * Applies an edit, or returns the stored answer where the edit was answered before.
      *
      * @param edit the edit.
      * @param now the proposer's wall clock, in milliseconds since the epoch.
@@ -163,8 +163,8 @@
                 boolean versionOrTimeChanged = old != null
                         && (!old.row().version().equals(put.row().version())
                                 || old.row().completeByMillis() != put.row().completeByMillis());
-                long completeByMillis = put.row().completeByMillis();
-                if (versionOrTimeChanged && completeByMillis > 0 && completeByMillis < now + MINIMUM_MOVE_MILLIS) {
+                long completionTime = put.row().completeByMillis();
+                if (versionOrTimeChanged && completionTime > 0 && completionTime < now + MINIMUM_MOVE_MILLIS) {
                     faults.add(new TableFault(
                             "routes." + put.row().name() + ".completeByMillis",
                             "must be at least " + MINIMUM_MOVE_MILLIS + " ms from now"));
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -16,6 +16,8 @@
     private static final RaftOptions OPTIONS = new RaftOptions(50, 300, 220, 16, 1_000, 10);
     private static final Configuration THREE_VOTERS = Configuration.ofVoters(Set.of("a", "b", "c"));
     private static final long START = 10_000;
+
+    /** A time when an election is due and leases from before the start have expired, in milliseconds. */
     private static final long LATER = START + 700;
 
     private static RaftCore core(HardState hardState, List<LogEntry> entries) {
@@ -288,7 +290,7 @@
     class RestartOfAllReplicas {
         private final RaftOptions withoutLease = new RaftOptions(50, 300, 0, 16, 1_000, 10);
 
-        private RaftCore restarted(String name) {
+        private RaftCore restartedReplica(String name) {
             return new RaftCore(
                     withoutLease,
                     name,
@@ -300,12 +302,12 @@
         /** Guards against split votes after a power failure, which delay the first election by a second. */
         @Test
         void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtOnce() {
-            RaftCore higherIdentity = restarted("b");
+            RaftCore higherIdentity = restartedReplica("b");
             higherIdentity.tick(START + 350);
             assertThat(higherIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
             higherIdentity.receive("a", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
             assertThat(higherIdentity.role()).isEqualTo(Role.FOLLOWER);
-            RaftCore lowerIdentity = restarted("a");
+            RaftCore lowerIdentity = restartedReplica("a");
             lowerIdentity.tick(START + 350);
             lowerIdentity.receive("b", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
             assertThat(lowerIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
@@ -313,14 +315,14 @@
 
         @Test
         void theFirstElectionStartsEarlyWithoutALease() {
-            RaftCore core = restarted("a");
+            RaftCore core = restartedReplica("a");
             core.tick(START + 300);
             assertThat(core.role()).isEqualTo(Role.PRE_CANDIDATE);
         }
 
         @Test
         void aReplicaWithALeaderWaitsForTheFullElectionTimeout() {
-            RaftCore core = restarted("a");
+            RaftCore core = restartedReplica("a");
             core.receive("b", new RaftMessage.AppendRequest(4, 0, 0, List.of(), 0, 1), START + 10);
             core.tick(START + 300);
             assertThat(core.role()).isEqualTo(Role.FOLLOWER);
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -27,7 +27,7 @@
 
 class MoveTableTest {
     private static final long NOW = 1_000_000;
-    private static final long HOUR = 3_600_000;
+    private static final long HOUR_MILLIS = 3_600_000;
 
     private final ControlState state = new ControlState(StateOptions.STANDARD);
     private int editCount;
@@ -36,7 +36,7 @@
         return new UpstreamRow("runs-" + version, "127.0.0.1:1", "domain", "hardware", false, version);
     }
 
-    private EditAnswer put(String version, long completeBy, long now) {
+    private EditAnswer putRoute(String version, long completeBy, long now) {
         var current = state.tables().tables().routes().get("route");
         RouteRow row = new RouteRow(
                 "route", List.of(), "/", "pool", true, false, Tier.LOW, Tier.LOW, 1, 1, 1, version, completeBy);
@@ -46,14 +46,14 @@
         return ((ControlAnswer.OfEdit) answer).answer();
     }
 
-    private void start() {
+    private void createRoute() {
         PoolRow pool = new PoolRow(
                 "pool", PoolKind.SERVICE, List.of(upstream("1"), upstream("2"), upstream("3")), 1, 1, Map.of());
         state.apply(new ControlCommand.ApplyEdit(new TableEdit("pool", List.of(new RowChange.PutPool(pool, 0))), NOW));
-        put("1", 0, NOW);
+        putRoute("1", 0, NOW);
     }
 
-    private Move move() {
+    private Move latestMove() {
         return state.moves().latest().get("route");
     }
 
@@ -68,73 +68,73 @@
 
     @Test
     void anEditOfTheVersionBeginsAMove() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        assertThat(move()).isEqualTo(Move.begin(3, "route", "1", "2", NOW, NOW + HOUR));
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove()).isEqualTo(Move.begin(3, "route", "1", "2", NOW, NOW + HOUR_MILLIS));
         assertThat(split()).isEqualTo(new VersionSplit(3, "1", "2", MoveStage.FIRST.share()));
     }
 
     @Test
     void anEditWithTooEarlyACompletionTimeIsInvalid() {
-        start();
-        assertThat(put("2", NOW + 1, NOW)).isInstanceOf(EditAnswer.Invalid.class);
-        assertThat(move()).isNull();
+        createRoute();
+        assertThat(putRoute("2", NOW + 1, NOW)).isInstanceOf(EditAnswer.Invalid.class);
+        assertThat(latestMove()).isNull();
     }
 
     @Test
     void anEditToAVersionThatNoUpstreamRunsIsInvalid() {
-        start();
-        assertThat(put("9", NOW + HOUR, NOW)).isInstanceOf(EditAnswer.Invalid.class);
+        createRoute();
+        assertThat(putRoute("9", NOW + HOUR_MILLIS, NOW)).isInstanceOf(EditAnswer.Invalid.class);
     }
 
     @Test
-    void askingForTheOldVersionTakesTheMoveBack() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        put("1", 0, NOW);
-        assertThat(move().state()).isEqualTo(MoveState.TAKEN_BACK);
-        assertThat(move().reason()).isEqualTo(TakeBackReason.BY_OPERATOR);
+    void anEditToTheOldVersionTakesTheMoveBack() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        putRoute("1", 0, NOW);
+        assertThat(latestMove().state()).isEqualTo(MoveState.TAKEN_BACK);
+        assertThat(latestMove().reason()).isEqualTo(TakeBackReason.BY_OPERATOR);
         assertThat(split().share()).isZero();
     }
 
     @Test
-    void askingForYetAnotherVersionStartsFromTheOneInUse() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        put("3", NOW + HOUR, NOW);
-        assertThat(move().from()).isEqualTo("1");
-        assertThat(move().to()).isEqualTo("3");
+    void anEditToAThirdVersionStartsFromTheCurrentOne() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        putRoute("3", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove().from()).isEqualTo("1");
+        assertThat(latestMove().to()).isEqualTo("3");
         assertThat(state.moves().ended()).extracting(Move::reason).containsExactly(TakeBackReason.SUPERSEDED);
     }
 
     @Test
     void aCompletedMoveCanBeReversedByANewOne() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        propose(move(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
-        propose(move(), MoveState.DONE, MoveStage.ALL, TakeBackReason.NONE);
-        put("1", NOW + HOUR, NOW);
-        assertThat(move().from()).isEqualTo("2");
-        assertThat(move().to()).isEqualTo("1");
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        propose(latestMove(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
+        propose(latestMove(), MoveState.DONE, MoveStage.ALL, TakeBackReason.NONE);
+        putRoute("1", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove().from()).isEqualTo("2");
+        assertThat(latestMove().to()).isEqualTo("1");
     }
 
     @Test
     void anotherCompletionTimeDoesNotRestartAMove() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        propose(move(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
-        put("2", NOW + HOUR / 2, NOW);
-        assertThat(move().stage()).isEqualTo(MoveStage.SMALL);
-        assertThat(move().completeBy()).isEqualTo(NOW + HOUR / 2);
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        propose(latestMove(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
+        putRoute("2", NOW + HOUR_MILLIS / 2, NOW);
+        assertThat(latestMove().stage()).isEqualTo(MoveStage.SMALL);
+        assertThat(latestMove().completeBy()).isEqualTo(NOW + HOUR_MILLIS / 2);
     }
 
     /** Guards against requests to a version whose move was taken back, caused by delayed proposals or a snapshot. */
     @Property(seed = "99", tries = 200, shrinking = ShrinkingMode.OFF)
     void aMoveThatWasTakenBackNeverChangesAgain(@ForAll long seed) {
         Random random = new Random(seed);
-        start();
-        put("2", NOW + HOUR, NOW);
-        List<Move> seen = new java.util.ArrayList<>(List.of(move()));
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        List<Move> seen = new java.util.ArrayList<>(List.of(latestMove()));
         boolean takenBack = false;
         for (int step = 0; step < 60; step++) {
             Move stale = seen.get(random.nextInt(seen.size()));
@@ -144,7 +144,7 @@
             if (random.nextInt(5) == 0) {
                 state.restore(state.image().encode());
             }
-            Move now = move();
+            Move now = latestMove();
             assertThat(!takenBack || now.state() == MoveState.TAKEN_BACK).isTrue();
             assertThat(now.share()).isLessThanOrEqualTo(takenBack ? 0 : 1);
             boolean doneAndTakenBack = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
--- a/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aSuspectThatRanToItsEndIsCleared() {
+    void aSuspectThatFinishesIsCleared() {
         report("x", "crash-1", 0);
         table.clear(new ControlCommand.ClearSuspect("pool", "x", 1));
         assertThat(table.crashes("pool")).isEmpty();
--- a/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
@@ -17,7 +17,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class TablesDeltaTest {
-    private static TableEdit put(String changeId, String pool, int limit, long expected) {
+    private static TableEdit putPool(String changeId, String pool, int limit, long expected) {
         PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), limit, 1, Map.of());
         return new TableEdit(changeId, List.of(new RowChange.PutPool(row, expected)));
     }
@@ -30,7 +30,7 @@
         Tables copy = Tables.EMPTY;
         List<TablesDelta> sentDeltas = new ArrayList<>();
         for (int step = 0; step < 120; step++) {
-            edit(source, random, step);
+            applyRandomEdit(source, random, step);
             sentDeltas.add(source.since(copy.revision()));
             if (random.nextInt(3) > 0) {
                 Tables changed =
@@ -43,14 +43,14 @@
         assertThat(copy).isEqualTo(source.tables());
     }
 
-    private void edit(TablesState source, Random random, int step) {
+    private void applyRandomEdit(TablesState source, Random random, int step) {
         String pool = "p" + random.nextInt(5);
         var current = source.tables().pools().get(pool);
         long revision = current == null ? 0 : current.revision();
         if (current != null && random.nextInt(4) == 0) {
             source.apply(new TableEdit("c" + step, List.of(new RowChange.DeletePool(pool, revision))), 0);
         } else {
-            source.apply(put("c" + step, pool, step + 1, revision), 0);
+            source.apply(putPool("c" + step, pool, step + 1, revision), 0);
         }
     }
 }
--- a/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
@@ -17,7 +17,7 @@
 class TablesStateTest {
     private final TablesState state = new TablesState();
 
-    private static TableEdit put(String changeId, String pool, int limit, long expected) {
+    private static TableEdit putPool(String changeId, String pool, int limit, long expected) {
         PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), limit, 1, Map.of());
         return new TableEdit(changeId, List.of(new RowChange.PutPool(row, expected)));
     }
@@ -26,9 +26,9 @@
     class ConcurrentEdits {
         @Test
         void exactlyOneOfTwoEditsWithEqualRevisionsIsAccepted() {
-            state.apply(put("first", "p", 1, 0), 0);
-            assertThat(state.apply(put("left", "p", 2, 1), 0)).isEqualTo(new EditAnswer.Accepted(2));
-            EditAnswer late = state.apply(put("right", "p", 3, 1), 0);
+            state.apply(putPool("first", "p", 1, 0), 0);
+            assertThat(state.apply(putPool("left", "p", 2, 1), 0)).isEqualTo(new EditAnswer.Accepted(2));
+            EditAnswer late = state.apply(putPool("right", "p", 3, 1), 0);
             assertThat(late).isInstanceOfSatisfying(EditAnswer.Conflict.class, conflict -> {
                 assertThat(conflict.currentRevision()).isEqualTo(2);
                 assertThat(conflict.currentRow()).contains("\"queueLimit\":2");
@@ -38,19 +38,19 @@
         /** Guards against a late retry of an accepted edit that is answered with a conflict. */
         @Test
         void aResendAfterAThousandEditsAndASnapshotGetsItsFirstAnswer() {
-            EditAnswer first = state.apply(put("lost", "p", 1, 0), 0);
+            EditAnswer first = state.apply(putPool("lost", "p", 1, 0), 0);
             for (int edit = 0; edit < 1_000; edit++) {
-                state.apply(put("edit-" + edit, "q", edit + 1, edit == 0 ? 0 : edit + 1), 0);
+                state.apply(putPool("edit-" + edit, "q", edit + 1, edit == 0 ? 0 : edit + 1), 0);
             }
             TablesState restored = new TablesState(state.image());
-            assertThat(restored.apply(put("lost", "p", 1, 0), 0)).isEqualTo(first);
+            assertThat(restored.apply(putPool("lost", "p", 1, 0), 0)).isEqualTo(first);
             assertThat(restored.tables().revision()).isEqualTo(1_001);
         }
 
         @Test
         void aChangeIdThatIsUsedForAnotherEditIsInvalid() {
-            state.apply(put("same", "p", 1, 0), 0);
-            assertThat(state.apply(put("same", "p", 2, 1), 0)).isInstanceOf(EditAnswer.Invalid.class);
+            state.apply(putPool("same", "p", 1, 0), 0);
+            assertThat(state.apply(putPool("same", "p", 2, 1), 0)).isInstanceOf(EditAnswer.Invalid.class);
             assertThat(state.tables().revision()).isEqualTo(1);
         }
     }
