--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -205,7 +205,7 @@
 
         /** Guards against two leaders with separate quorums after several replicas were replaced. */
         @Test
-        void aSecondChangeWaitsForTheFirst() {
+        void aChangeIsRefusedWhileAnotherIsUncommitted() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
--- a/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
@@ -13,7 +13,7 @@
     @Nested
     class Publishing {
         @Test
-        void takesAHigherRevision() {
+        void acceptsAHigherRevision() {
             state.publish(new Document(3, "three"));
             state.publish(new Document(9, "nine"));
             assertThat(state.document()).isEqualTo(new Document(9, "nine"));
--- a/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aFinishedRequestGivesItsAnswerAgain() {
+    void aRetryOfAFinishedRequestGetsItsAnswer() {
         claim(FIRST, "x", 0);
         table.finish(new ControlCommand.FinishClaim(KEY, FIRST, ANSWER, 1));
         assertThat(claim(SECOND, "x", 2)).isEqualTo(new ClaimAnswer.Finished(ANSWER));
@@ -55,7 +55,7 @@
 
     /** Guards against retries that are refused as in progress until the key expires. */
     @Test
-    void aLateCopyOfAReleasedClaimStaysWithdrawn() {
+    void aDelayedDuplicateOfAReleasedClaimIsRefused() {
         claim(FIRST, "x", 0);
         table.release(new ControlCommand.ReleaseClaim(KEY, FIRST, 1));
         assertThat(claim(FIRST, "x", 2)).isInstanceOf(ClaimAnswer.Withdrawn.class);
--- a/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesStateTest.java
@@ -37,7 +37,7 @@
 
         /** Guards against a late retry of an accepted edit that is answered with a conflict. */
         @Test
-        void aResendAfterAThousandEditsAndASnapshotGetsItsFirstAnswer() {
+        void aRetryAfterAThousandEditsAndASnapshotGetsTheFirstAnswer() {
             EditAnswer first = state.apply(putPool("lost", "p", 1, 0), 0);
             for (int edit = 0; edit < 1_000; edit++) {
                 state.apply(putPool("edit-" + edit, "q", edit + 1, edit == 0 ? 0 : edit + 1), 0);
