--- a/replication/src/main/java/org/radishspur/replication/raft/Followers.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Followers.java
@@ -63,7 +63,8 @@
 
     /**
      * Returns the index after which the log must be kept for replicas that reply but lag; without those entries, a
-     * replica that has just installed a snapshot would need the next one immediately and never catch up.
+     * replica that has just installed a snapshot would need the next one immediately and never catch up. Also abandons
+     * the transfer of a snapshot to a replica that no longer replies.
      */
     long oldestNeededIndex(long index, long firstIndex, long clock) {
         long oldest = Long.MAX_VALUE;
