--- a/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
@@ -47,11 +47,11 @@
     }
 
     /** Returns whether a call needs no token, as the balancer's and the monitor's. */
-    static boolean isOpen(String path) {
+    static boolean isPublicPath(String path) {
         return path.equals("/health") || path.equals("/ready") || path.equals("/metrics");
     }
 
-    void carryOut(HttpMethod method, String path, String body, Reply reply) {
+    void handle(HttpMethod method, String path, String body, Reply reply) {
         Matcher replace = REPLACE.matcher(path);
         Matcher evacuation = EVACUATION.matcher(path);
         if (method.equals(HttpMethod.POST) && path.equals("/v1/edits")) {
@@ -65,22 +65,22 @@
         } else if (method.equals(HttpMethod.GET)) {
             read(path, reply);
         } else {
-            reply.send(unknown(path));
+            reply.send(unknownCall(path));
         }
     }
 
     private void read(String path, Reply reply) {
         switch (path) {
             case "/health", "/ready" -> reply.send(health());
-            case "/metrics" -> reply.send(AdminAnswer.ok(metricsTree()));
+            case "/metrics" -> reply.send(AdminAnswer.ok(metricsJson()));
             case "/v1/tables" -> reply.send(AdminAnswer.ok(core.tables()));
             case "/v1/pools" -> core.poolReport(report -> reply.send(AdminAnswer.ok(report)));
             case "/v1/status" -> call(new ControlRequest.Status(), reply);
-            default -> reply.send(unknown(path));
+            default -> reply.send(unknownCall(path));
         }
     }
 
-    private JsonNode metricsTree() {
+    private JsonNode metricsJson() {
         return metricsMapper.valueToTree(metrics.registry());
     }
 
@@ -158,7 +158,7 @@
         return AdminAnswer.ok(answer);
     }
 
-    private static AdminAnswer unknown(String path) {
+    private static AdminAnswer unknownCall(String path) {
         return AdminAnswer.failure(
                 HttpResponseStatus.NOT_FOUND, ErrorCode.CALL_INVALID.code(), "no such call: " + path);
     }
--- a/node/src/main/java/org/radishspur/node/admin/AdminServer.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminServer.java
@@ -36,9 +36,9 @@
  * Accepts operators' connections; all but health and metrics asks for the token.
  */
 public final class AdminServer implements Child {
-    private static final int GREATEST_BODY_BYTES = 16 << 20;
-    private static final int IDLE_SECONDS = 60;
-    private static final String BEARER = "Bearer ";
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int IDLE_TIMEOUT_SECONDS = 60;
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final NodeSettings settings;
     private final byte[] token;
@@ -81,10 +81,10 @@
                     @Override
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
-                                .addLast(new ReadTimeoutHandler(IDLE_SECONDS))
+                                .addLast(new ReadTimeoutHandler(IDLE_TIMEOUT_SECONDS))
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(GREATEST_BODY_BYTES))
-                                .addLast(new Connection());
+                                .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                                .addLast(new ConnectionHandler());
                     }
                 })
                 .bind(settings.adminAddress().toSocketAddress())
@@ -105,8 +105,8 @@
 
     private boolean isAuthorised(FullHttpRequest request) {
         String shown = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
-        byte[] value = shown.startsWith(BEARER)
-                ? shown.substring(BEARER.length()).getBytes(StandardCharsets.UTF_8)
+        byte[] value = shown.startsWith(BEARER_PREFIX)
+                ? shown.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8)
                 : new byte[0];
         return MessageDigest.isEqual(value, token);
     }
@@ -114,7 +114,7 @@
     /**
      * Serves one operator's connection.
      */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -125,7 +125,7 @@
                         context,
                         AdminAnswer.failure(HttpResponseStatus.BAD_REQUEST, ErrorCode.CALL_INVALID.code(), "not HTTP"),
                         false);
-            } else if (!AdminCalls.isOpen(path) && !isAuthorised(request)) {
+            } else if (!AdminCalls.isPublicPath(path) && !isAuthorised(request)) {
                 metrics.failed(ErrorCode.TOKEN_REFUSED);
                 send(
                         context,
@@ -135,7 +135,7 @@
                                 "the token is missing or wrong"),
                         keepAlive);
             } else {
-                calls.carryOut(
+                calls.handle(
                         request.method(),
                         path,
                         request.content().toString(StandardCharsets.UTF_8),
--- a/node/src/main/java/org/radishspur/node/caller/AnswerWriter.java
+++ b/node/src/main/java/org/radishspur/node/caller/AnswerWriter.java
@@ -24,48 +24,48 @@
 final class AnswerWriter {
     private final CallerHandler connection;
     private final ChannelHandlerContext context;
-    private final String request;
-    private final boolean oldVersion;
+    private final String requestId;
+    private final boolean beforeHttp11;
     private boolean headWritten;
 
     AnswerWriter(CallerHandler connection, ChannelHandlerContext context, String request, boolean oldVersion) {
         this.connection = connection;
         this.context = context;
-        this.request = request;
-        this.oldVersion = oldVersion;
+        this.requestId = request;
+        this.beforeHttp11 = oldVersion;
     }
 
     boolean isHeadWritten() {
         return headWritten;
     }
 
-    void head(HttpResponse answer, String upstream) {
+    void writeHead(HttpResponse answer, String upstream) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status());
         UpstreamHeaders.INSTANCE.copyEndToEnd(answer.headers(), head.headers());
         boolean bodiless = answer.status().code() == HttpResponseStatus.NO_CONTENT.code()
                 || answer.status().code() == HttpResponseStatus.NOT_MODIFIED.code();
-        if (!head.headers().contains(HttpHeaderNames.CONTENT_LENGTH) && !bodiless && !oldVersion) {
+        if (!head.headers().contains(HttpHeaderNames.CONTENT_LENGTH) && !bodiless && !beforeHttp11) {
             HttpUtil.setTransferEncodingChunked(head, true);
         }
         head.headers().set(CallerHeaders.UPSTREAM, upstream);
-        decorate(head);
+        addCommonHeaders(head);
         headWritten = true;
         context.write(head);
     }
 
-    void content(ByteBuf part) {
+    void writeContent(ByteBuf part) {
         context.write(new DefaultHttpContent(part));
     }
 
-    void end() {
+    void writeEnd() {
         context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    void refuse(Refusal refusal) {
-        full(Problem.of(refusal).toResponse());
+    void writeRefusal(Refusal refusal) {
+        writeFull(Problem.of(refusal).toResponse());
     }
 
-    void replay(StoredAnswer answer) {
+    void writeStoredAnswer(StoredAnswer answer) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(answer.status()),
@@ -75,22 +75,22 @@
         }
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
         response.headers().set(CallerHeaders.REPLAYED, "true");
-        full(response);
+        writeFull(response);
     }
 
-    private void full(FullHttpResponse response) {
-        decorate(response);
+    private void writeFull(FullHttpResponse response) {
+        addCommonHeaders(response);
         headWritten = true;
         context.writeAndFlush(response);
     }
 
-    private void decorate(HttpResponse response) {
-        response.headers().set(UpstreamHeaders.REQUEST, request);
+    private void addCommonHeaders(HttpResponse response) {
+        response.headers().set(UpstreamHeaders.REQUEST, requestId);
         boolean lengthKnown = response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || HttpUtil.isTransferEncodingChunked(response);
-        if (connection.closesAfterAnswer() || oldVersion && !lengthKnown) {
+        if (connection.closesAfterAnswer() || beforeHttp11 && !lengthKnown) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        } else if (oldVersion) {
+        } else if (beforeHttp11) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
--- a/node/src/main/java/org/radishspur/node/caller/BodyDigest.java
+++ b/node/src/main/java/org/radishspur/node/caller/BodyDigest.java
@@ -19,8 +19,8 @@
 
     private static final int BLOCK_BYTES = Work.BLOCK_TOKENS * BYTES_PER_TOKEN;
     private static final int FINGERPRINT_BYTES = 16;
-    private static final long PRIME = 0x100000001B3L;
-    private static final long SEED = 0xCBF29CE484222325L;
+    private static final long FNV_PRIME = 0x100000001B3L;
+    private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
 
     private BodyDigest() {}
 
@@ -36,13 +36,13 @@
     }
 
     /** Digests each whole block together with all before it, so that equal digests mean equal beginnings. */
-    static List<Long> prefix(ByteBuf beginning) {
+    static List<Long> prefixDigests(ByteBuf beginning) {
         List<Long> blocks = new ArrayList<>();
-        long chained = SEED;
+        long chained = FNV_OFFSET_BASIS;
         int length = beginning.readableBytes();
         for (int offset = 0; offset + BLOCK_BYTES <= length; offset += BLOCK_BYTES) {
             for (int index = offset; index < offset + BLOCK_BYTES; index++) {
-                chained = (chained ^ beginning.getByte(beginning.readerIndex() + index)) * PRIME;
+                chained = (chained ^ beginning.getByte(beginning.readerIndex() + index)) * FNV_PRIME;
             }
             blocks.add(chained);
         }
--- a/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
@@ -24,15 +24,15 @@
  * Serves one caller's connection, one request after another.
  */
 final class CallerHandler extends ChannelInboundHandlerAdapter {
-    private static final long GREATEST_DISCARDED_BYTES = 4L << 20;
+    private static final long MAX_DISCARDED_BYTES = 4L << 20;
 
     private final CallerServices services;
-    private final Deque<HttpObject> arrived = new ArrayDeque<>();
+    private final Deque<HttpObject> pendingObjects = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private Exchange exchange;
     private boolean keepAlive = true;
-    private boolean requestWhole = true;
-    private boolean wanted;
+    private boolean requestComplete = true;
+    private boolean objectRequested;
     private boolean delivering;
     private long discardedBytes;
 
@@ -44,36 +44,36 @@
     @Override
     public void channelActive(ChannelHandlerContext active) {
         context = active;
-        demand();
+        requestNext();
     }
 
     /** {@inheritDoc} */
     @Override
     public void channelRead(ChannelHandlerContext source, Object message) {
-        arrived.addLast((HttpObject) message);
-        deliver();
+        pendingObjects.addLast((HttpObject) message);
+        deliverPending();
     }
 
     /**
      * Asks for the next part of the caller's requests. Parts come one by one and only when asked for, so that a caller
      * can't fill the memory; asking twice is the same as asking once.
      */
-    void demand() {
-        wanted = true;
-        deliver();
+    void requestNext() {
+        objectRequested = true;
+        deliverPending();
     }
 
-    private void deliver() {
+    private void deliverPending() {
         if (delivering) {
             return;
         }
         delivering = true;
-        while (wanted && !arrived.isEmpty() && !(exchange != null && requestWhole)) {
-            wanted = false;
-            handle(arrived.removeFirst());
+        while (objectRequested && !pendingObjects.isEmpty() && !(exchange != null && requestComplete)) {
+            objectRequested = false;
+            handle(pendingObjects.removeFirst());
         }
         delivering = false;
-        if (wanted && arrived.isEmpty()) {
+        if (objectRequested && pendingObjects.isEmpty()) {
             context.read();
         }
     }
@@ -81,48 +81,48 @@
     private void handle(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
-            malformed(part.decoderResult().cause());
+            rejectMalformed(part.decoderResult().cause());
         } else if (part instanceof HttpRequest request) {
             begin(request);
         } else if (part instanceof HttpContent content) {
-            take(content);
+            handleContent(content);
         }
     }
 
     private void begin(HttpRequest request) {
         keepAlive = HttpUtil.isKeepAlive(request);
-        requestWhole = false;
+        requestComplete = false;
         exchange = new Exchange(services, this, context, request);
         exchange.begin();
         if (exchange != null) {
-            demand();
+            requestNext();
         }
     }
 
-    private void take(HttpContent content) {
-        requestWhole |= content instanceof LastHttpContent;
+    private void handleContent(HttpContent content) {
+        requestComplete |= content instanceof LastHttpContent;
         if (exchange != null) {
             exchange.onBody(content);
             return;
         }
         discardedBytes += content.content().readableBytes();
         content.release();
-        if (discardedBytes > GREATEST_DISCARDED_BYTES) {
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
             context.close();
         } else {
-            demand();
+            requestNext();
         }
     }
 
     /** Learns from the exchange that its caller has got the final answer, or never will. */
-    void exchangeEnded() {
+    void onExchangeEnded() {
         exchange = null;
         if (!keepAlive || services.core().isShuttingDown()) {
             context.flush();
             context.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         } else {
             discardedBytes = 0;
-            demand();
+            requestNext();
         }
     }
 
@@ -131,7 +131,7 @@
         return !keepAlive || services.core().isShuttingDown();
     }
 
-    private void malformed(Throwable cause) {
+    private void rejectMalformed(Throwable cause) {
         RefusalReason reason = cause instanceof TooLongFrameException
                 ? RefusalReason.HEADERS_TOO_LARGE
                 : RefusalReason.MALFORMED_REQUEST;
@@ -159,7 +159,7 @@
     public void userEventTriggered(ChannelHandlerContext source, Object event) {
         // A caller that stops in the middle of its request holds nothing up for good; one that waits for its answer is
         // not idle.
-        if (event instanceof IdleStateEvent && (exchange == null || !requestWhole)) {
+        if (event instanceof IdleStateEvent && (exchange == null || !requestComplete)) {
             source.close();
         }
     }
@@ -167,8 +167,8 @@
     /** {@inheritDoc} */
     @Override
     public void channelInactive(ChannelHandlerContext source) {
-        arrived.forEach(ReferenceCountUtil::release);
-        arrived.clear();
+        pendingObjects.forEach(ReferenceCountUtil::release);
+        pendingObjects.clear();
         if (exchange != null) {
             Exchange abandoned = exchange;
             exchange = null;
--- a/node/src/main/java/org/radishspur/node/caller/CallerServer.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServer.java
@@ -23,7 +23,7 @@
  */
 public final class CallerServer implements Child {
     private static final int BACKLOG = 4_096;
-    private static final int CHUNK_BYTES = 8_192;
+    private static final int MAX_CHUNK_BYTES = 8_192;
 
     private final CallerServices services;
     private final EventLoopGroup group;
@@ -54,7 +54,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        install(accepted);
+                        initialisePipeline(accepted);
                     }
                 })
                 .bind(services.settings().callerAddress().toSocketAddress())
@@ -93,7 +93,7 @@
         }
     }
 
-    private void install(SocketChannel accepted) {
+    private void initialisePipeline(SocketChannel accepted) {
         Limits limits = services.settings().limits();
         if (connections.incrementAndGet() > limits.callerConnections()) {
             connections.decrementAndGet();
@@ -104,7 +104,7 @@
         accepted.pipeline()
                 .addLast(new IdleStateHandler(
                         services.settings().timeouts().callerIdleMillis(), 0, 0, TimeUnit.MILLISECONDS))
-                .addLast(new HttpServerCodec(limits.headerBytes(), limits.headerBytes(), CHUNK_BYTES))
+                .addLast(new HttpServerCodec(limits.headerBytes(), limits.headerBytes(), MAX_CHUNK_BYTES))
                 .addLast(new CallerHandler(services));
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/CallerServices.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServices.java
@@ -19,9 +19,9 @@
     private final NodeSettings settings;
     private final NodeCore core;
     private final NodeMetrics metrics;
-    private static final int MOST_RETRIES_AT_ONCE = 100;
+    private static final int MAX_RETRY_BURST = 100;
 
-    private final RetryBudget retries;
+    private final RetryBudget retryBudget;
     private final Map<EventLoop, UpstreamConnections> connections = new ConcurrentHashMap<>();
     private final Set<RequestKey> localClaims = ConcurrentHashMap.newKeySet();
     private final AtomicInteger inProgress = new AtomicInteger();
@@ -37,7 +37,7 @@
         this.settings = settings;
         this.core = core;
         this.metrics = metrics;
-        this.retries = new RetryBudget(settings.limits().retryShare(), MOST_RETRIES_AT_ONCE);
+        this.retryBudget = new RetryBudget(settings.limits().retryShare(), MAX_RETRY_BURST);
     }
 
     NodeSettings settings() {
@@ -52,8 +52,8 @@
         return metrics;
     }
 
-    RetryBudget retries() {
-        return retries;
+    RetryBudget retryBudget() {
+        return retryBudget;
     }
 
     Set<RequestKey> localClaims() {
@@ -69,11 +69,11 @@
                         settings.timeouts().upstreamKeepMillis()));
     }
 
-    void began() {
+    void requestBegan() {
         inProgress.incrementAndGet();
     }
 
-    void ended() {
+    void requestEnded() {
         inProgress.decrementAndGet();
     }
 
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/Exchange.java
@@ -45,31 +45,31 @@
  * connection.
  */
 final class Exchange {
-    private static final int MOST_ATTEMPTS = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final int STANDARD_OUTPUT_TOKENS = 256;
+    private static final int DEFAULT_OUTPUT_TOKENS = 256;
 
     private final CallerServices services;
     private final CallerHandler connection;
     private final ChannelHandlerContext context;
     private final HttpRequest request;
-    private final long beganAt = System.nanoTime();
-    private final ByteBuf beginning = Unpooled.buffer(0);
+    private final long beganNanos = System.nanoTime();
+    private final ByteBuf initialBody = Unpooled.buffer(0);
     private final AnswerWriter answer;
 
-    private Admitted admitted;
+    private ValidatedRequest validated;
     private TokenCounter tokens;
-    private ClaimKeeper claim;
+    private RequestClaim claim;
     private String fingerprint = "";
     private Stage stage = Stage.READING;
     private boolean callerDone;
-    private boolean bodyWhole;
-    private boolean bodyForwarded;
+    private boolean bodyComplete;
+    private boolean unbufferedBodySent;
     private long bodyBytes;
-    private int attempts;
+    private int attemptCount;
     private Attempt attempt;
     private ScheduledFuture<?> deadlineTimer;
-    private ScheduledFuture<?> silenceTimer;
+    private ScheduledFuture<?> inactivityTimer;
 
     Exchange(CallerServices services, CallerHandler connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
@@ -83,8 +83,8 @@
     }
 
     void begin() {
-        services.began();
-        services.retries().requested();
+        services.requestBegan();
+        services.retryBudget().requested();
         if (services.core().isShuttingDown()) {
             refuse(Refusal.notRun(RefusalReason.SHUTTING_DOWN, "This node is shutting down.", RETRY_AFTER_MILLIS));
             return;
@@ -95,14 +95,15 @@
             return;
         }
         try {
-            admitted = HeadReader.read(request, services.core().tables());
-        } catch (CallerRefusal refusal) {
+            validated = RequestHeadReader.read(request, services.core().tables());
+        } catch (RefusalException refusal) {
             refuse(refusal.refusal());
             return;
         }
-        tokens = new TokenCounter(admitted.poolKind());
-        deadlineTimer = context.executor().schedule(this::onDeadline, admitted.deadlineMillis(), TimeUnit.MILLISECONDS);
-        if (HeadReader.expectsContinue(request)) {
+        tokens = new TokenCounter(validated.poolKind());
+        deadlineTimer =
+                context.executor().schedule(this::onDeadline, validated.deadlineMillis(), TimeUnit.MILLISECONDS);
+        if (RequestHeadReader.expectsContinue(request)) {
             FullHttpResponse goOn = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE);
             context.writeAndFlush(goOn);
         }
@@ -110,18 +111,19 @@
 
     void onBody(HttpContent content) {
         bodyBytes += content.content().readableBytes();
-        bodyWhole |= content instanceof LastHttpContent;
-        if (bodyBytes > admitted.route().bodyLimitBytes()) {
+        bodyComplete |= content instanceof LastHttpContent;
+        if (bodyBytes > validated.route().bodyLimitBytes()) {
             content.release();
             onBodyTooLarge();
         } else if (stage == Stage.READING) {
-            beginning.writeBytes(content.content());
+            initialBody.writeBytes(content.content());
             content.release();
-            if (bodyWhole
-                    || beginning.readableBytes() >= services.settings().limits().initialBodyBytes()) {
+            if (bodyComplete
+                    || initialBody.readableBytes()
+                            >= services.settings().limits().initialBodyBytes()) {
                 dispatch();
             } else {
-                connection.demand();
+                connection.requestNext();
             }
         } else if (stage == Stage.RUNNING) {
             forward(content);
@@ -131,29 +133,29 @@
     }
 
     private void forward(HttpContent content) {
-        bodyForwarded = true;
-        boolean last = bodyWhole;
-        attempt.exchange.write(content).addListener(future -> {
+        unbufferedBodySent = true;
+        boolean last = bodyComplete;
+        attempt.upstreamExchange.write(content).addListener(future -> {
             if (future.isSuccess() && !callerDone) {
-                connection.demand();
+                connection.requestNext();
             }
             if (last) {
-                attempt.silentSince = System.nanoTime();
+                attempt.lastActivityNanos = System.nanoTime();
             }
         });
     }
 
     private void dispatch() {
         long length = HttpUtil.getContentLength(request, -1L);
-        fingerprint = BodyDigest.fingerprint(request.method().name(), request.uri(), length, beginning);
-        if (bodyWhole) {
+        fingerprint = BodyDigest.fingerprint(request.method().name(), request.uri(), length, initialBody);
+        if (bodyComplete) {
             // One read stays open while the answer is prepared: it is what shows that the caller has gone.
-            connection.demand();
+            connection.requestNext();
         }
-        if (admitted.key().isPresent()) {
+        if (validated.key().isPresent()) {
             claim();
         } else {
-            askForPermit();
+            requestPermit();
         }
     }
 
@@ -161,16 +163,16 @@
         stage = Stage.CLAIMING;
         PermitId number = services.core().nextAttempt();
         ClaimHolder holder = new ClaimHolder(number.node(), number.incarnation(), number.sequence());
-        claim = new ClaimKeeper(
+        claim = new RequestClaim(
                 services.core(),
-                admitted.key().orElseThrow(),
+                validated.key().orElseThrow(),
                 holder,
                 services.settings().limits().storedAnswerBytes());
         long startedAt = System.nanoTime();
-        long timeout = Math.min(services.settings().timeouts().controlCallMillis(), admitted.deadlineMillis());
+        long timeout = Math.min(services.settings().timeouts().controlCallMillis(), validated.deadlineMillis());
         services.core()
                 .commit(
-                        claim.command(fingerprint),
+                        claim.claimCommand(fingerprint),
                         timeout,
                         result -> context.executor().execute(() -> {
                             services.metrics().claimTime().update(System.nanoTime() - startedAt, TimeUnit.NANOSECONDS);
@@ -188,10 +190,10 @@
                 && committed.answer() instanceof ControlAnswer.OfClaim answered) {
             onClaimAnswer(answered.answer(), committed.holderLives());
         } else if (result instanceof ControlResult.Unreachable
-                && admitted.route().idempotent()
+                && validated.route().idempotent()
                 && services.localClaims().add(claim.key())) {
             services.metrics().claimedLocally();
-            askForPermit();
+            requestPermit();
         } else {
             refuse(Refusal.notRun(
                     RefusalReason.CLAIMS_UNAVAILABLE, "The request can't be claimed now.", RETRY_AFTER_MILLIS));
@@ -200,7 +202,7 @@
 
     private void onClaimAnswer(ClaimAnswer answered, boolean holderLives) {
         if (answered instanceof ClaimAnswer.Granted) {
-            askForPermit();
+            requestPermit();
             return;
         }
         claim = null;
@@ -238,38 +240,38 @@
                     0));
         } else {
             services.metrics().replayed();
-            answer.replay(finished.answer());
-            finishAll();
+            answer.writeStoredAnswer(finished.answer());
+            complete();
         }
     }
 
-    private void askForPermit() {
+    private void requestPermit() {
         stage = Stage.WAITING;
-        attempts++;
+        attemptCount++;
         Attempt next = new Attempt(services.core().nextAttempt());
         attempt = next;
-        long elapsedMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganAt);
+        long elapsedMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNanos);
         PeerMessage.PermitAsk ask = new PeerMessage.PermitAsk(
-                admitted.route().pool(),
+                validated.route().pool(),
                 next.id,
-                admitted.tier(),
-                admitted.organisation(),
-                admitted.route().name(),
-                TimeUnit.MILLISECONDS.toMicros(admitted.deadlineMillis()) - elapsedMicros,
-                work(),
+                validated.tier(),
+                validated.organisation(),
+                validated.route().name(),
+                TimeUnit.MILLISECONDS.toMicros(validated.deadlineMillis()) - elapsedMicros,
+                estimateCost(),
                 fingerprint);
         services.core().ask(ask, next);
     }
 
-    private Work work() {
-        if (admitted.poolKind() == PoolKind.SERVICE) {
+    private Work estimateCost() {
+        if (validated.poolKind() == PoolKind.SERVICE) {
             return Work.OF_SERVICE_CALL;
         }
-        long length = Math.max(HttpUtil.getContentLength(request, 0L), beginning.readableBytes());
+        long length = Math.max(HttpUtil.getContentLength(request, 0L), initialBody.readableBytes());
         int guessed = (int) Math.max(1, length / BodyDigest.BYTES_PER_TOKEN);
-        int prompt = admitted.promptTokens() > 0 ? admitted.promptTokens() : guessed;
-        int output = admitted.outputTokens() > 0 ? admitted.outputTokens() : STANDARD_OUTPUT_TOKENS;
-        return new Work(prompt, output, BodyDigest.prefix(beginning));
+        int prompt = validated.promptTokens() > 0 ? validated.promptTokens() : guessed;
+        int output = validated.outputTokens() > 0 ? validated.outputTokens() : DEFAULT_OUTPUT_TOKENS;
+        return new Work(prompt, output, BodyDigest.prefixDigests(initialBody));
     }
 
     private void onDeadline() {
@@ -284,12 +286,12 @@
                         RETRY_AFTER_MILLIS));
             case RUNNING -> {
                 Refusal late = Refusal.unknown(RefusalReason.DEADLINE_PASSED, "The deadline passed.");
-                if (mayRunOn()) {
-                    endCaller(late);
+                if (finishesWithoutCaller()) {
+                    failCaller(late);
                     // Guards against an answer that never ends: a caller that had stopped reading has stopped the
                     // reading
                     // of the upstream with it, and nothing else starts it again once the caller is let go.
-                    attempt.exchange.read();
+                    attempt.upstreamExchange.read();
                 } else {
                     abandon(late, Ending.CANCELLED);
                 }
@@ -302,8 +304,8 @@
      * Returns whether the upstream is to finish although nobody waits: the call can't be repeated, and a resend with the
      * same key will ask for its answer.
      */
-    private boolean mayRunOn() {
-        return claim != null && !admitted.route().idempotent() && bodyWhole;
+    private boolean finishesWithoutCaller() {
+        return claim != null && !validated.route().idempotent() && bodyComplete;
     }
 
     void onCallerGone() {
@@ -313,10 +315,10 @@
         Refusal gone = stage == Stage.RUNNING
                 ? Refusal.unknown(RefusalReason.CALLER_GONE, "The caller went away.")
                 : Refusal.notRun(RefusalReason.CALLER_GONE, "The caller went away.");
-        if (stage == Stage.RUNNING && mayRunOn()) {
+        if (stage == Stage.RUNNING && finishesWithoutCaller()) {
             services.metrics().refused(RefusalReason.CALLER_GONE);
             callerDone = true;
-            attempt.exchange.read();
+            attempt.upstreamExchange.read();
         } else if (stage == Stage.RUNNING) {
             callerDone = true;
             services.metrics().refused(RefusalReason.CALLER_GONE);
@@ -330,12 +332,12 @@
 
     void onCallerWritable() {
         if (stage == Stage.RUNNING && context.channel().isWritable()) {
-            attempt.exchange.read();
+            attempt.upstreamExchange.read();
         }
     }
 
     private void onBodyTooLarge() {
-        String detail = "The route takes at most " + admitted.route().bodyLimitBytes() + " bytes.";
+        String detail = "The route takes at most " + validated.route().bodyLimitBytes() + " bytes.";
         if (stage == Stage.RUNNING) {
             abandon(Refusal.unknown(RefusalReason.BODY_TOO_LARGE, detail), Ending.CANCELLED);
         } else {
@@ -355,8 +357,8 @@
             services.core().cancel(attempt.id);
             attempt.abort();
         }
-        endCaller(refusal);
-        finishAll();
+        failCaller(refusal);
+        complete();
     }
 
     /** Ends a request of which nobody can say whether it ran, and stops the upstream. */
@@ -364,14 +366,14 @@
         attempt.abort();
         services.core().finish(attempt.id, attempt.outcome(ending));
         if (claim != null) {
-            claim.finishUnknown();
+            claim.finishWithUnknownOutcome();
         }
-        endCaller(refusal);
-        finishAll();
+        failCaller(refusal);
+        complete();
     }
 
     /** Gives the caller its final answer; an answer that has begun can only be broken off. */
-    private void endCaller(Refusal refusal) {
+    private void failCaller(Refusal refusal) {
         if (callerDone) {
             return;
         }
@@ -382,11 +384,11 @@
             context.close();
             return;
         }
-        answer.refuse(refusal);
-        connection.exchangeEnded();
+        answer.writeRefusal(refusal);
+        connection.onExchangeEnded();
     }
 
-    private void finishAll() {
+    private void complete() {
         if (stage == Stage.DONE) {
             return;
         }
@@ -394,26 +396,26 @@
         if (deadlineTimer != null) {
             deadlineTimer.cancel(false);
         }
-        if (silenceTimer != null) {
-            silenceTimer.cancel(false);
+        if (inactivityTimer != null) {
+            inactivityTimer.cancel(false);
         }
-        beginning.release();
+        initialBody.release();
         if (claim != null) {
             services.localClaims().remove(claim.key());
         }
-        services.ended();
+        services.requestEnded();
         if (!callerDone) {
             callerDone = true;
-            connection.exchangeEnded();
+            connection.onExchangeEnded();
         }
     }
 
-    private void retry(RetryReason reason, Ending ending) {
+    private void retryOrRefuse(RetryReason reason, Ending ending) {
         services.core().finish(attempt.id, attempt.outcome(ending));
-        boolean possible = !bodyForwarded && attempts < MOST_ATTEMPTS && !callerDone;
-        if (possible && services.retries().take()) {
+        boolean possible = !unbufferedBodySent && attemptCount < MAX_ATTEMPTS && !callerDone;
+        if (possible && services.retryBudget().take()) {
             services.metrics().retried(reason);
-            askForPermit();
+            requestPermit();
             return;
         }
         if (possible) {
@@ -426,16 +428,16 @@
         refuse(Refusal.notRun(refusal, "No upstream took the request.", RETRY_AFTER_MILLIS));
     }
 
-    private void watchSilence(long millis) {
-        silenceTimer = context.executor()
+    private void scheduleInactivityCheck(long millis) {
+        inactivityTimer = context.executor()
                 .schedule(
                         () -> {
-                            long silent = System.nanoTime() - attempt.silentSince;
-                            long allowed = attempt.allowedSilenceMillis();
+                            long silent = System.nanoTime() - attempt.lastActivityNanos;
+                            long allowed = attempt.inactivityTimeoutMillis();
                             long left = allowed - TimeUnit.NANOSECONDS.toMillis(silent);
-                            boolean waitsForCaller = !context.channel().isWritable() || !bodyWhole;
+                            boolean waitsForCaller = !context.channel().isWritable() || !bodyComplete;
                             if (left > 0 || waitsForCaller && !callerDone) {
-                                watchSilence(Math.max(left, allowed / 2 + 1));
+                                scheduleInactivityCheck(Math.max(left, allowed / 2 + 1));
                             } else {
                                 abandon(
                                         Refusal.unknown(RefusalReason.UPSTREAM_TIMEOUT, "The upstream fell silent."),
@@ -471,16 +473,16 @@
      */
     private final class Attempt implements PermitListener, UpstreamListener {
         private final PermitId id;
-        private final long askedAt = System.nanoTime();
+        private final long permitRequestedNanos = System.nanoTime();
         private String upstream = "";
         private String address = "";
-        private UpstreamExchange exchange;
-        private long dispatchedAt;
-        private long firstTokenAt;
-        private long silentSince;
+        private UpstreamExchange upstreamExchange;
+        private long dispatchedNanos;
+        private long firstTokenNanos;
+        private long lastActivityNanos;
         private int status;
         private String contentType = "";
-        private boolean answering;
+        private boolean headReceived;
         private UpstreamHeaders.Admission admission = UpstreamHeaders.Admission.ADMITTED;
 
         Attempt(PermitId id) {
@@ -491,7 +493,7 @@
         @Override
         public void onGranted(String grantedUpstream, String grantedAddress) {
             context.executor().execute(() -> {
-                services.metrics().permitTime().update(System.nanoTime() - askedAt, TimeUnit.NANOSECONDS);
+                services.metrics().permitTime().update(System.nanoTime() - permitRequestedNanos, TimeUnit.NANOSECONDS);
                 if (attempt != this || stage != Stage.WAITING) {
                     services.core().finish(id, PermitOutcome.of(Ending.UNUSED));
                     return;
@@ -499,8 +501,9 @@
                 stage = Stage.CONNECTING;
                 upstream = grantedUpstream;
                 address = grantedAddress;
-                dispatchedAt = System.nanoTime();
-                exchange = services.connections(context.channel().eventLoop()).open(address, this);
+                dispatchedNanos = System.nanoTime();
+                upstreamExchange =
+                        services.connections(context.channel().eventLoop()).open(address, this);
             });
         }
 
@@ -522,28 +525,28 @@
                 return;
             }
             stage = Stage.RUNNING;
-            dispatchedAt = System.nanoTime();
-            silentSince = dispatchedAt;
-            exchange.write(head());
-            ByteBuf body = beginning.copy();
-            exchange.write(bodyWhole ? new DefaultLastHttpContent(body) : new DefaultHttpContent(body));
-            exchange.read();
-            if (!bodyWhole) {
-                connection.demand();
+            dispatchedNanos = System.nanoTime();
+            lastActivityNanos = dispatchedNanos;
+            upstreamExchange.write(upstreamHead());
+            ByteBuf body = initialBody.copy();
+            upstreamExchange.write(bodyComplete ? new DefaultLastHttpContent(body) : new DefaultHttpContent(body));
+            upstreamExchange.read();
+            if (!bodyComplete) {
+                connection.requestNext();
             }
-            watchSilence(allowedSilenceMillis());
+            scheduleInactivityCheck(inactivityTimeoutMillis());
         }
 
-        private HttpRequest head() {
+        private HttpRequest upstreamHead() {
             HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
             UpstreamHeaders.INSTANCE.copyEndToEnd(request.headers(), head.headers());
             if (HttpUtil.isTransferEncodingChunked(request)) {
                 HttpUtil.setTransferEncodingChunked(head, true);
             }
-            long elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt);
+            long elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
             head.headers().set(HttpHeaderNames.HOST, address);
             head.headers().set(UpstreamHeaders.REQUEST, id.node() + '-' + id.incarnation() + '-' + id.sequence());
-            head.headers().set(UpstreamHeaders.REMAINING_MILLIS, Math.max(0, admitted.deadlineMillis() - elapsed));
+            head.headers().set(UpstreamHeaders.REMAINING_MILLIS, Math.max(0, validated.deadlineMillis() - elapsed));
             return head;
         }
 
@@ -551,35 +554,35 @@
         @Override
         public void onConnectFailed() {
             if (attempt == this && stage == Stage.CONNECTING) {
-                retry(RetryReason.CONNECT_FAILED, Ending.UNREACHABLE);
+                retryOrRefuse(RetryReason.CONNECT_FAILED, Ending.UNREACHABLE);
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void onHead(HttpResponse response) {
-            silentSince = System.nanoTime();
-            answering = true;
+            lastActivityNanos = System.nanoTime();
+            headReceived = true;
             status = response.status().code();
             contentType = response.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
             admission = UpstreamHeaders.INSTANCE.admissionOf(response);
-            passOn(response.headers());
+            reportUpstreamState(response.headers());
             if (admission == UpstreamHeaders.Admission.ADMITTED) {
                 tokens.begin(contentType);
                 if (!callerDone) {
-                    answer.head(response, upstream);
+                    answer.writeHead(response, upstream);
                 }
             }
         }
 
-        private void passOn(HttpHeaders headers) {
+        private void reportUpstreamState(HttpHeaders headers) {
             int running = headers.getInt(UpstreamHeaders.LOAD_RUNNING, -1);
             long incarnation = UpstreamHeaders.INSTANCE.incarnationOf(headers);
             boolean leaving = headers.contains(UpstreamHeaders.LEAVING);
             if (running >= 0 || incarnation > 0 || leaving) {
                 services.core()
                         .pass(new PeerMessage.UpstreamWord(
-                                admitted.route().pool(),
+                                validated.route().pool(),
                                 upstream,
                                 incarnation,
                                 leaving,
@@ -591,23 +594,23 @@
         /** {@inheritDoc} */
         @Override
         public void onContent(ByteBuf content) {
-            silentSince = System.nanoTime();
+            lastActivityNanos = System.nanoTime();
             if (admission != UpstreamHeaders.Admission.ADMITTED || !content.isReadable()) {
                 content.release();
                 return;
             }
-            if (firstTokenAt == 0) {
-                firstTokenAt = silentSince;
+            if (firstTokenNanos == 0) {
+                firstTokenNanos = lastActivityNanos;
                 services.core().firstToken(id);
             }
             tokens.add(content);
             if (claim != null) {
-                claim.collect(content);
+                claim.appendBody(content);
             }
             if (callerDone) {
                 content.release();
             } else {
-                answer.content(content);
+                answer.writeContent(content);
             }
         }
 
@@ -621,7 +624,7 @@
                 context.flush();
             }
             if (callerDone || context.channel().isWritable()) {
-                exchange.read();
+                upstreamExchange.read();
             }
         }
 
@@ -630,7 +633,7 @@
         public void onEnd() {
             if (admission != UpstreamHeaders.Admission.ADMITTED) {
                 boolean draining = admission == UpstreamHeaders.Admission.DRAINING;
-                retry(
+                retryOrRefuse(
                         draining ? RetryReason.DRAINING : RetryReason.NOT_ADMITTED,
                         draining ? Ending.DRAINING : Ending.NOT_ADMITTED);
                 return;
@@ -642,9 +645,9 @@
             }
             if (!callerDone) {
                 services.metrics().answered();
-                answer.end();
+                answer.writeEnd();
             }
-            finishAll();
+            complete();
         }
 
         /** {@inheritDoc} */
@@ -657,22 +660,22 @@
             }
         }
 
-        long allowedSilenceMillis() {
-            return answering
+        long inactivityTimeoutMillis() {
+            return headReceived
                     ? services.settings().timeouts().idleMillis()
                     : services.settings().timeouts().firstByteMillis();
         }
 
         PermitOutcome outcome(Ending ending) {
             long now = System.nanoTime();
-            long first = firstTokenAt == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(firstTokenAt - dispatchedAt);
-            long total = dispatchedAt == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(now - dispatchedAt);
+            long first = firstTokenNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(firstTokenNanos - dispatchedNanos);
+            long total = dispatchedNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(now - dispatchedNanos);
             return new PermitOutcome(ending, first, total, tokens.tokens());
         }
 
         void abort() {
-            if (exchange != null) {
-                exchange.abort();
+            if (upstreamExchange != null) {
+                upstreamExchange.abort();
             }
         }
     }
--- a/node/src/main/java/org/radishspur/node/caller/CallerRefusal.java
+++ b/node/src/main/java/org/radishspur/node/caller/RefusalException.java
@@ -5,12 +5,12 @@
 /**
  * Ends the reading of a request head that can't be accepted.
  */
-final class CallerRefusal extends RuntimeException {
+final class RefusalException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient Refusal refusal;
 
-    CallerRefusal(Refusal refusal) {
+    RefusalException(Refusal refusal) {
         super(refusal.reason().code(), null, false, false);
         this.refusal = refusal;
     }
--- a/node/src/main/java/org/radishspur/node/caller/HeadReader.java
+++ b/node/src/main/java/org/radishspur/node/caller/RequestHeadReader.java
@@ -19,15 +19,15 @@
 /**
  * Checks the head of a request against the tables.
  */
-final class HeadReader {
+final class RequestHeadReader {
     private static final Pattern ORGANISATION = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,99}");
     private static final Pattern KEY = Pattern.compile("[\\x21-\\x7e]{1,200}");
-    private static final int GREATEST_TOKENS = 10_000_000;
+    private static final int MAX_TOKENS = 10_000_000;
     private static final int UNKNOWN_TOKENS = -1;
 
-    private HeadReader() {}
+    private RequestHeadReader() {}
 
-    static Admitted read(HttpRequest request, Tables tables) {
+    static ValidatedRequest read(HttpRequest request, Tables tables) {
         String path = pathOf(request.uri());
         RouteRow route = tables.match(request.method().name(), path)
                 .orElseThrow(() -> refuse(RefusalReason.UNKNOWN_ROUTE, "No route takes " + path + '.'));
@@ -41,7 +41,7 @@
             throw refuse(RefusalReason.KEY_REQUIRED, "The route needs the header Idempotency-Key.");
         }
         PoolKind kind = pool.kind();
-        return new Admitted(
+        return new ValidatedRequest(
                 route,
                 kind,
                 organisation,
@@ -118,16 +118,16 @@
         if (value == null) {
             return route.defaultDeadlineMillis();
         }
-        long millis = number(value, CallerHeaders.DEADLINE_MILLIS, Long.MAX_VALUE);
+        long millis = parseNumber(value, CallerHeaders.DEADLINE_MILLIS, Long.MAX_VALUE);
         return Math.min(millis, route.deadlineCeilingMillis());
     }
 
     private static int tokens(HttpHeaders headers, String name) {
         String value = headers.get(name);
-        return value == null ? UNKNOWN_TOKENS : (int) number(value, name, GREATEST_TOKENS);
+        return value == null ? UNKNOWN_TOKENS : (int) parseNumber(value, name, MAX_TOKENS);
     }
 
-    private static long number(String value, String name, long greatest) {
+    private static long parseNumber(String value, String name, long greatest) {
         try {
             long parsed = Long.parseLong(value.strip());
             if (parsed >= 1 && parsed <= greatest) {
@@ -139,8 +139,8 @@
         throw refuse(RefusalReason.BAD_HEADER, name + " must be from 1 to " + greatest + '.');
     }
 
-    private static CallerRefusal refuse(RefusalReason reason, String detail) {
-        return new CallerRefusal(Refusal.notRun(reason, detail));
+    private static RefusalException refuse(RefusalReason reason, String detail) {
+        return new RefusalException(Refusal.notRun(reason, detail));
     }
 
     static boolean expectsContinue(HttpRequest request) {
--- a/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
+++ b/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
@@ -6,11 +6,11 @@
  * Keeps retries to a share of the requests, so that they can't multiply an overload.
  */
 public final class RetryBudget {
-    private static final long UNIT = 1_000;
+    private static final long UNITS_PER_RETRY = 1_000;
 
-    private final long perRequest;
-    private final long greatest;
-    private final AtomicLong balance;
+    private final long unitsPerRequest;
+    private final long maxUnits;
+    private final AtomicLong availableUnits;
 
     /**
      * Creates a budget that is a tenth full.
@@ -19,14 +19,14 @@
      * @param mostAtOnce how many retries the budget holds at most.
      */
     public RetryBudget(double share, int mostAtOnce) {
-        perRequest = (long) (share * UNIT);
-        greatest = mostAtOnce * UNIT;
-        balance = new AtomicLong(Math.max(UNIT, greatest / 10));
+        unitsPerRequest = (long) (share * UNITS_PER_RETRY);
+        maxUnits = mostAtOnce * UNITS_PER_RETRY;
+        availableUnits = new AtomicLong(Math.max(UNITS_PER_RETRY, maxUnits / 10));
     }
 
     /** Notes one request. */
     public void requested() {
-        balance.accumulateAndGet(perRequest, (present, added) -> Math.min(greatest, present + added));
+        availableUnits.accumulateAndGet(unitsPerRequest, (present, added) -> Math.min(maxUnits, present + added));
     }
 
     /**
@@ -35,6 +35,7 @@
      * @return whether there was one.
      */
     public boolean take() {
-        return balance.getAndUpdate(present -> present >= UNIT ? present - UNIT : present) >= UNIT;
+        return availableUnits.getAndUpdate(present -> present >= UNITS_PER_RETRY ? present - UNITS_PER_RETRY : present)
+                >= UNITS_PER_RETRY;
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
+++ b/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
@@ -8,28 +8,28 @@
  */
 final class TokenCounter {
     private final PoolKind kind;
-    private boolean events;
-    private boolean lineEnded;
+    private boolean eventStream;
+    private boolean atLineStart;
     private long bytes;
-    private int count;
+    private int eventCount;
 
     TokenCounter(PoolKind kind) {
         this.kind = kind;
     }
 
     void begin(String contentType) {
-        events = contentType.startsWith("text/event-stream");
+        eventStream = contentType.startsWith("text/event-stream");
     }
 
     void add(ByteBuf part) {
         bytes += part.readableBytes();
-        if (events) {
+        if (eventStream) {
             part.forEachByte(value -> {
                 if (value == '\n') {
-                    count += lineEnded ? 1 : 0;
-                    lineEnded = !lineEnded;
+                    eventCount += atLineStart ? 1 : 0;
+                    atLineStart = !atLineStart;
                 } else if (value != '\r') {
-                    lineEnded = false;
+                    atLineStart = false;
                 }
                 return true;
             });
@@ -40,6 +40,6 @@
         if (kind == PoolKind.SERVICE) {
             return 1;
         }
-        return events ? count : (int) Math.max(1, bytes / BodyDigest.BYTES_PER_TOKEN);
+        return eventStream ? eventCount : (int) Math.max(1, bytes / BodyDigest.BYTES_PER_TOKEN);
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/Admitted.java
+++ b/node/src/main/java/org/radishspur/node/caller/ValidatedRequest.java
@@ -19,7 +19,7 @@
  * @param promptTokens the announced length of the prompt, or -1.
  * @param outputTokens the announced length of the answer, or -1.
  */
-record Admitted(
+record ValidatedRequest(
         RouteRow route,
         PoolKind poolKind,
         String organisation,
