--- a/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
@@ -7,48 +7,50 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Reads what a caller means and what an upstream answers, and writes what the system adds.
+ * Decodes callers' requests and upstreams' answers, and encodes what the system adds to a request.
  */
 public interface CallerDialect {
     /**
-     * Reads the head of a caller's request.
+     * Decodes the head of a caller's request.
      *
      * @param request the head.
-     * @return what it says.
+     * @return the decoded head.
      */
     RequestHead read(HttpRequest request);
 
     /**
-     * Rewrites the headers of a request for an upstream. Headers that concern one connection are gone already.
+     * Rewrites the headers of a request before it is sent to an upstream. Hop-by-hop headers have already been removed.
      *
-     * @param headers the caller's headers, to be changed.
-     * @param forward what the system says to the upstream.
+     * @param headers the caller's headers, which are changed in place.
+     * @param forward what the system adds for the upstream.
      */
     void prepare(HttpHeaders headers, Forward forward);
 
     /**
-     * Judges the head of an upstream's answer.
+     * Classifies the head of an upstream's answer.
      *
      * @param response the head.
-     * @param request the caller's identification of the request.
-     * @return what the answer is.
+     * @param requestId the caller's identifier of the request.
+     * @return the kind of the answer.
      */
-    AnswerKind judge(HttpResponse response, String request);
+    AnswerKind judge(HttpResponse response, String requestId);
 
     /**
-     * Holds what a caller says with a request.
+     * Holds the decoded head of a caller's request.
      *
-     * @param request the caller's identification of the request, empty where it is missing.
-     * @param host the host name that the caller asks for.
+     * @param request the caller's identifier of the request, empty where it is missing.
+     * @param host the host name that the request is addressed to.
      * @param path the path without its query.
-     * @param key the key that the caller shows, or nothing.
-     * @param deadlineMillis how long the caller waits, in milliseconds, or 0 where it doesn't say.
-     * @param promptTokens the tokens of the prompt, or 0.
-     * @param outputTokens the most tokens to be generated, or 0.
-     * @param expectedTokens how many tokens the caller expects, or 0; often far off.
-     * @param resumeAfter the number of the last event that the caller has, or a negative number.
-     * @param prefix identifies the beginning of the prompt that other requests share, empty where there is none.
-     * @param prefixTokens the tokens of that beginning, or 0.
+     * @param key the API key that the caller sends, or nothing.
+     * @param deadlineMillis the maximum time that the caller waits, in milliseconds, or 0 where the request doesn't
+     *     state one.
+     * @param promptTokens the length of the prompt in tokens, or 0 where it isn't stated.
+     * @param outputTokens the maximum number of tokens to generate, or 0 where it isn't stated.
+     * @param expectedTokens the caller's estimate of the output tokens, or 0 where it gives none; often far off.
+     * @param resumeAfter the number of the last event that the caller has received, or negative where there is none.
+     * @param prefix identifies the beginning of the prompt that it shares with other requests, empty where there is
+     *     none.
+     * @param prefixTokens the length of that beginning in tokens, or 0.
      */
     record RequestHead(
             String request,
@@ -64,30 +66,30 @@
             long prefixTokens) {}
 
     /**
-     * Holds what the system says to an upstream with a request.
+     * Holds what the system adds to a request for an upstream.
      *
-     * @param upstream the identity of the instance that is meant; any other one must not run the request.
-     * @param organisation the organisation of the caller, or nothing.
-     * @param deadlineMillis how long the answer is worth anything, in milliseconds.
-     * @param resumeAfter the number of the last event that was received, or a negative number.
+     * @param upstream the identifier of the instance that the request is meant for; any other instance must not run it.
+     * @param organisation the organisation of the caller, or nothing where it is unknown.
+     * @param deadlineMillis the time that is left until the deadline, in milliseconds.
+     * @param resumeAfter the number of the last event that was received, or negative where there is none.
      */
     record Forward(String upstream, Optional<String> organisation, long deadlineMillis, long resumeAfter) {}
 
     /**
-     * Says what an answer's head shows.
+     * Classifies an answer by its head, mainly by whether the upstream ran the request.
      */
     enum AnswerKind {
-        /** The upstream has run the request and answers with a success. */
+        /** The upstream ran the request and answers with a success status. */
         SUCCESS,
-        /** The upstream has run the request, or may have, and answers with a failure of its own. */
+        /** The upstream ran the request, or may have run it, and reports a failure of its own. */
         FAILURE,
-        /** The upstream says that it has not run the request and won't. */
+        /** The upstream states that it has not run the request and won't run it. */
         NOT_RUN,
-        /** The instance at this address isn't the one that was meant, and has not run the request. */
+        /** Another instance than the expected one answered at this address; it has not run the request. */
         WRONG_INSTANCE,
         /** The answer belongs to another request. */
         OTHER_REQUEST,
-        /** The answer can't be what the upstream meant to say; the request may have run. */
+        /** The answer can't be the one that the upstream meant to send; the request may have run. */
         SPOILT
     }
 }
--- a/node/src/main/java/org/radishspur/node/dialect/HostListDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/HostListDialect.java
@@ -6,31 +6,31 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Reads the platform's list of hosts page by page.
+ * Decodes the platform's list of hosts, which is read page by page.
  */
 public interface HostListDialect {
     /**
-     * Names the resource of a page.
+     * Returns the path under which a page is requested.
      *
-     * @param page what the page before has named as the next one, or nothing for the first page.
+     * @param page the token of the page, taken from the page before it, or nothing for the first page.
      * @return the path with its query.
      */
     String path(Optional<String> page);
 
     /**
-     * Decodes a page. Entries that can't be read are left out.
+     * Decodes a page. Entries that can't be decoded are left out.
      *
      * @param body the body of the answer.
-     * @return the page.
-     * @throws org.radishspur.model.error.RadishspurException if the body is no page.
+     * @return the decoded page.
+     * @throws org.radishspur.model.error.RadishspurException if the body isn't a page.
      */
     Page page(String body);
 
     /**
-     * Holds one page.
+     * Holds one page of the list.
      *
      * @param upstreams the upstreams on it.
-     * @param next names the next page, or nothing on the last one.
+     * @param next the token of the next page, or nothing on the last page.
      */
     record Page(List<Upstream> upstreams, Optional<String> next) {}
 }
--- a/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
@@ -7,16 +7,16 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Reads operators' calls and writes what they read back.
+ * Decodes operators' calls and encodes the bodies of their answers.
  */
 public interface OperatorDialect {
     /**
-     * Tells what a call asks for.
+     * Decodes a call.
      *
      * @param method the HTTP method.
      * @param path the path without its query.
      * @param body the body as text.
-     * @return the call; an unreadable one is told as such.
+     * @return the call, which is {@link Call.Malformed} or {@link Call.Unknown} where it can't be decoded.
      */
     Call read(String method, String path, String body);
 
@@ -25,32 +25,32 @@
      *
      * @param text the document.
      * @return the catalogue.
-     * @throws org.radishspur.model.error.RadishspurException if the text can't be read as a catalogue.
+     * @throws org.radishspur.model.error.RadishspurException if the text isn't a catalogue document.
      */
     Catalogue catalogue(String text);
 
     /**
-     * Writes the state of a rollout.
+     * Encodes the state of a rollout.
      *
      * @param rollout the rollout.
-     * @return the body.
+     * @return the body of the answer.
      */
     String write(CatalogueState.Rollout rollout);
 
     /**
-     * Writes faults of a call.
+     * Encodes the faults of a call.
      *
      * @param faults the faults.
-     * @return the body.
+     * @return the body of the answer.
      */
     String write(List<TableFault> faults);
 
     /**
-     * Names a call.
+     * Describes what an operator's call asks for.
      */
     sealed interface Call {
         /**
-         * Puts a catalogue in force.
+         * Publishes a catalogue, which replaces the one in force.
          *
          * @param text the document.
          */
@@ -63,8 +63,8 @@
          * Starts a rollout.
          *
          * @param pool the pool.
-         * @param target the version to move to.
-         * @param periodMillis how long the move may take.
+         * @param target the version that the pool is moved to.
+         * @param periodMillis the time that the rollout may take, in milliseconds.
          */
         record StartRollout(String pool, String target, long periodMillis) implements Call {}
 
@@ -90,13 +90,13 @@
         record Readmit(String failureDomain) implements Call {}
 
         /**
-         * Can't be read.
+         * Stands for a call whose content can't be decoded.
          *
-         * @param faults what is wrong.
+         * @param faults the faults that were found.
          */
         record Malformed(List<TableFault> faults) implements Call {}
 
-        /** Names nothing that exists. */
+        /** Stands for a call that doesn't exist. */
         record Unknown() implements Call {}
     }
 }
