--- a/node/src/main/java/org/radishspur/node/admin/AdminAnswer.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminAnswer.java
@@ -3,18 +3,18 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Holds an answer of the operators' edge.
+ * Holds the answer to an operator's call.
  *
  * @param status the HTTP status.
- * @param body what is written as JSON.
+ * @param body the value that is written as JSON.
  */
 record AdminAnswer(HttpResponseStatus status, Object body) {
 
     /**
-     * Tells why a call failed.
+     * Describes, as the body of an answer, why a call failed.
      *
-     * @param code the stable code.
-     * @param detail one sentence for a human reader.
+     * @param code the stable code of the error.
+     * @param detail a sentence that describes the error to an operator.
      */
     record Failure(String code, String detail) {}
 
--- a/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
@@ -24,7 +24,7 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Carries out the calls of the operators' edge.
+ * Executes operators' calls and turns their results into HTTP answers.
  */
 final class AdminCalls {
     private static final Pattern REPLACE = Pattern.compile("/v1/replicas/([a-z0-9._-]+)/replace");
@@ -46,7 +46,7 @@
         this.readiness = readiness;
     }
 
-    /** Returns whether a call needs no token, as the balancer's and the monitor's. */
+    /** Returns whether a path needs no token, because load balancers and monitoring call it. */
     static boolean isPublicPath(String path) {
         return path.equals("/health") || path.equals("/ready") || path.equals("/metrics");
     }
@@ -164,11 +164,11 @@
     }
 
     /**
-     * Sends the answer of one call, from any thread.
+     * Sends the answer to one call.
      */
     interface Reply {
         /**
-         * Sends the answer.
+         * Sends the answer. May be called from any thread.
          *
          * @param answer the answer.
          */
--- a/node/src/main/java/org/radishspur/node/admin/AdminServer.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminServer.java
@@ -33,7 +33,8 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts operators' connections; all but health and metrics asks for the token.
+ * Accepts operators' connections and serves their calls. Every path except health, readiness and metrics requires the
+ * token.
  */
 public final class AdminServer implements Child {
     private static final int MAX_BODY_BYTES = 16 << 20;
@@ -48,14 +49,14 @@
     private Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server, which doesn't listen before its start.
      *
      * @param settings the settings of the node.
-     * @param token the token that operators must show.
-     * @param core the deciding part of the node.
-     * @param metrics the counters of the node.
-     * @param readiness whether the node serves what it is there for.
-     * @param group the threads that carry traffic.
+     * @param token the bearer token that operators must send.
+     * @param core the core of the node, which executes the calls.
+     * @param metrics the metrics of the node.
+     * @param readiness returns whether the node is ready to serve.
+     * @param group the event loops that serve the connections.
      */
     public AdminServer(
             NodeSettings settings,
@@ -104,11 +105,11 @@
     }
 
     private boolean isAuthorised(FullHttpRequest request) {
-        String shown = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
-        byte[] value = shown.startsWith(BEARER_PREFIX)
-                ? shown.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8)
+        String header = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
+        byte[] sentToken = header.startsWith(BEARER_PREFIX)
+                ? header.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8)
                 : new byte[0];
-        return MessageDigest.isEqual(value, token);
+        return MessageDigest.isEqual(sentToken, token);
     }
 
     /**
