--- a/node/src/main/java/org/radishspur/node/caller/AnswerWriter.java
+++ b/node/src/main/java/org/radishspur/node/caller/AnswerWriter.java
@@ -19,7 +19,7 @@
 import org.radishspur.replication.state.StoredAnswer;
 
 /**
- * Writes the answer of one exchange to its caller.
+ * Writes the answer of one exchange to the caller's connection.
  */
 final class AnswerWriter {
     private final CallerHandler connection;
@@ -28,11 +28,11 @@
     private final boolean beforeHttp11;
     private boolean headWritten;
 
-    AnswerWriter(CallerHandler connection, ChannelHandlerContext context, String request, boolean oldVersion) {
+    AnswerWriter(CallerHandler connection, ChannelHandlerContext context, String requestId, boolean beforeHttp11) {
         this.connection = connection;
         this.context = context;
-        this.requestId = request;
-        this.beforeHttp11 = oldVersion;
+        this.requestId = requestId;
+        this.beforeHttp11 = beforeHttp11;
     }
 
     boolean isHeadWritten() {
--- a/node/src/main/java/org/radishspur/node/caller/BodyDigest.java
+++ b/node/src/main/java/org/radishspur/node/caller/BodyDigest.java
@@ -11,10 +11,11 @@
 import org.radishspur.decision.permit.Work;
 
 /**
- * Digests the beginning of a request: as a whole, to know it again, and block by block, to know a shared prefix.
+ * Digests the beginning of a request: as a whole, to recognise a retry, and block by block, to recognise a shared
+ * prefix.
  */
 final class BodyDigest {
-    /** The number of bytes that are taken for one token. */
+    /** The number of bytes that count as one token where token counts are estimated from sizes. */
     static final int BYTES_PER_TOKEN = 4;
 
     private static final int BLOCK_BYTES = Work.BLOCK_TOKENS * BYTES_PER_TOKEN;
@@ -24,25 +25,25 @@
 
     private BodyDigest() {}
 
-    static String fingerprint(String method, String uri, long contentLength, ByteBuf beginning) {
+    static String fingerprint(String method, String uri, long contentLength, ByteBuf initialBody) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update((method + '\n' + uri + '\n' + contentLength + '\n').getBytes(StandardCharsets.UTF_8));
-            digest.update(beginning.nioBuffer());
+            digest.update(initialBody.nioBuffer());
             return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT_BYTES);
         } catch (NoSuchAlgorithmException exception) {
             throw new IllegalStateException(exception);
         }
     }
 
-    /** Digests each whole block together with all before it, so that equal digests mean equal beginnings. */
-    static List<Long> prefixDigests(ByteBuf beginning) {
+    /** Digests each full block together with all blocks before it, so that equal digests mean equal prefixes. */
+    static List<Long> prefixDigests(ByteBuf initialBody) {
         List<Long> blocks = new ArrayList<>();
         long chained = FNV_OFFSET_BASIS;
-        int length = beginning.readableBytes();
+        int length = initialBody.readableBytes();
         for (int offset = 0; offset + BLOCK_BYTES <= length; offset += BLOCK_BYTES) {
             for (int index = offset; index < offset + BLOCK_BYTES; index++) {
-                chained = (chained ^ beginning.getByte(beginning.readerIndex() + index)) * FNV_PRIME;
+                chained = (chained ^ initialBody.getByte(initialBody.readerIndex() + index)) * FNV_PRIME;
             }
             blocks.add(chained);
         }
--- a/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
@@ -21,9 +21,10 @@
 import org.radishspur.model.error.RefusalReason;
 
 /**
- * Serves one caller's connection, one request after another.
+ * Serves the requests of one caller's connection, one after the other.
  */
 final class CallerHandler extends ChannelInboundHandlerAdapter {
+    /** Up to this many bytes of a refused request's body are discarded, so that the connection can stay open. */
     private static final long MAX_DISCARDED_BYTES = 4L << 20;
 
     private final CallerServices services;
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Asks for the next part of the caller's requests. Parts come one by one and only when asked for, so that a caller
-     * can't fill the memory; asking twice is the same as asking once.
+     * Requests the next HTTP object from the connection. Objects are read one at a time and only on request, so that a
+     * caller can't fill the memory; a second request before the object arrives has no effect.
      */
     void requestNext() {
         objectRequested = true;
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Learns from the exchange that its caller has got the final answer, or never will. */
+    /** Is notified by the exchange that the caller has its final answer, or won't receive one. */
     void onExchangeEnded() {
         exchange = null;
         if (!keepAlive || services.core().isShuttingDown()) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Returns whether answers have to announce that the connection will be closed. */
+    /** Returns whether an answer has to announce that the connection is closed after it. */
     boolean closesAfterAnswer() {
         return !keepAlive || services.core().isShuttingDown();
     }
@@ -157,8 +158,8 @@
     /** {@inheritDoc} */
     @Override
     public void userEventTriggered(ChannelHandlerContext source, Object event) {
-        // A caller that stops in the middle of its request holds nothing up for good; one that waits for its answer is
-        // not idle.
+        // Closes a connection that is idle between requests or in the middle of one, so that it doesn't hold resources
+        // for good. A caller that has sent its whole request and waits for the answer isn't idle.
         if (event instanceof IdleStateEvent && (exchange == null || !requestComplete)) {
             source.close();
         }
--- a/node/src/main/java/org/radishspur/node/caller/CallerHeaders.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHeaders.java
@@ -1,19 +1,19 @@
 package org.radishspur.node.caller;
 
 /**
- * Names the headers of the callers' edge; docs/EDGES.md describes them.
+ * Names the headers of callers' requests and their answers; docs/EDGES.md describes them.
  */
 final class CallerHeaders {
     /** The organisation that sends the request. */
     static final String ORGANISATION = "Radishspur-Organisation";
 
-    /** The urgency that the request asks for. */
+    /** The tier that the request asks for. */
     static final String TIER = "Radishspur-Tier";
 
-    /** How long the answer keeps its value, in milliseconds. */
+    /** The time from the request's arrival to its deadline, in milliseconds. */
     static final String DEADLINE_MILLIS = "Radishspur-Deadline-Millis";
 
-    /** The identity of the request across resends. */
+    /** The idempotency key, which is the same for every retry of the request. */
     static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
     /** The expected length of the prompt in tokens. */
@@ -25,7 +25,7 @@
     /** The upstream that answered. */
     static final String UPSTREAM = "Radishspur-Upstream";
 
-    /** Whether the answer is a stored one. */
+    /** Whether the answer is the stored answer to an earlier request with the same key. */
     static final String REPLAYED = "Radishspur-Replayed";
 
     private CallerHeaders() {}
--- a/node/src/main/java/org/radishspur/node/caller/CallerServer.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServer.java
@@ -19,7 +19,7 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts callers' connections.
+ * Accepts callers' connections, up to a limit, and closes those above it at once.
  */
 public final class CallerServer implements Child {
     private static final int BACKLOG = 4_096;
@@ -32,10 +32,10 @@
     private volatile Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server, which doesn't listen before its start.
      *
-     * @param services what the exchanges share.
-     * @param group the threads that carry traffic.
+     * @param services the services that all exchanges share.
+     * @param group the event loops that serve the connections.
      */
     public CallerServer(CallerServices services, EventLoopGroup group) {
         this.services = services;
@@ -79,7 +79,7 @@
         return !stopping && current != null && current.isActive();
     }
 
-    /** Takes no further connections; those that are open go on. */
+    /** Stops accepting connections; open connections stay open. */
     public void stopAccepting() {
         stopping = true;
         close();
--- a/node/src/main/java/org/radishspur/node/caller/CallerServices.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServices.java
@@ -13,7 +13,7 @@
 import org.radishspur.node.upstream.UpstreamConnections;
 
 /**
- * Holds what the exchanges of one node share.
+ * Holds the services and counts that all exchanges of a node share.
  */
 public final class CallerServices {
     private final NodeSettings settings;
@@ -27,11 +27,11 @@
     private final AtomicInteger inProgress = new AtomicInteger();
 
     /**
-     * Creates the shared parts.
+     * Creates the shared services.
      *
      * @param settings the settings of the node.
-     * @param core the deciding part of the node.
-     * @param metrics the counters of the node.
+     * @param core the core of the node, which grants claims and permits.
+     * @param metrics the metrics of the node.
      */
     public CallerServices(NodeSettings settings, NodeCore core, NodeMetrics metrics) {
         this.settings = settings;
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Returns the number of requests that have not come to their end.
+     * Returns the number of requests that have begun and not yet ended.
      *
-     * @return the number.
+     * @return the number of requests in progress.
      */
     public int inProgress() {
         return inProgress.get();
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/Exchange.java
@@ -41,8 +41,8 @@
 import org.radishspur.replication.state.ControlAnswer;
 
 /**
- * Brings one request from its head to its one final answer. All of it happens on the traffic thread of the caller's
- * connection.
+ * Handles one request from its head to its one final answer: validates it, claims its key, obtains a permit, sends it
+ * to an upstream and retries it elsewhere where that is safe. Runs only on the event loop of the caller's connection.
  */
 final class Exchange {
     private static final int MAX_ATTEMPTS = 3;
@@ -62,9 +62,15 @@
     private RequestClaim claim;
     private String fingerprint = "";
     private Stage stage = Stage.READING;
+
+    /** Whether the caller has its final answer, or has disconnected. */
     private boolean callerDone;
+
     private boolean bodyComplete;
+
+    /** Whether bytes of the body beyond the buffered ones were sent, so that the request can't be sent again. */
     private boolean unbufferedBodySent;
+
     private long bodyBytes;
     private int attemptCount;
     private Attempt attempt;
@@ -76,10 +82,10 @@
         this.connection = connection;
         this.context = context;
         this.request = request;
-        PermitId number = services.core().nextAttempt();
-        String name = number.node() + '-' + number.incarnation() + '-' + number.sequence();
-        boolean oldVersion = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
-        this.answer = new AnswerWriter(connection, context, name, oldVersion);
+        PermitId permitId = services.core().nextAttempt();
+        String name = permitId.node() + '-' + permitId.incarnation() + '-' + permitId.sequence();
+        boolean beforeHttp11 = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
+        this.answer = new AnswerWriter(connection, context, name, beforeHttp11);
     }
 
     void begin() {
@@ -104,8 +110,9 @@
         deadlineTimer =
                 context.executor().schedule(this::onDeadline, validated.deadlineMillis(), TimeUnit.MILLISECONDS);
         if (RequestHeadReader.expectsContinue(request)) {
-            FullHttpResponse goOn = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE);
-            context.writeAndFlush(goOn);
+            FullHttpResponse continueResponse =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE);
+            context.writeAndFlush(continueResponse);
         }
     }
 
@@ -149,7 +156,7 @@
         long length = HttpUtil.getContentLength(request, -1L);
         fingerprint = BodyDigest.fingerprint(request.method().name(), request.uri(), length, initialBody);
         if (bodyComplete) {
-            // One read stays open while the answer is prepared: it is what shows that the caller has gone.
+            // Keeps one read pending while the caller waits: without it a disconnect would go unnoticed.
             connection.requestNext();
         }
         if (validated.key().isPresent()) {
@@ -161,8 +168,8 @@
 
     private void claim() {
         stage = Stage.CLAIMING;
-        PermitId number = services.core().nextAttempt();
-        ClaimHolder holder = new ClaimHolder(number.node(), number.incarnation(), number.sequence());
+        PermitId permitId = services.core().nextAttempt();
+        ClaimHolder holder = new ClaimHolder(permitId.node(), permitId.incarnation(), permitId.sequence());
         claim = new RequestClaim(
                 services.core(),
                 validated.key().orElseThrow(),
@@ -182,7 +189,7 @@
 
     private void onClaim(ControlResult result) {
         if (stage != Stage.CLAIMING) {
-            // The request was given up meanwhile. Whatever became of the claim, nothing was dispatched under it.
+            // The request has ended meanwhile. The claim may have been granted, but nothing was dispatched under it.
             claim.release();
             return;
         }
@@ -268,8 +275,8 @@
             return Work.OF_SERVICE_CALL;
         }
         long length = Math.max(HttpUtil.getContentLength(request, 0L), initialBody.readableBytes());
-        int guessed = (int) Math.max(1, length / BodyDigest.BYTES_PER_TOKEN);
-        int prompt = validated.promptTokens() > 0 ? validated.promptTokens() : guessed;
+        int estimatedPrompt = (int) Math.max(1, length / BodyDigest.BYTES_PER_TOKEN);
+        int prompt = validated.promptTokens() > 0 ? validated.promptTokens() : estimatedPrompt;
         int output = validated.outputTokens() > 0 ? validated.outputTokens() : DEFAULT_OUTPUT_TOKENS;
         return new Work(prompt, output, BodyDigest.prefixDigests(initialBody));
     }
@@ -285,15 +292,14 @@
                         "The deadline passed before the request was dispatched.",
                         RETRY_AFTER_MILLIS));
             case RUNNING -> {
-                Refusal late = Refusal.unknown(RefusalReason.DEADLINE_PASSED, "The deadline passed.");
+                Refusal deadlinePassed = Refusal.unknown(RefusalReason.DEADLINE_PASSED, "The deadline passed.");
                 if (finishesWithoutCaller()) {
-                    failCaller(late);
-                    // Guards against an answer that never ends: a caller that had stopped reading has stopped the
-                    // reading
-                    // of the upstream with it, and nothing else starts it again once the caller is let go.
+                    failCaller(deadlinePassed);
+                    // Guards against an exchange that never ends: a caller that has stopped reading has paused the
+                    // reading from the upstream, and nothing else resumes it after the caller's end.
                     attempt.upstreamExchange.read();
                 } else {
-                    abandon(late, Ending.CANCELLED);
+                    abandon(deadlinePassed, Ending.CANCELLED);
                 }
             }
             default -> {}
@@ -301,8 +307,8 @@
     }
 
     /**
-     * Returns whether the upstream is to finish although nobody waits: the call can't be repeated, and a resend with the
-     * same key will ask for its answer.
+     * Returns whether the upstream may finish the request although the caller no longer waits: the route isn't
+     * idempotent, so the request can't be repeated, and a retry with the same key asks for its stored answer.
      */
     private boolean finishesWithoutCaller() {
         return claim != null && !validated.route().idempotent() && bodyComplete;
@@ -312,7 +318,7 @@
         if (callerDone) {
             return;
         }
-        Refusal gone = stage == Stage.RUNNING
+        Refusal callerGone = stage == Stage.RUNNING
                 ? Refusal.unknown(RefusalReason.CALLER_GONE, "The caller went away.")
                 : Refusal.notRun(RefusalReason.CALLER_GONE, "The caller went away.");
         if (stage == Stage.RUNNING && finishesWithoutCaller()) {
@@ -322,11 +328,11 @@
         } else if (stage == Stage.RUNNING) {
             callerDone = true;
             services.metrics().refused(RefusalReason.CALLER_GONE);
-            abandon(gone, Ending.CANCELLED);
+            abandon(callerGone, Ending.CANCELLED);
         } else {
             callerDone = true;
             services.metrics().refused(RefusalReason.CALLER_GONE);
-            refuse(gone);
+            refuse(callerGone);
         }
     }
 
@@ -345,7 +351,7 @@
         }
     }
 
-    /** Ends a request that provably did not run. */
+    /** Ends a request that provably did not run, with a refusal. */
     private void refuse(Refusal refusal) {
         if (stage == Stage.DONE) {
             return;
@@ -361,7 +367,7 @@
         complete();
     }
 
-    /** Ends a request of which nobody can say whether it ran, and stops the upstream. */
+    /** Ends a request of which it is unknown whether it ran, and aborts its upstream exchange. */
     private void abandon(Refusal refusal, Ending ending) {
         attempt.abort();
         services.core().finish(attempt.id, attempt.outcome(ending));
@@ -372,7 +378,7 @@
         complete();
     }
 
-    /** Gives the caller its final answer; an answer that has begun can only be broken off. */
+    /** Sends a refusal to the caller, or closes its connection where an answer has already begun. */
     private void failCaller(Refusal refusal) {
         if (callerDone) {
             return;
@@ -412,13 +418,13 @@
 
     private void retryOrRefuse(RetryReason reason, Ending ending) {
         services.core().finish(attempt.id, attempt.outcome(ending));
-        boolean possible = !unbufferedBodySent && attemptCount < MAX_ATTEMPTS && !callerDone;
-        if (possible && services.retryBudget().take()) {
+        boolean retryable = !unbufferedBodySent && attemptCount < MAX_ATTEMPTS && !callerDone;
+        if (retryable && services.retryBudget().take()) {
             services.metrics().retried(reason);
             requestPermit();
             return;
         }
-        if (possible) {
+        if (retryable) {
             services.metrics().retryOverBudget();
         }
         stage = Stage.REFUSED;
@@ -432,12 +438,12 @@
         inactivityTimer = context.executor()
                 .schedule(
                         () -> {
-                            long silent = System.nanoTime() - attempt.lastActivityNanos;
-                            long allowed = attempt.inactivityTimeoutMillis();
-                            long left = allowed - TimeUnit.NANOSECONDS.toMillis(silent);
+                            long inactiveNanos = System.nanoTime() - attempt.lastActivityNanos;
+                            long timeoutMillis = attempt.inactivityTimeoutMillis();
+                            long remainingMillis = timeoutMillis - TimeUnit.NANOSECONDS.toMillis(inactiveNanos);
                             boolean waitsForCaller = !context.channel().isWritable() || !bodyComplete;
-                            if (left > 0 || waitsForCaller && !callerDone) {
-                                scheduleInactivityCheck(Math.max(left, allowed / 2 + 1));
+                            if (remainingMillis > 0 || waitsForCaller && !callerDone) {
+                                scheduleInactivityCheck(Math.max(remainingMillis, timeoutMillis / 2 + 1));
                             } else {
                                 abandon(
                                         Refusal.unknown(RefusalReason.UPSTREAM_TIMEOUT, "The upstream fell silent."),
@@ -449,27 +455,27 @@
     }
 
     /**
-     * Names how far a request has come.
+     * Names the stages of a request.
      */
     private enum Stage {
-        /** The beginning of its body is being read. */
+        /** The beginning of its body is being buffered. */
         READING,
         /** Its claim is being committed. */
         CLAIMING,
         /** It waits for a permit. */
         WAITING,
-        /** It has a permit and waits for a connection. */
+        /** It has a permit and waits for a connection to the upstream. */
         CONNECTING,
         /** Bytes of it may have reached an upstream. */
         RUNNING,
-        /** Its upstreams have all refused it. */
+        /** Its last attempt did not run it, and it isn't retried. */
         REFUSED,
-        /** It has come to its end. */
+        /** It has ended. */
         DONE
     }
 
     /**
-     * Sends the request to one upstream.
+     * Makes one attempt: obtains a permit, sends the request to the upstream of the permit and receives the answer.
      */
     private final class Attempt implements PermitListener, UpstreamListener {
         private final PermitId id;
--- a/node/src/main/java/org/radishspur/node/caller/Problem.java
+++ b/node/src/main/java/org/radishspur/node/caller/Problem.java
@@ -12,15 +12,15 @@
 import org.radishspur.model.error.Refusal;
 
 /**
- * Tells a caller why there is no answer, in the form of RFC 9457.
+ * Describes to a caller why its request was refused, as a problem document of RFC 9457.
  *
- * @param type the kind of the problem, which repeats its code.
- * @param title the code of the reason.
+ * @param type the URN of the problem's type, which ends with its code.
+ * @param title the code of the refusal's reason, as a short title.
  * @param status the HTTP status.
- * @param detail one sentence for a human reader.
- * @param code the code of the reason.
+ * @param detail a sentence that describes the refusal to a human reader.
+ * @param code the code of the refusal's reason.
  * @param run whether the request ran: {@code not-run}, {@code ran} or {@code unknown}.
- * @param retryAfterMillis how long to wait before asking again, or 0 where that is useless.
+ * @param retryAfterMillis how long to wait before a retry, in milliseconds, or 0 where a retry is useless.
  */
 record Problem(
         String type,
--- a/node/src/main/java/org/radishspur/node/caller/RefusalException.java
+++ b/node/src/main/java/org/radishspur/node/caller/RefusalException.java
@@ -3,7 +3,7 @@
 import org.radishspur.model.error.Refusal;
 
 /**
- * Ends the reading of a request head that can't be accepted.
+ * Thrown where a request head isn't valid; carries the refusal that the caller receives. It records no stack trace.
  */
 final class RefusalException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/node/src/main/java/org/radishspur/node/caller/RequestClaim.java
+++ b/node/src/main/java/org/radishspur/node/caller/RequestClaim.java
@@ -10,8 +10,8 @@
 import org.radishspur.replication.state.StoredAnswer;
 
 /**
- * Holds the claim of one keyed request and brings it to its end: finished with the answer, finished without one, or
- * released because nothing ran.
+ * Makes the claim of one request with an idempotency key and ends it at most once: finished with the answer, finished with an
+ * unknown outcome, or released because the request did not run.
  */
 final class RequestClaim {
     private static final long COMMIT_TIMEOUT_MILLIS = 60_000;
@@ -24,11 +24,11 @@
     private boolean bodyTooLarge;
     private boolean endSubmitted;
 
-    RequestClaim(NodeCore core, RequestKey key, ClaimHolder holder, int storedBytes) {
+    RequestClaim(NodeCore core, RequestKey key, ClaimHolder holder, int maxStoredBytes) {
         this.core = core;
         this.key = key;
         this.holder = holder;
-        this.maxStoredBytes = storedBytes;
+        this.maxStoredBytes = maxStoredBytes;
     }
 
     RequestKey key() {
@@ -58,7 +58,7 @@
                 System.currentTimeMillis()));
     }
 
-    /** Records that nobody can say whether the request ran, so that no resend is ever dispatched. */
+    /** Records that the outcome of the request is unknown, so that no retry with its key is ever dispatched. */
     void finishWithUnknownOutcome() {
         submitEnd(new ControlCommand.FinishClaim(
                 key, holder, StoredAnswer.ofUnknownOutcome(), System.currentTimeMillis()));
--- a/node/src/main/java/org/radishspur/node/caller/RequestHeadReader.java
+++ b/node/src/main/java/org/radishspur/node/caller/RequestHeadReader.java
@@ -17,7 +17,7 @@
 import org.radishspur.model.table.Tables;
 
 /**
- * Checks the head of a request against the tables.
+ * Reads the head of a request and validates it against the tables.
  */
 final class RequestHeadReader {
     private static final Pattern ORGANISATION = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,99}");
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Refuses a request whose length can be read in two ways: the two ends of a connection could disagree on where it
-     * ends, and the rest would pass for somebody else's request.
+     * Refuses a request whose body is too long for its route, or whose length is ambiguous: the two ends of a
+     * connection could disagree on where the request ends, and the rest would be taken for another caller's request.
      */
     private static void checkFraming(HttpHeaders headers, RouteRow route) {
         boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
@@ -127,16 +127,16 @@
         return value == null ? UNKNOWN_TOKENS : (int) parseNumber(value, name, MAX_TOKENS);
     }
 
-    private static long parseNumber(String value, String name, long greatest) {
+    private static long parseNumber(String value, String name, long max) {
         try {
             long parsed = Long.parseLong(value.strip());
-            if (parsed >= 1 && parsed <= greatest) {
+            if (parsed >= 1 && parsed <= max) {
                 return parsed;
             }
         } catch (NumberFormatException exception) {
             throw refuse(RefusalReason.BAD_HEADER, name + " is not a number.");
         }
-        throw refuse(RefusalReason.BAD_HEADER, name + " must be from 1 to " + greatest + '.');
+        throw refuse(RefusalReason.BAD_HEADER, name + " must be from 1 to " + max + '.');
     }
 
     private static RefusalException refuse(RefusalReason reason, String detail) {
--- a/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
+++ b/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
@@ -3,9 +3,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Keeps retries to a share of the requests, so that they can't multiply an overload.
+ * Limits retries to a share of the requests, so that retries can't amplify an overload.
  */
 public final class RetryBudget {
+    /** The budget is counted in thousandths of a retry, because one request earns only a fraction of one. */
     private static final long UNITS_PER_RETRY = 1_000;
 
     private final long unitsPerRequest;
@@ -13,29 +14,29 @@
     private final AtomicLong availableUnits;
 
     /**
-     * Creates a budget that is a tenth full.
+     * Creates a budget that is one tenth full, but holds at least one retry.
      *
-     * @param share how many retries each request adds.
-     * @param mostAtOnce how many retries the budget holds at most.
+     * @param share the number of retries that each request adds, usually a fraction of one.
+     * @param maxRetries the number of retries that the budget holds at most.
      */
-    public RetryBudget(double share, int mostAtOnce) {
+    public RetryBudget(double share, int maxRetries) {
         unitsPerRequest = (long) (share * UNITS_PER_RETRY);
-        maxUnits = mostAtOnce * UNITS_PER_RETRY;
+        maxUnits = maxRetries * UNITS_PER_RETRY;
         availableUnits = new AtomicLong(Math.max(UNITS_PER_RETRY, maxUnits / 10));
     }
 
-    /** Notes one request. */
+    /** Adds the share of one request to the budget. */
     public void requested() {
-        availableUnits.accumulateAndGet(unitsPerRequest, (present, added) -> Math.min(maxUnits, present + added));
+        availableUnits.accumulateAndGet(unitsPerRequest, (units, added) -> Math.min(maxUnits, units + added));
     }
 
     /**
      * Takes one retry out of the budget.
      *
-     * @return whether there was one.
+     * @return whether the budget held one.
      */
     public boolean take() {
-        return availableUnits.getAndUpdate(present -> present >= UNITS_PER_RETRY ? present - UNITS_PER_RETRY : present)
+        return availableUnits.getAndUpdate(units -> units >= UNITS_PER_RETRY ? units - UNITS_PER_RETRY : units)
                 >= UNITS_PER_RETRY;
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
+++ b/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
@@ -4,12 +4,13 @@
 import org.radishspur.model.table.PoolKind;
 
 /**
- * Counts the tokens of an answer: the events of an event stream, or else a share of the bytes.
+ * Estimates the number of tokens of an answer: the number of events in an event stream, otherwise the number of bytes
+ * divided by {@link BodyDigest#BYTES_PER_TOKEN}. An answer of a plain service counts as 1.
  */
 final class TokenCounter {
     private final PoolKind kind;
     private boolean eventStream;
-    private boolean atLineStart;
+    private boolean nonEmptyLineEnded;
     private long bytes;
     private int eventCount;
 
@@ -25,11 +26,12 @@
         bytes += part.readableBytes();
         if (eventStream) {
             part.forEachByte(value -> {
+                // An empty line ends an event.
                 if (value == '\n') {
-                    eventCount += atLineStart ? 1 : 0;
-                    atLineStart = !atLineStart;
+                    eventCount += nonEmptyLineEnded ? 1 : 0;
+                    nonEmptyLineEnded = !nonEmptyLineEnded;
                 } else if (value != '\r') {
-                    atLineStart = false;
+                    nonEmptyLineEnded = false;
                 }
                 return true;
             });
--- a/node/src/main/java/org/radishspur/node/caller/ValidatedRequest.java
+++ b/node/src/main/java/org/radishspur/node/caller/ValidatedRequest.java
@@ -8,16 +8,16 @@
 import org.radishspur.model.table.RouteRow;
 
 /**
- * Holds what the head of an acceptable request says.
+ * Holds the parameters of a request whose head passed validation.
  *
- * @param route the route that takes it.
- * @param poolKind what kind of upstream serves the route.
- * @param organisation the organisation that sends it.
- * @param tier its urgency, within the route's ceiling.
- * @param deadlineMillis how long its answer keeps its value, within the route's ceiling.
- * @param key its identity across resends, where the caller sends one.
- * @param promptTokens the announced length of the prompt, or -1.
- * @param outputTokens the announced length of the answer, or -1.
+ * @param route the route that matches the request.
+ * @param poolKind the kind of upstream that serves the route.
+ * @param organisation the organisation that sends the request.
+ * @param tier the tier of the request, bounded by the route's ceiling.
+ * @param deadlineMillis the time from its arrival to its deadline, in milliseconds, bounded by the route's ceiling.
+ * @param key the idempotency key, which is the same for every retry by the caller, or nothing.
+ * @param promptTokens the announced length of the prompt in tokens, or -1 where it isn't announced.
+ * @param outputTokens the announced length of the answer in tokens, or -1 where it isn't announced.
  */
 record ValidatedRequest(
         RouteRow route,
