--- a/node/src/main/java/org/radishspur/node/control/ControlLink.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlClient.java
@@ -15,10 +15,10 @@
  * Makes this node's calls to the control leader, wherever that is: a call is repeated until it is answered or its time
  * is up, which is safe because every command may be proposed again without harm.
  */
-final class ControlLink {
-    private static final long ATTEMPT_MILLIS = 800;
-    private static final long RETRY_MILLIS = 30;
-    private static final long SWEEP_MILLIS = 30;
+final class ControlClient {
+    private static final long ATTEMPT_TIMEOUT_MILLIS = 800;
+    private static final long RETRY_DELAY_MILLIS = 30;
+    private static final long CHECK_INTERVAL_MILLIS = 30;
 
     private final ControlLoop loop;
     private final List<String> controlNodes;
@@ -26,13 +26,13 @@
     private final Map<Long, Call> calls = new HashMap<>();
     private String leader = "";
     private long nextCall;
-    private int nextGuess;
+    private int nextControlNode;
 
-    ControlLink(NodeSettings settings, ControlLoop loop, LeaderService.Sender sender) {
+    ControlClient(NodeSettings settings, ControlLoop loop, LeaderService.Sender sender) {
         this.loop = loop;
         this.sender = sender;
         this.controlNodes = List.copyOf(settings.controlNodes());
-        loop.repeat(this::sweep, SWEEP_MILLIS);
+        loop.repeat(this::checkCalls, CHECK_INTERVAL_MILLIS);
     }
 
     void call(ControlRequest request, long timeoutMillis, Listener listener) {
@@ -47,20 +47,21 @@
             return;
         }
         if (reply.result() instanceof ControlResult.NotLeader other) {
-            if (call.askedNode.equals(leader)) {
+            if (call.calledNode.equals(leader)) {
                 leader = other.leader();
             }
-            call.attemptAt = loop.nowMillis() + RETRY_MILLIS;
+            call.nextAttemptAtMillis = loop.nowMillis() + RETRY_DELAY_MILLIS;
             return;
         }
         calls.remove(reply.call());
-        call.listener.onEnd(reply.result());
+        call.listener.onResult(reply.result());
     }
 
     void onLeader(String node) {
         if (!leader.equals(node)) {
             leader = node;
-            calls.values().forEach(call -> call.attemptAt = Math.min(call.attemptAt, loop.nowMillis()));
+            calls.values()
+                    .forEach(call -> call.nextAttemptAtMillis = Math.min(call.nextAttemptAtMillis, loop.nowMillis()));
         }
     }
 
@@ -69,28 +70,28 @@
     }
 
     private void attempt(Call call) {
-        call.askedNode = leader.isEmpty() ? controlNodes.get(nextGuess++ % controlNodes.size()) : leader;
-        call.attemptAt = loop.nowMillis() + ATTEMPT_MILLIS;
-        sender.send(call.askedNode, new PeerMessage.ControlCall(call.number, call.request));
+        call.calledNode = leader.isEmpty() ? controlNodes.get(nextControlNode++ % controlNodes.size()) : leader;
+        call.nextAttemptAtMillis = loop.nowMillis() + ATTEMPT_TIMEOUT_MILLIS;
+        sender.send(call.calledNode, new PeerMessage.ControlCall(call.number, call.request));
     }
 
-    private void sweep() {
+    private void checkCalls() {
         long now = loop.nowMillis();
         List<Call> late = new ArrayList<>();
         Iterator<Call> remaining = calls.values().iterator();
         while (remaining.hasNext()) {
             Call call = remaining.next();
-            if (now >= call.endsAt) {
+            if (now >= call.expiresAtMillis) {
                 remaining.remove();
                 late.add(call);
-            } else if (now >= call.attemptAt) {
-                if (call.askedNode.equals(leader)) {
+            } else if (now >= call.nextAttemptAtMillis) {
+                if (call.calledNode.equals(leader)) {
                     leader = "";
                 }
                 attempt(call);
             }
         }
-        late.forEach(call -> call.listener.onEnd(new ControlResult.Unreachable()));
+        late.forEach(call -> call.listener.onResult(new ControlResult.Unreachable()));
     }
 
     /**
@@ -102,7 +103,7 @@
          *
          * @param result how the call ended.
          */
-        void onEnd(ControlResult result);
+        void onResult(ControlResult result);
     }
 
     /**
@@ -111,15 +112,15 @@
     private static final class Call {
         private final long number;
         private final ControlRequest request;
-        private final long endsAt;
+        private final long expiresAtMillis;
         private final Listener listener;
-        private String askedNode = "";
-        private long attemptAt;
+        private String calledNode = "";
+        private long nextAttemptAtMillis;
 
         Call(long number, ControlRequest request, long endsAt, Listener listener) {
             this.number = number;
             this.request = request;
-            this.endsAt = endsAt;
+            this.expiresAtMillis = endsAt;
             this.listener = listener;
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/ControlLoop.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlLoop.java
@@ -15,7 +15,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final DefaultEventLoop loop;
-    private final long startedAt = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private volatile Child.FailureListener listener = cause -> {};
 
     /**
@@ -70,7 +70,7 @@
      * @return the clock.
      */
     public long nowMillis() {
-        return TimeUnit.DAYS.toMillis(1) + (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
+        return TimeUnit.DAYS.toMillis(1) + (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
     }
 
     /**
@@ -79,7 +79,7 @@
      * @return the clock.
      */
     public long nowMicros() {
-        return TimeUnit.DAYS.toMicros(1) + (System.nanoTime() - startedAt) / NANOS_PER_MICRO;
+        return TimeUnit.DAYS.toMicros(1) + (System.nanoTime() - startedAtNanos) / NANOS_PER_MICRO;
     }
 
     /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/control/DiskWriter.java
+++ b/node/src/main/java/org/radishspur/node/control/DiskWriter.java
@@ -20,18 +20,18 @@
  * Writes batches on a thread of its own, so that a slow sync holds up neither heartbeats nor permits.
  */
 final class DiskWriter implements ControlReplica.Writer, AutoCloseable {
-    private static final long RETRY_MILLIS = 500;
-    private static final long SPACE_CHECK_MILLIS = 1_000;
+    private static final long DISK_FULL_RETRY_MILLIS = 500;
+    private static final long SPACE_CHECK_INTERVAL_MILLIS = 1_000;
 
     private final ControlLoop loop;
     private final Disk disk;
     private final DataFolder folder;
     private final long minimumFreeBytes;
-    private final ExecutorService thread =
+    private final ExecutorService batchExecutor =
             Executors.newSingleThreadExecutor(action -> new Thread(action, "control-disk"));
-    private final ExecutorService snapshots =
+    private final ExecutorService snapshotExecutor =
             Executors.newSingleThreadExecutor(action -> new Thread(action, "control-snapshot"));
-    private final AtomicBoolean space = new AtomicBoolean(true);
+    private final AtomicBoolean spaceAvailable = new AtomicBoolean(true);
     private final AtomicBoolean closed = new AtomicBoolean();
     private final Runnable afterWrite;
 
@@ -41,13 +41,13 @@
         this.folder = folder;
         this.minimumFreeBytes = minimumFreeBytes;
         this.afterWrite = afterWrite;
-        loop.repeat(() -> thread.execute(this::checkSpace), SPACE_CHECK_MILLIS);
+        loop.repeat(() -> batchExecutor.execute(this::checkSpace), SPACE_CHECK_INTERVAL_MILLIS);
     }
 
     /** {@inheritDoc} */
     @Override
     public void write(WriteBatch batch, LongConsumer written) {
-        thread.execute(() -> {
+        batchExecutor.execute(() -> {
             if (!batch.isEmpty()) {
                 writeWithRetries(batch);
             }
@@ -63,7 +63,7 @@
     /** {@inheritDoc} */
     @Override
     public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
-        snapshots.execute(() -> {
+        snapshotExecutor.execute(() -> {
             Snapshot snapshot = making.get();
             try {
                 disk.stage(snapshot);
@@ -84,15 +84,15 @@
     /** {@inheritDoc} */
     @Override
     public boolean hasSpace() {
-        return space.get();
+        return spaceAvailable.get();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         closed.set(true);
-        thread.shutdownNow();
-        snapshots.shutdownNow();
+        batchExecutor.shutdownNow();
+        snapshotExecutor.shutdownNow();
         disk.close();
     }
 
@@ -110,16 +110,16 @@
                     closed.set(true);
                     return;
                 }
-                space.set(false);
+                spaceAvailable.set(false);
                 PartLog.CONTROL.warn("The disk is full; edits and claims are refused.");
-                pause();
+                waitBeforeRetry();
             }
         }
     }
 
-    private void pause() {
+    private void waitBeforeRetry() {
         try {
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(DISK_FULL_RETRY_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             closed.set(true);
@@ -128,7 +128,7 @@
 
     private void checkSpace() {
         boolean enough = folder.usableBytes() >= minimumFreeBytes;
-        if (space.getAndSet(enough) != enough) {
+        if (spaceAvailable.getAndSet(enough) != enough) {
             PartLog.CONTROL.warn(
                     enough ? "The disk has space again." : "The disk is nearly full; edits and claims are refused.");
         }
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -14,9 +14,9 @@
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.node.peer.PeerMessage.ControlRequest;
 import org.radishspur.node.peer.PeerMessage.ControlResult;
-import org.radishspur.node.peer.PeerMessage.NodeLine;
 import org.radishspur.node.peer.PeerMessage.NodeState;
 import org.radishspur.node.peer.PeerMessage.NodeStatus;
+import org.radishspur.node.peer.PeerMessage.NodeSummary;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.replication.control.Proposal;
 import org.radishspur.replication.state.ClaimAnswer;
@@ -30,26 +30,26 @@
 final class LeaderService {
     private final NodeSettings settings;
     private final ControlLoop loop;
-    private final ReplicaHost host;
+    private final ReplicaHost replica;
     private final Sender sender;
     private final NodeRegistry registry;
-    private final Map<String, Long> pushed = new HashMap<>();
+    private final Map<String, Long> sentRevisions = new HashMap<>();
     private long registryTerm;
-    private long termStartedAt;
+    private long termStartedAtMillis;
     private long auxiliaryRevision;
 
     LeaderService(NodeSettings settings, ControlLoop loop, ReplicaHost host, Sender sender) {
         this.settings = settings;
         this.loop = loop;
-        this.host = host;
+        this.replica = host;
         this.sender = sender;
         this.registry = new NodeRegistry(settings.timeouts().nodeLostMillis());
     }
 
     void onHeartbeat(NodeStatus status) {
-        startTermIfNew();
-        registry.received(status, loop.nowMillis());
-        Optional<ControlState> state = host.readable();
+        resetOnNewTerm();
+        registry.onStatus(status, loop.nowMillis());
+        Optional<ControlState> state = replica.readableState();
         if (state.isEmpty()) {
             sender.send(
                     status.node(),
@@ -57,7 +57,7 @@
                             false, Optional.empty(), Optional.empty(), 0, Map.of(), Map.of(), Set.of()));
             return;
         }
-        Optional<ClusterView> view = viewIfSettled();
+        Optional<ClusterView> view = viewOnceSettled();
         boolean viewKnown = view.isEmpty()
                 || status.viewTerm() == view.get().term()
                         && status.viewNumber() == view.get().number();
@@ -65,7 +65,7 @@
         boolean tablesKnown = status.revisionInForce() == current;
         boolean auxiliaryKnown = tablesKnown && status.auxiliaryRevision() == auxiliaryRevision;
         if (!tablesKnown) {
-            pushed.put(status.node(), current);
+            sentRevisions.put(status.node(), current);
         }
         sender.send(
                 status.node(),
@@ -86,14 +86,14 @@
         if (auxiliaryChanged) {
             auxiliaryRevision = Math.max(auxiliaryRevision + 1, System.currentTimeMillis());
         }
-        if (!host.isLeader()) {
+        if (!replica.isLeader()) {
             return;
         }
         long current = state.tables().tables().revision();
-        for (NodeStatus status : registry.living(loop.nowMillis())) {
-            long known = Math.max(status.revisionInForce(), pushed.getOrDefault(status.node(), 0L));
+        for (NodeStatus status : registry.liveNodes(loop.nowMillis())) {
+            long known = Math.max(status.revisionInForce(), sentRevisions.getOrDefault(status.node(), 0L));
             if (known < current && status.revisionInForce() >= 0) {
-                pushed.put(status.node(), current);
+                sentRevisions.put(status.node(), current);
                 TablesDelta delta = state.tables().since(known);
                 sender.send(
                         status.node(),
@@ -103,9 +103,9 @@
     }
 
     void onCall(String node, PeerMessage.ControlCall call) {
-        startTermIfNew();
+        resetOnNewTerm();
         if (call.request() instanceof ControlRequest.Commit commit) {
-            host.propose(
+            replica.propose(
                     commit.command(),
                     end -> sender.send(node, new PeerMessage.ControlReply(call.call(), resultOf(end))));
         } else if (call.request() instanceof ControlRequest.Status) {
@@ -117,36 +117,36 @@
 
     private ControlResult resultOf(Proposal end) {
         if (end instanceof Proposal.Committed committed) {
-            return new ControlResult.Committed(committed.answer(), holderLives(committed.answer()));
+            return new ControlResult.Committed(committed.answer(), isHolderLive(committed.answer()));
         } else if (end instanceof Proposal.Busy) {
             return new ControlResult.Busy();
         }
-        return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+        return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
     }
 
-    private boolean holderLives(ControlAnswer answer) {
+    private boolean isHolderLive(ControlAnswer answer) {
         return answer instanceof ControlAnswer.OfClaim claim
                 && claim.answer() instanceof ClaimAnswer.Held held
-                && registry.lives(held.holder().node(), held.holder().incarnation(), loop.nowMillis());
+                && registry.isLive(held.holder().node(), held.holder().incarnation(), loop.nowMillis());
     }
 
     private ControlResult status() {
-        Optional<ControlState> state = host.readable();
+        Optional<ControlState> state = replica.readableState();
         if (state.isEmpty()) {
-            return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+            return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        List<NodeLine> lines = new ArrayList<>(registry.lines(loop.nowMillis()));
+        List<NodeSummary> lines = new ArrayList<>(registry.summaries(loop.nowMillis()));
         Set<String> missing = new TreeSet<>(Set.of(settings.node()));
         settings.peers().forEach(peer -> missing.add(peer.node()));
         lines.forEach(line -> missing.remove(line.node()));
-        missing.forEach(node -> lines.add(new NodeLine(node, NodeState.LOST, "", -1, "")));
+        missing.forEach(node -> lines.add(new NodeSummary(node, NodeState.LOST, "", -1, "")));
         return new ControlResult.Report(new PeerMessage.ClusterStatus(
                 settings.node(),
-                host.term(),
+                replica.term(),
                 state.get().tables().tables().revision(),
-                host.commitIndex(),
-                host.voters(),
-                host.learners(),
+                replica.commitIndex(),
+                replica.voters(),
+                replica.learners(),
                 lines,
                 state.get().claims().counts(),
                 moves(state.get()),
@@ -154,10 +154,10 @@
     }
 
     private ControlResult replace(String node) {
-        if (host.readable().isEmpty()) {
-            return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+        if (replica.readableState().isEmpty()) {
+            return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        String fresh = registry.living(loop.nowMillis()).stream()
+        String fresh = registry.liveNodes(loop.nowMillis()).stream()
                 .filter(status -> status.node().equals(node))
                 .map(NodeStatus::replica)
                 .findFirst()
@@ -165,14 +165,14 @@
         if (fresh.isEmpty()) {
             return new ControlResult.Refused("node " + node + " is not live or has no replica");
         }
-        if (host.voters().contains(fresh)) {
+        if (replica.voters().contains(fresh)) {
             return new ControlResult.Refused("replica " + fresh + " votes already");
         }
-        String lost = host.voters().stream()
+        String lost = replica.voters().stream()
                 .filter(voter -> ReplicaHost.nodeOf(voter).equals(node))
                 .findFirst()
                 .orElse("");
-        if (!host.replace(fresh, lost)) {
+        if (!replica.replace(fresh, lost)) {
             return new ControlResult.Refused("another change of the replicas is under way");
         }
         PartLog.CONTROL.info("Replica " + fresh + " is to replace " + (lost.isEmpty() ? "none" : lost) + '.');
@@ -197,22 +197,22 @@
      * Returns the view, unless this leader is so new that nodes may live of which it has not heard yet: a view without
      * them would move the ownership of queues to and fro.
      */
-    private Optional<ClusterView> viewIfSettled() {
+    private Optional<ClusterView> viewOnceSettled() {
         long now = loop.nowMillis();
         long settling = 3 * settings.timeouts().heartbeatMillis();
-        boolean everybody = registry.living(now).size() == settings.peers().size() + 1;
-        if (!everybody && now - termStartedAt < settling) {
+        boolean everybody = registry.liveNodes(now).size() == settings.peers().size() + 1;
+        if (!everybody && now - termStartedAtMillis < settling) {
             return Optional.empty();
         }
-        return Optional.of(registry.view(host.term(), now));
+        return Optional.of(registry.view(replica.term(), now));
     }
 
-    private void startTermIfNew() {
-        if (host.term() != registryTerm) {
-            registryTerm = host.term();
-            termStartedAt = loop.nowMillis();
+    private void resetOnNewTerm() {
+        if (replica.term() != registryTerm) {
+            registryTerm = replica.term();
+            termStartedAtMillis = loop.nowMillis();
             registry.reset();
-            pushed.clear();
+            sentRevisions.clear();
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -13,8 +13,8 @@
 import org.radishspur.model.table.Tables;
 import org.radishspur.node.log.PartLog;
 import org.radishspur.node.peer.ClusterView;
-import org.radishspur.node.peer.PeerInbox;
 import org.radishspur.node.peer.PeerLinks;
+import org.radishspur.node.peer.PeerListener;
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.replication.state.ControlCommand;
@@ -24,26 +24,26 @@
 /**
  * Ties the deciding parts of a node together on the control thread, and gives traffic threads a way in.
  */
-public final class NodeCore implements PeerInbox, AutoCloseable {
-    private static final long REPORT_CALL_MILLIS = 10_000;
+public final class NodeCore implements PeerListener, AutoCloseable {
+    private static final long COMMIT_TIMEOUT_MILLIS = 10_000;
 
     private final NodeSettings settings;
     private final long incarnation;
     private final ControlLoop loop;
     private final PeerLinks links;
-    private final ControlLink controlLink;
-    private final PermitService permitDesk;
-    private final OwnerService ownerDesk;
+    private final ControlClient controlClient;
+    private final PermitService permitService;
+    private final OwnerService ownerService;
     private final Optional<ReplicaHost> replicaHost;
-    private final Optional<LeaderService> leaderDesk;
+    private final Optional<LeaderService> leaderService;
     private final AtomicLong nextAttempt = new AtomicLong();
     private volatile Tables tables = Tables.EMPTY;
     private volatile boolean tablesKnown;
     private volatile boolean shuttingDown;
-    private volatile long leaderHeardAt;
+    private volatile long leaderSeenAtMillis;
     private ClusterView view = ClusterView.NONE;
     private long auxiliaryRevision;
-    private long seenAuxiliaryChanges;
+    private long lastAuxiliaryChanges;
 
     /**
      * Creates the core of a node; it starts to work at once.
@@ -58,9 +58,10 @@
         this.incarnation = incarnation;
         this.loop = loop;
         this.links = linksFactory.create(this);
-        this.controlLink = new ControlLink(settings, loop, this::send);
-        this.permitDesk = new PermitService(loop, settings.node(), incarnation, this::send, links::isConnected);
-        this.ownerDesk = new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new Reporter());
+        this.controlClient = new ControlClient(settings, loop, this::send);
+        this.permitService = new PermitService(loop, settings.node(), incarnation, this::send, links::isConnected);
+        this.ownerService =
+                new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
         this.replicaHost = settings.isControl()
                 ? Optional.of(new ReplicaHost(
                         ReplicaHost.setupOf(settings),
@@ -69,7 +70,7 @@
                                 links.send(ReplicaHost.nodeOf(to), new PeerMessage.Raft(from, to, message)),
                         this::onApplied))
                 : Optional.empty();
-        this.leaderDesk = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
+        this.leaderService = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
         loop.repeat(this::heartbeat, settings.timeouts().heartbeatMillis());
     }
 
@@ -87,9 +88,9 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onLink(String node, boolean connected) {
+    public void onConnectionChanged(String node, boolean connected) {
         loop.execute(() -> {
-            permitDesk.onLink(node, connected);
+            permitService.onConnectionChanged(node, connected);
             if (connected) {
                 heartbeat();
             }
@@ -115,7 +116,7 @@
      * @param listener receives the outcome, on the control thread.
      */
     public void call(PeerMessage.ControlRequest request, long timeoutMillis, CallListener listener) {
-        loop.execute(() -> controlLink.call(request, timeoutMillis, listener::onEnd));
+        loop.execute(() -> controlClient.call(request, timeoutMillis, listener::onResult));
     }
 
     /**
@@ -125,7 +126,7 @@
      * @param listener receives the outcome, on the control thread.
      */
     public void ask(PeerMessage.PermitAsk ask, PermitListener listener) {
-        loop.execute(() -> permitDesk.ask(ask, listener));
+        loop.execute(() -> permitService.request(ask, listener));
     }
 
     /**
@@ -135,8 +136,8 @@
      */
     public void cancel(PermitId id) {
         loop.execute(() -> {
-            if (!permitDesk.cancel(id)) {
-                permitDesk.finish(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED));
+            if (!permitService.cancel(id)) {
+                permitService.release(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED));
             }
         });
     }
@@ -147,7 +148,7 @@
      * @param id the attempt.
      */
     public void firstToken(PermitId id) {
-        loop.execute(() -> permitDesk.firstToken(id));
+        loop.execute(() -> permitService.reportFirstToken(id));
     }
 
     /**
@@ -156,7 +157,7 @@
      * @param word what it said.
      */
     public void pass(PeerMessage.UpstreamWord word) {
-        loop.execute(() -> permitDesk.pass(word));
+        loop.execute(() -> permitService.reportUpstreamStatus(word));
     }
 
     /**
@@ -166,7 +167,7 @@
      * @param outcome how it was used.
      */
     public void finish(PermitId id, PermitOutcome outcome) {
-        loop.execute(() -> permitDesk.finish(id, outcome));
+        loop.execute(() -> permitService.release(id, outcome));
     }
 
     /**
@@ -194,7 +195,7 @@
      * @return whether it may.
      */
     public boolean isReady() {
-        return tablesKnown && !shuttingDown && (hearsLeader() || seesMostPeers());
+        return tablesKnown && !shuttingDown && (hasRecentLeaderReply() || isConnectedToMajority());
     }
 
     /**
@@ -225,8 +226,8 @@
     public void poolReport(ReportListener listener) {
         loop.execute(() -> {
             Map<String, PoolReport> report = new TreeMap<>();
-            permitDesk.owners().forEach((pool, owner) -> {
-                var scheduler = ownerDesk.schedulers().get(pool);
+            permitService.owners().forEach((pool, owner) -> {
+                var scheduler = ownerService.schedulers().get(pool);
                 boolean own = owner.equals(settings.node()) && scheduler != null;
                 report.put(pool, PoolReport.of(owner, own ? Optional.of(scheduler) : Optional.empty(), loop));
             });
@@ -241,12 +242,12 @@
         replicaHost.ifPresent(ReplicaHost::close);
     }
 
-    private boolean hearsLeader() {
-        return leaderHeardAt > 0
-                && loop.nowMillis() - leaderHeardAt < settings.timeouts().nodeLostMillis();
+    private boolean hasRecentLeaderReply() {
+        return leaderSeenAtMillis > 0
+                && loop.nowMillis() - leaderSeenAtMillis < settings.timeouts().nodeLostMillis();
     }
 
-    private boolean seesMostPeers() {
+    private boolean isConnectedToMajority() {
         long connected = settings.peers().stream()
                 .filter(peer -> links.isConnected(peer.node()))
                 .count();
@@ -281,15 +282,15 @@
         if (message instanceof PeerMessage.Raft raft) {
             replicaHost.ifPresent(host -> host.receive(raft.from(), raft.to(), raft.message()));
         } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
-            leaderDesk.ifPresent(desk -> desk.onHeartbeat(heartbeat.status()));
+            leaderService.ifPresent(desk -> desk.onHeartbeat(heartbeat.status()));
         } else if (message instanceof PeerMessage.HeartbeatReply reply) {
             onHeartbeatReply(node, reply);
         } else if (message instanceof PeerMessage.TablesPush push) {
             onDelta(push.delta(), push.moves());
         } else if (message instanceof PeerMessage.ControlCall call) {
-            leaderDesk.ifPresent(desk -> desk.onCall(node, call));
+            leaderService.ifPresent(desk -> desk.onCall(node, call));
         } else if (message instanceof PeerMessage.ControlReply reply) {
-            controlLink.onReply(reply);
+            controlClient.onReply(reply);
         } else {
             dispatchPermit(node, message);
         }
@@ -297,21 +298,21 @@
 
     private void dispatchPermit(String node, PeerMessage message) {
         if (message instanceof PeerMessage.PermitAsk ask) {
-            ownerDesk.onAsk(node, ask);
+            ownerService.onPermitRequest(node, ask);
         } else if (message instanceof PeerMessage.PermitGranted granted) {
-            permitDesk.onGranted(granted);
+            permitService.onGranted(granted);
         } else if (message instanceof PeerMessage.PermitRefused refused) {
-            permitDesk.onRefused(refused);
+            permitService.onRefused(refused);
         } else if (message instanceof PeerMessage.PermitCancel cancel) {
-            ownerDesk.onCancel(cancel);
+            ownerService.onCancel(cancel);
         } else if (message instanceof PeerMessage.PermitFirstToken first) {
-            ownerDesk.onFirstToken(first);
+            ownerService.onFirstToken(first);
         } else if (message instanceof PeerMessage.PermitFinish finish) {
-            ownerDesk.onFinish(finish);
+            ownerService.onFinish(finish);
         } else if (message instanceof PeerMessage.UpstreamWord word) {
-            ownerDesk.onWord(word);
+            ownerService.onUpstreamStatus(word);
         } else if (message instanceof PeerMessage.PermitRegister register) {
-            ownerDesk.onRegister(node, register);
+            ownerService.onRegister(node, register);
         }
     }
 
@@ -319,8 +320,8 @@
         if (!reply.leader()) {
             return;
         }
-        leaderHeardAt = loop.nowMillis();
-        controlLink.onLeader(node);
+        leaderSeenAtMillis = loop.nowMillis();
+        controlClient.onLeader(node);
         reply.delta().ifPresent(delta -> onDelta(delta, reply.moves()));
         if (!tablesKnown && reply.delta().isPresent()) {
             tablesKnown = true;
@@ -329,14 +330,14 @@
         }
         reply.view().filter(fresh -> fresh.isLaterThan(view)).ifPresent(fresh -> {
             view = fresh;
-            ownerDesk.onView(fresh);
-            permitDesk.onView(fresh);
+            ownerService.onView(fresh);
+            permitService.onView(fresh);
         });
         if (reply.auxiliaryRevision() != auxiliaryRevision) {
             auxiliaryRevision = reply.auxiliaryRevision();
-            ownerDesk.onSuspects(reply.suspects());
-            ownerDesk.onMoves(reply.moves());
-            ownerDesk.onEvacuated(reply.evacuated());
+            ownerService.onSuspects(reply.suspects());
+            ownerService.onMoves(reply.moves());
+            ownerService.onEvacuated(reply.evacuated());
         }
     }
 
@@ -350,7 +351,7 @@
         Tables changed = delta.applyTo(tables);
         if (changed.revision() > tables.revision()) {
             tables = changed;
-            ownerDesk.onMovesWithTables(moves);
+            ownerService.onMovesWithTables(moves);
             if (tablesKnown) {
                 onTables();
                 heartbeat();
@@ -359,15 +360,15 @@
     }
 
     private void onTables() {
-        ownerDesk.onTables(tables);
-        permitDesk.onTables(tables);
+        ownerService.onTables(tables);
+        permitService.onTables(tables);
         PartLog.NODE.info("Tables of revision " + tables.revision() + " are in force.");
     }
 
     private void onApplied(ControlState state) {
-        boolean changed = state.auxiliaryChanges() != seenAuxiliaryChanges;
-        seenAuxiliaryChanges = state.auxiliaryChanges();
-        leaderDesk.ifPresent(desk -> desk.onApplied(state, changed));
+        boolean changed = state.auxiliaryChanges() != lastAuxiliaryChanges;
+        lastAuxiliaryChanges = state.auxiliaryChanges();
+        leaderService.ifPresent(desk -> desk.onApplied(state, changed));
     }
 
     /**
@@ -380,7 +381,7 @@
          * @param inbox is notified of connections made and lost.
          * @return the links.
          */
-        PeerLinks create(PeerInbox inbox);
+        PeerLinks create(PeerListener inbox);
     }
 
     /**
@@ -392,7 +393,7 @@
          *
          * @param result how the call ended.
          */
-        void onEnd(PeerMessage.ControlResult result);
+        void onResult(PeerMessage.ControlResult result);
     }
 
     /**
@@ -410,11 +411,11 @@
     /**
      * Commits what the owners of queues find out.
      */
-    private final class Reporter implements OwnerService.Reporter {
+    private final class LeaderReporter implements OwnerService.Reporter {
         /** {@inheritDoc} */
         @Override
-        public boolean owns(String pool) {
-            return settings.node().equals(permitDesk.owners().get(pool));
+        public boolean isOwner(String pool) {
+            return settings.node().equals(permitService.owners().get(pool));
         }
 
         /** {@inheritDoc} */
@@ -424,25 +425,25 @@
                     + proposal.state() + " at " + proposal.stage() + ", reason " + proposal.reason() + '.');
             commit(
                     new ControlCommand.ChangeMove(proposal, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> heartbeat());
         }
 
         /** {@inheritDoc} */
         @Override
-        public void crashed(String pool, String fingerprint, String crashId) {
+        public void reportCrash(String pool, String fingerprint, String crashId) {
             commit(
                     new ControlCommand.ReportCrash(pool, fingerprint, crashId, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> {});
         }
 
         /** {@inheritDoc} */
         @Override
-        public void cleared(String pool, String fingerprint) {
+        public void clearSuspect(String pool, String fingerprint) {
             commit(
                     new ControlCommand.ClearSuspect(pool, fingerprint, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> {});
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
@@ -7,41 +7,43 @@
 import java.util.TreeMap;
 
 import org.radishspur.node.peer.ClusterView;
-import org.radishspur.node.peer.PeerMessage.NodeLine;
 import org.radishspur.node.peer.PeerMessage.NodeState;
 import org.radishspur.node.peer.PeerMessage.NodeStatus;
+import org.radishspur.node.peer.PeerMessage.NodeSummary;
 
 /**
  * Remembers for the control leader which nodes live and what they have in force.
  */
 final class NodeRegistry {
-    private final long lostMillis;
-    private final Map<String, Known> nodes = new TreeMap<>();
+    private final long lostTimeoutMillis;
+    private final Map<String, LatestStatus> nodes = new TreeMap<>();
     private ClusterView view = ClusterView.NONE;
 
     NodeRegistry(long lostMillis) {
-        this.lostMillis = lostMillis;
+        this.lostTimeoutMillis = lostMillis;
     }
 
-    void received(NodeStatus status, long now) {
-        Known known = nodes.get(status.node());
+    void onStatus(NodeStatus status, long now) {
+        LatestStatus known = nodes.get(status.node());
         // Guards against a frozen process that wakes after its successor has started: the older run is ignored.
         if (known == null || status.incarnation() >= known.status.incarnation()) {
-            nodes.put(status.node(), new Known(status, now));
+            nodes.put(status.node(), new LatestStatus(status, now));
         }
     }
 
-    boolean lives(String node, long incarnation, long now) {
-        Known known = nodes.get(node);
-        return known != null && known.status.incarnation() == incarnation && now - known.receivedAt < lostMillis;
+    boolean isLive(String node, long incarnation, long now) {
+        LatestStatus known = nodes.get(node);
+        return known != null
+                && known.status.incarnation() == incarnation
+                && now - known.receivedAtMillis < lostTimeoutMillis;
     }
 
     /** Makes a new view if the set of living entry nodes has changed. */
     ClusterView view(long term, long now) {
         List<ClusterView.Member> members = new ArrayList<>();
-        for (Known known : nodes.values()) {
+        for (LatestStatus known : nodes.values()) {
             NodeStatus status = known.status;
-            if (status.entry() && !status.shuttingDown() && now - known.receivedAt < lostMillis) {
+            if (status.entry() && !status.shuttingDown() && now - known.receivedAtMillis < lostTimeoutMillis) {
                 members.add(new ClusterView.Member(status.node(), status.incarnation()));
             }
         }
@@ -56,21 +58,21 @@
         nodes.clear();
     }
 
-    Collection<NodeStatus> living(long now) {
+    Collection<NodeStatus> liveNodes(long now) {
         return nodes.values().stream()
-                .filter(known -> now - known.receivedAt < lostMillis)
+                .filter(known -> now - known.receivedAtMillis < lostTimeoutMillis)
                 .map(known -> known.status)
                 .toList();
     }
 
-    List<NodeLine> lines(long now) {
-        List<NodeLine> lines = new ArrayList<>();
-        for (Known known : nodes.values()) {
+    List<NodeSummary> summaries(long now) {
+        List<NodeSummary> lines = new ArrayList<>();
+        for (LatestStatus known : nodes.values()) {
             NodeStatus status = known.status;
             NodeState living = status.shuttingDown() ? NodeState.SHUTTING_DOWN : NodeState.LIVE;
-            lines.add(new NodeLine(
+            lines.add(new NodeSummary(
                     status.node(),
-                    now - known.receivedAt < lostMillis ? living : NodeState.LOST,
+                    now - known.receivedAtMillis < lostTimeoutMillis ? living : NodeState.LOST,
                     status.failureDomain(),
                     status.revisionInForce(),
                     status.replica()));
@@ -82,7 +84,7 @@
      * Remembers the latest word of a node.
      *
      * @param status what the node said.
-     * @param receivedAt when it said so, by the monotonic clock.
+     * @param receivedAtMillis when it said so, by the monotonic clock.
      */
-    private record Known(NodeStatus status, long receivedAt) {}
+    private record LatestStatus(NodeStatus status, long receivedAtMillis) {}
 }
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -32,70 +32,70 @@
  * Runs the schedulers of the pools whose queues this node owns, and answers the entries that ask for permits.
  */
 final class OwnerService {
-    private static final long HOLD_MICROS = 400_000;
-    private static final long GRACE_MICROS = 2_500_000;
-    private static final long TICK_MILLIS = 25;
-    private static final long DRIVE_MILLIS = 200;
-    private static final long PROPOSAL_MILLIS = 3_000;
+    private static final long REGISTRATION_WAIT_MICROS = 400_000;
+    private static final long RECONCILE_GRACE_MICROS = 2_500_000;
+    private static final long TIMER_INTERVAL_MILLIS = 25;
+    private static final long MOVE_INTERVAL_MILLIS = 200;
+    private static final long PROPOSAL_RETRY_MILLIS = 3_000;
 
     private final ControlLoop loop;
-    private final String identity;
+    private final String ownerIdentity;
     private final LeaderService.Sender sender;
     private final Reporter reporter;
-    private final Map<String, Owned> pools = new TreeMap<>();
-    private final Set<ClusterView.Member> members = new HashSet<>();
+    private final Map<String, OwnedPool> ownedPools = new TreeMap<>();
+    private final Set<ClusterView.Member> entryMembers = new HashSet<>();
     private Tables tables = Tables.EMPTY;
-    private final Set<Move> proposed = new HashSet<>();
+    private final Set<Move> pendingProposals = new HashSet<>();
     private Map<String, Move> moves = Map.of();
-    private Set<String> evacuated = Set.of();
-    private boolean decideScheduled;
+    private Set<String> evacuatedDomains = Set.of();
+    private boolean decisionScheduled;
 
     OwnerService(ControlLoop loop, String identity, LeaderService.Sender sender, Reporter reporter) {
         this.loop = loop;
-        this.identity = identity;
+        this.ownerIdentity = identity;
         this.sender = sender;
         this.reporter = reporter;
-        loop.repeat(this::tick, TICK_MILLIS);
-        loop.repeat(this::driveMoves, DRIVE_MILLIS);
+        loop.repeat(this::runDueTimers, TIMER_INTERVAL_MILLIS);
+        loop.repeat(this::advanceMoves, MOVE_INTERVAL_MILLIS);
     }
 
     void onTables(Tables changed) {
         tables = changed;
-        pools.forEach((name, owned) -> {
+        ownedPools.forEach((name, owned) -> {
             PoolRow row = changed.pool(name).orElse(null);
             if (row != null) {
                 owned.scheduler.configure(row);
             }
         });
-        applyVersions();
+        applyVersionSplits();
     }
 
     void onView(ClusterView view) {
-        for (ClusterView.Member member : members) {
+        for (ClusterView.Member member : entryMembers) {
             if (!view.entries().contains(member)) {
-                pools.values().forEach(owned -> owned.scheduler.entryLost(member.node(), member.incarnation()));
+                ownedPools.values().forEach(owned -> owned.scheduler.entryLost(member.node(), member.incarnation()));
             }
         }
-        members.clear();
-        members.addAll(view.entries());
-        requestDecisions();
+        entryMembers.clear();
+        entryMembers.addAll(view.entries());
+        requestDecision();
     }
 
     void onSuspects(Map<String, Map<String, Integer>> suspects) {
         suspects.forEach((pool, crashes) -> {
-            Owned owned = pools.get(pool);
+            OwnedPool owned = ownedPools.get(pool);
             if (owned != null) {
                 owned.scheduler.suspects(crashes);
             }
         });
-        requestDecisions();
+        requestDecision();
     }
 
     /** Takes over the failure domains whose upstreams get no new request. */
     void onEvacuated(Set<String> failureDomains) {
-        evacuated = Set.copyOf(failureDomains);
-        pools.values().forEach(owned -> owned.scheduler.evacuate(evacuated));
-        requestDecisions();
+        evacuatedDomains = Set.copyOf(failureDomains);
+        ownedPools.values().forEach(owned -> owned.scheduler.evacuate(evacuatedDomains));
+        requestDecision();
     }
 
     /** Takes over the moves that belong to tables which follow at once. */
@@ -105,17 +105,17 @@
 
     void onMoves(Map<String, Move> changed) {
         moves = Map.copyOf(changed);
-        applyVersions();
+        applyVersionSplits();
     }
 
-    private void applyVersions() {
+    private void applyVersionSplits() {
         Map<String, VersionSplit> all = MoveTable.splits(tables, moves);
-        pools.forEach((pool, owned) -> {
+        ownedPools.forEach((pool, owned) -> {
             Map<String, VersionSplit> own = new HashMap<>(all);
             own.keySet().removeIf(route -> !pool.equals(poolOf(route)));
             owned.scheduler.versions(own);
         });
-        requestDecisions();
+        requestDecision();
     }
 
     private String poolOf(String route) {
@@ -124,10 +124,10 @@
     }
 
     /** Drives the moves of the pools that this node owns; a version with a fault gets nothing from here on. */
-    private void driveMoves() {
+    private void advanceMoves() {
         for (Move move : moves.values()) {
-            Owned owned = pools.get(poolOf(move.route()));
-            if (owned == null || !reporter.owns(poolOf(move.route())) || proposed.contains(move)) {
+            OwnedPool owned = ownedPools.get(poolOf(move.route()));
+            if (owned == null || !reporter.isOwner(poolOf(move.route())) || pendingProposals.contains(move)) {
                 continue;
             }
             VersionWatch watch = owned.scheduler.watch(move.route());
@@ -135,15 +135,15 @@
                 owned.scheduler.halt(move.route());
             }
             MoveDriver.INSTANCE.decide(move, watch, System.currentTimeMillis()).ifPresent(proposal -> {
-                proposed.add(move);
-                loop.schedule(() -> proposed.remove(move), PROPOSAL_MILLIS);
+                pendingProposals.add(move);
+                loop.schedule(() -> pendingProposals.remove(move), PROPOSAL_RETRY_MILLIS);
                 reporter.propose(proposal);
             });
         }
     }
 
-    void onAsk(String node, PeerMessage.PermitAsk ask) {
-        Owned owned = owned(ask.pool());
+    void onPermitRequest(String node, PeerMessage.PermitAsk ask) {
+        OwnedPool owned = findOrCreatePool(ask.pool());
         if (owned == null) {
             sender.send(
                     node,
@@ -154,26 +154,26 @@
             return;
         }
         owned.scheduler.arrive(requestOf(ask), loop.nowMicros());
-        requestDecisions();
+        requestDecision();
     }
 
     void onCancel(PeerMessage.PermitCancel cancel) {
-        Owned owned = pools.get(cancel.pool());
+        OwnedPool owned = ownedPools.get(cancel.pool());
         if (owned != null) {
             owned.scheduler.cancel(cancel.id(), loop.nowMicros());
-            requestDecisions();
+            requestDecision();
         }
     }
 
     void onFirstToken(PeerMessage.PermitFirstToken first) {
-        Owned owned = pools.get(first.pool());
+        OwnedPool owned = ownedPools.get(first.pool());
         if (owned != null) {
             owned.scheduler.firstToken(first.id(), loop.nowMicros());
         }
     }
 
-    void onWord(PeerMessage.UpstreamWord word) {
-        Owned owned = pools.get(word.pool());
+    void onUpstreamStatus(PeerMessage.UpstreamWord word) {
+        OwnedPool owned = ownedPools.get(word.pool());
         if (owned == null) {
             return;
         }
@@ -187,49 +187,49 @@
     }
 
     void onFinish(PeerMessage.PermitFinish finish) {
-        Owned owned = pools.get(finish.pool());
+        OwnedPool owned = ownedPools.get(finish.pool());
         if (owned != null) {
             owned.scheduler.finish(finish.id(), finish.outcome(), loop.nowMicros());
-            driveMoves();
-            requestDecisions();
+            advanceMoves();
+            requestDecision();
         }
     }
 
     void onRegister(String node, PeerMessage.PermitRegister register) {
-        Owned owned = owned(register.pool());
+        OwnedPool owned = findOrCreatePool(register.pool());
         if (owned == null) {
             return;
         }
         Set<PermitId> known = new HashSet<>(register.waiting());
-        for (PeerMessage.InUse use : register.inUse()) {
-            known.add(use.ask().id());
-            owned.scheduler.register(requestOf(use.ask()), use.upstream(), loop.nowMicros());
+        for (PeerMessage.PermitInUse use : register.inUse()) {
+            known.add(use.request().id());
+            owned.scheduler.register(requestOf(use.request()), use.upstream(), loop.nowMicros());
         }
-        owned.scheduler.reconcile(node, register.incarnation(), known, GRACE_MICROS, loop.nowMicros());
-        owned.registered.add(node);
-        boolean all = members.stream().allMatch(member -> owned.registered.contains(member.node()));
+        owned.scheduler.reconcile(node, register.incarnation(), known, RECONCILE_GRACE_MICROS, loop.nowMicros());
+        owned.registeredNodes.add(node);
+        boolean all = entryMembers.stream().allMatch(member -> owned.registeredNodes.contains(member.node()));
         if (all) {
             owned.scheduler.holdUntil(0);
         }
-        requestDecisions();
+        requestDecision();
     }
 
     Map<String, PoolScheduler> schedulers() {
         Map<String, PoolScheduler> schedulers = new TreeMap<>();
-        pools.forEach((name, owned) -> schedulers.put(name, owned.scheduler));
+        ownedPools.forEach((name, owned) -> schedulers.put(name, owned.scheduler));
         return schedulers;
     }
 
-    private Owned owned(String pool) {
-        Owned owned = pools.get(pool);
+    private OwnedPool findOrCreatePool(String pool) {
+        OwnedPool owned = ownedPools.get(pool);
         PoolRow row = tables.pool(pool).orElse(null);
         if (owned == null && row != null) {
             // Guards against two owners giving out the same slots: the entries first tell the new owner what runs.
-            owned = new Owned(new PoolScheduler(row, SchedulerOptions.STANDARD, identity));
-            owned.scheduler.holdUntil(loop.nowMicros() + HOLD_MICROS);
-            owned.scheduler.evacuate(evacuated);
-            pools.put(pool, owned);
-            applyVersions();
+            owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.STANDARD, ownerIdentity));
+            owned.scheduler.holdUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
+            owned.scheduler.evacuate(evacuatedDomains);
+            ownedPools.put(pool, owned);
+            applyVersionSplits();
             PartLog.OWNER.info("This node takes over the queue of pool " + pool + '.');
         }
         return owned;
@@ -246,32 +246,32 @@
                 ask.fingerprint());
     }
 
-    private void tick() {
+    private void runDueTimers() {
         long now = loop.nowMicros();
-        if (pools.values().stream().anyMatch(owned -> owned.scheduler.nextWakeAt() <= now)) {
+        if (ownedPools.values().stream().anyMatch(owned -> owned.scheduler.nextWakeAt() <= now)) {
             decide();
         }
     }
 
-    private void requestDecisions() {
-        if (!decideScheduled) {
-            decideScheduled = true;
+    private void requestDecision() {
+        if (!decisionScheduled) {
+            decisionScheduled = true;
             loop.execute(() -> {
-                decideScheduled = false;
+                decisionScheduled = false;
                 decide();
             });
         }
     }
 
     private void decide() {
-        for (Map.Entry<String, Owned> entry : pools.entrySet()) {
+        for (Map.Entry<String, OwnedPool> entry : ownedPools.entrySet()) {
             for (PermitAction action : entry.getValue().scheduler.decide(loop.nowMicros())) {
-                carryOut(entry.getKey(), action);
+                execute(entry.getKey(), action);
             }
         }
     }
 
-    private void carryOut(String pool, PermitAction action) {
+    private void execute(String pool, PermitAction action) {
         if (action instanceof PermitAction.Grant grant) {
             sender.send(
                     grant.id().node(),
@@ -280,9 +280,9 @@
         } else if (action instanceof PermitAction.Refuse refuse) {
             sender.send(refuse.id().node(), new PeerMessage.PermitRefused(pool, refuse.id(), refuse.refusal()));
         } else if (action instanceof PermitAction.Suspect suspect) {
-            reporter.crashed(pool, suspect.fingerprint(), suspect.crashId());
+            reporter.reportCrash(pool, suspect.fingerprint(), suspect.crashId());
         } else if (action instanceof PermitAction.Cleared cleared) {
-            reporter.cleared(pool, cleared.fingerprint());
+            reporter.clearSuspect(pool, cleared.fingerprint());
         } else if (action instanceof PermitAction.Ejected ejected) {
             PartLog.OWNER.warn(
                     "Upstream " + ejected.upstream() + " of pool " + pool + " is ejected as " + ejected.cause() + '.');
@@ -290,7 +290,7 @@
     }
 
     private String addressOf(String pool, String upstream) {
-        Owned owned = pools.get(pool);
+        OwnedPool owned = ownedPools.get(pool);
         return owned.scheduler.upstreams().stream()
                 .map(state -> state.row())
                 .filter(row -> row.name().equals(upstream))
@@ -309,7 +309,7 @@
          * @param pool the pool.
          * @return whether it does.
          */
-        boolean owns(String pool);
+        boolean isOwner(String pool);
 
         /**
          * Proposes a change of a move.
@@ -325,7 +325,7 @@
          * @param fingerprint the digest of the request's content.
          * @param crashId what tells this crash from others.
          */
-        void crashed(String pool, String fingerprint, String crashId);
+        void reportCrash(String pool, String fingerprint, String crashId);
 
         /**
          * Reports that a suspect ran to its end.
@@ -333,17 +333,17 @@
          * @param pool the pool.
          * @param fingerprint the digest of the request's content.
          */
-        void cleared(String pool, String fingerprint);
+        void clearSuspect(String pool, String fingerprint);
     }
 
     /**
      * Holds the scheduler of one pool and who has registered with it.
      */
-    private static final class Owned {
+    private static final class OwnedPool {
         private final PoolScheduler scheduler;
-        private final Set<String> registered = new HashSet<>();
+        private final Set<String> registeredNodes = new HashSet<>();
 
-        Owned(PoolScheduler scheduler) {
+        OwnedPool(PoolScheduler scheduler) {
             this.scheduler = scheduler;
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -20,29 +20,29 @@
  * Gets permits for this entry's requests from the owners of the pools' queues, whoever they are at the moment.
  */
 final class PermitService {
-    private static final long REGISTER_MILLIS = 1_000;
-    private static final long UNREACHABLE_MILLIS = 1_500;
+    private static final long REGISTRATION_INTERVAL_MILLIS = 1_000;
+    private static final long OWNER_LOST_MILLIS = 1_500;
 
     private final ControlLoop loop;
-    private final String self;
+    private final String localNode;
     private final long incarnation;
     private final LeaderService.Sender sender;
     private final Reachability reachability;
-    private final Map<PermitId, Asked> waiting = new LinkedHashMap<>();
-    private final Map<PermitId, PeerMessage.InUse> inUse = new HashMap<>();
+    private final Map<PermitId, PendingRequest> pendingRequests = new LinkedHashMap<>();
+    private final Map<PermitId, PeerMessage.PermitInUse> permitsInUse = new HashMap<>();
     private final Map<String, String> owners = new HashMap<>();
-    private final Map<String, Long> lostSince = new HashMap<>();
+    private final Map<String, Long> disconnectedSinceMillis = new HashMap<>();
     private ClusterView view = ClusterView.NONE;
     private Tables tables = Tables.EMPTY;
 
     PermitService(
             ControlLoop loop, String self, long incarnation, LeaderService.Sender sender, Reachability reachability) {
         this.loop = loop;
-        this.self = self;
+        this.localNode = self;
         this.incarnation = incarnation;
         this.sender = sender;
         this.reachability = reachability;
-        loop.repeat(this::refresh, REGISTER_MILLIS);
+        loop.repeat(this::refresh, REGISTRATION_INTERVAL_MILLIS);
     }
 
     void onTables(Tables changed) {
@@ -55,24 +55,24 @@
         chooseOwners();
     }
 
-    void onLink(String node, boolean connected) {
+    void onConnectionChanged(String node, boolean connected) {
         if (connected) {
-            lostSince.remove(node);
+            disconnectedSinceMillis.remove(node);
         } else {
-            lostSince.put(node, loop.nowMillis());
+            disconnectedSinceMillis.put(node, loop.nowMillis());
         }
         chooseOwners();
         if (connected) {
             owners.forEach((pool, owner) -> {
                 if (owner.equals(node)) {
-                    introduce(pool, owner);
+                    register(pool, owner);
                 }
             });
         }
     }
 
-    void ask(PeerMessage.PermitAsk ask, PermitListener listener) {
-        waiting.put(ask.id(), new Asked(ask, loop.nowMicros(), listener));
+    void request(PeerMessage.PermitAsk ask, PermitListener listener) {
+        pendingRequests.put(ask.id(), new PendingRequest(ask, loop.nowMicros(), listener));
         String owner = owners.get(ask.pool());
         if (owner != null) {
             sender.send(owner, ask);
@@ -81,37 +81,40 @@
 
     /** Withdraws an attempt that waits; returns whether it did, so that a grant can't come any more. */
     boolean cancel(PermitId id) {
-        Asked asked = waiting.remove(id);
+        PendingRequest asked = pendingRequests.remove(id);
         if (asked != null) {
-            sendToOwner(asked.ask.pool(), new PeerMessage.PermitCancel(asked.ask.pool(), id));
+            sendToOwner(asked.request.pool(), new PeerMessage.PermitCancel(asked.request.pool(), id));
         }
         return asked != null;
     }
 
-    void firstToken(PermitId id) {
-        PeerMessage.InUse use = inUse.get(id);
+    void reportFirstToken(PermitId id) {
+        PeerMessage.PermitInUse use = permitsInUse.get(id);
         if (use != null) {
             sendToOwner(
-                    use.ask().pool(), new PeerMessage.PermitFirstToken(use.ask().pool(), id));
+                    use.request().pool(),
+                    new PeerMessage.PermitFirstToken(use.request().pool(), id));
         }
     }
 
-    void pass(PeerMessage.UpstreamWord word) {
+    void reportUpstreamStatus(PeerMessage.UpstreamWord word) {
         sendToOwner(word.pool(), word);
     }
 
-    void finish(PermitId id, PermitOutcome outcome) {
-        PeerMessage.InUse use = inUse.remove(id);
+    void release(PermitId id, PermitOutcome outcome) {
+        PeerMessage.PermitInUse use = permitsInUse.remove(id);
         if (use != null) {
-            sendToOwner(use.ask().pool(), new PeerMessage.PermitFinish(use.ask().pool(), id, outcome));
+            sendToOwner(
+                    use.request().pool(),
+                    new PeerMessage.PermitFinish(use.request().pool(), id, outcome));
         }
     }
 
     void onGranted(PeerMessage.PermitGranted granted) {
-        Asked asked = waiting.remove(granted.id());
+        PendingRequest asked = pendingRequests.remove(granted.id());
         if (asked == null) {
             // The request was given up meanwhile, or this is a second grant by another owner: the slot goes back.
-            if (!inUse.containsKey(granted.id())) {
+            if (!permitsInUse.containsKey(granted.id())) {
                 sendToOwner(
                         granted.pool(),
                         new PeerMessage.PermitFinish(
@@ -119,19 +122,19 @@
             }
             return;
         }
-        inUse.put(granted.id(), new PeerMessage.InUse(asked.ask, granted.upstream()));
+        permitsInUse.put(granted.id(), new PeerMessage.PermitInUse(asked.request, granted.upstream()));
         asked.listener.onGranted(granted.upstream(), granted.address());
     }
 
     void onRefused(PeerMessage.PermitRefused refused) {
-        Asked asked = waiting.remove(refused.id());
+        PendingRequest asked = pendingRequests.remove(refused.id());
         if (asked != null) {
             asked.listener.onRefused(refused.refusal());
         }
     }
 
-    int inUse() {
-        return inUse.size();
+    int permitsInUse() {
+        return permitsInUse.size();
     }
 
     Map<String, String> owners() {
@@ -148,33 +151,33 @@
     private void chooseOwners() {
         TreeSet<String> candidates = new TreeSet<>();
         for (ClusterView.Member member : view.entries()) {
-            if (member.node().equals(self) || !isUnreachable(member.node())) {
+            if (member.node().equals(localNode) || !isUnreachable(member.node())) {
                 candidates.add(member.node());
             }
         }
         owners.keySet().retainAll(tables.pools().keySet());
         for (String pool : tables.pools().keySet()) {
-            Optional<String> owner = Rendezvous.INSTANCE.owner(pool, candidates);
+            Optional<String> owner = RendezvousHash.INSTANCE.owner(pool, candidates);
             if (owner.isPresent() && !owner.get().equals(owners.get(pool))) {
                 owners.put(pool, owner.get());
-                introduce(pool, owner.get());
+                register(pool, owner.get());
             }
         }
     }
 
     /** Tells an owner all that goes on here, then asks again for what waits. Both may be repeated without harm. */
-    private void introduce(String pool, String owner) {
-        List<PeerMessage.InUse> used = inUse.values().stream()
-                .filter(use -> use.ask().pool().equals(pool))
-                .map(use -> new PeerMessage.InUse(remaining(use.ask(), 0), use.upstream()))
+    private void register(String pool, String owner) {
+        List<PeerMessage.PermitInUse> used = permitsInUse.values().stream()
+                .filter(use -> use.request().pool().equals(pool))
+                .map(use -> new PeerMessage.PermitInUse(remaining(use.request(), 0), use.upstream()))
                 .toList();
-        List<Asked> asked = waiting.values().stream()
-                .filter(each -> each.ask.pool().equals(pool))
+        List<PendingRequest> asked = pendingRequests.values().stream()
+                .filter(each -> each.request.pool().equals(pool))
                 .toList();
         List<PermitId> ids = new ArrayList<>();
-        asked.forEach(each -> ids.add(each.ask.id()));
+        asked.forEach(each -> ids.add(each.request.id()));
         sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, used, ids));
-        asked.forEach(each -> sender.send(owner, remaining(each.ask, loop.nowMicros() - each.askedAt)));
+        asked.forEach(each -> sender.send(owner, remaining(each.request, loop.nowMicros() - each.requestedAtMicros)));
     }
 
     private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk ask, long elapsedMicros) {
@@ -193,19 +196,19 @@
         if (reachability.isConnected(node)) {
             return false;
         }
-        long since = lostSince.computeIfAbsent(node, key -> loop.nowMillis());
-        return loop.nowMillis() - since > UNREACHABLE_MILLIS;
+        long since = disconnectedSinceMillis.computeIfAbsent(node, key -> loop.nowMillis());
+        return loop.nowMillis() - since > OWNER_LOST_MILLIS;
     }
 
     private void refresh() {
         chooseOwners();
-        owners.forEach(this::introduce);
+        owners.forEach(this::register);
         long now = loop.nowMicros();
-        List<Asked> late = waiting.values().stream()
-                .filter(asked -> now - asked.askedAt > asked.ask.remainingMicros())
+        List<PendingRequest> late = pendingRequests.values().stream()
+                .filter(asked -> now - asked.requestedAtMicros > asked.request.remainingMicros())
                 .toList();
-        for (Asked asked : late) {
-            cancel(asked.ask.id());
+        for (PendingRequest asked : late) {
+            cancel(asked.request.id());
             asked.listener.onRefused(Refusal.notRun(
                     RefusalReason.OWNER_UNREACHABLE, "The owner of the pool's queue did not answer.", 1_000));
         }
@@ -227,9 +230,9 @@
     /**
      * Remembers a request for a permit.
      *
-     * @param ask the request.
-     * @param askedAt when it was made, by the monotonic clock in microseconds.
+     * @param request the request.
+     * @param requestedAtMicros when it was made, by the monotonic clock in microseconds.
      * @param listener receives the outcome.
      */
-    private record Asked(PeerMessage.PermitAsk ask, long askedAt, PermitListener listener) {}
+    private record PendingRequest(PeerMessage.PermitAsk request, long requestedAtMicros, PermitListener listener) {}
 }
--- a/node/src/main/java/org/radishspur/node/control/PoolReport.java
+++ b/node/src/main/java/org/radishspur/node/control/PoolReport.java
@@ -14,14 +14,14 @@
  * @param permitsInUse the number of permits in use, or -1 where another node owns the queue.
  * @param upstreams what the owner knows of the upstreams.
  */
-public record PoolReport(String owner, int waiting, int permitsInUse, List<UpstreamLine> upstreams) {
+public record PoolReport(String owner, int waiting, int permitsInUse, List<UpstreamReport> upstreams) {
 
     static PoolReport of(String owner, Optional<PoolScheduler> scheduler, ControlLoop loop) {
         if (scheduler.isEmpty()) {
             return new PoolReport(owner, -1, -1, List.of());
         }
-        List<UpstreamLine> lines = scheduler.get().upstreams().stream()
-                .map(state -> UpstreamLine.of(state, loop.nowMicros()))
+        List<UpstreamReport> lines = scheduler.get().upstreams().stream()
+                .map(state -> UpstreamReport.of(state, loop.nowMicros()))
                 .toList();
         return new PoolReport(owner, scheduler.get().waiting(), scheduler.get().permitsInUse(), lines);
     }
@@ -35,9 +35,9 @@
      * @param limit the number of requests that it may run at once.
      * @param outputMicros the learned time for each token of an answer, in microseconds.
      */
-    public record UpstreamLine(String name, boolean usable, int inFlight, int limit, long outputMicros) {
-        private static UpstreamLine of(UpstreamState state, long now) {
-            return new UpstreamLine(
+    public record UpstreamReport(String name, boolean usable, int inFlight, int limit, long outputMicros) {
+        private static UpstreamReport of(UpstreamState state, long now) {
+            return new UpstreamReport(
                     state.name(), state.isUsable(now), state.inFlight().size(), state.limit(), (long)
                             state.speed().outputMicros());
         }
--- a/node/src/main/java/org/radishspur/node/control/Rendezvous.java
+++ b/node/src/main/java/org/radishspur/node/control/RendezvousHash.java
@@ -8,11 +8,11 @@
 /**
  * Chooses an owner by rendezvous hashing (Thaler and Ravishankar 1998): when a node goes, only what it owned moves.
  */
-enum Rendezvous {
+enum RendezvousHash {
     /** The only instance; the choice keeps no state. */
     INSTANCE;
 
-    private static final long MIX = 0x9E3779B97F4A7C15L;
+    private static final long GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15L;
     private static final int MIX_SHIFT = 32;
 
     Optional<String> owner(String subject, Collection<String> nodes) {
@@ -25,7 +25,7 @@
     private static long weight(String subject, String node) {
         CRC32C checksum = new CRC32C();
         checksum.update((subject + '\n' + node).getBytes(StandardCharsets.UTF_8));
-        long mixed = checksum.getValue() * MIX;
-        return (mixed ^ mixed >>> MIX_SHIFT) * MIX;
+        long mixed = checksum.getValue() * GOLDEN_RATIO_MULTIPLIER;
+        return (mixed ^ mixed >>> MIX_SHIFT) * GOLDEN_RATIO_MULTIPLIER;
     }
 }
--- a/node/src/main/java/org/radishspur/node/control/ReplicaHost.java
+++ b/node/src/main/java/org/radishspur/node/control/ReplicaHost.java
@@ -24,10 +24,10 @@
  */
 public final class ReplicaHost implements AutoCloseable {
     private static final int ENTRIES_PER_MESSAGE = 256;
-    private static final int SNAPSHOT_PART_BYTES = 1 << 18;
+    private static final int SNAPSHOT_CHUNK_BYTES = 1 << 18;
     private static final int TRAILING_ENTRIES = 1_000;
-    private static final int MAXIMUM_PENDING = 20_000;
-    private static final double LEASE_SHARE = 0.8;
+    private static final int MAXIMUM_PENDING_PROPOSALS = 20_000;
+    private static final double LEASE_TO_ELECTION_TIMEOUT_RATIO = 0.8;
     private static final int TICKS_PER_HEARTBEAT = 4;
 
     private final ControlLoop loop;
@@ -78,9 +78,10 @@
         return new Setup(
                 folder,
                 folder.identity(settings.cluster(), settings.node()),
-                new ControlReplica.Options(raft, state, settings.limits().entriesPerSnapshot(), MAXIMUM_PENDING),
+                new ControlReplica.Options(
+                        raft, state, settings.limits().entriesPerSnapshot(), MAXIMUM_PENDING_PROPOSALS),
                 settings.limits().minimumFreeBytes(),
-                Observer.ForLog.INSTANCE);
+                Observer.LogObserver.INSTANCE);
     }
 
     /**
@@ -94,9 +95,9 @@
         return new RaftOptions(
                 heartbeatMillis,
                 electionMillis,
-                (long) (electionMillis * LEASE_SHARE),
+                (long) (electionMillis * LEASE_TO_ELECTION_TIMEOUT_RATIO),
                 ENTRIES_PER_MESSAGE,
-                SNAPSHOT_PART_BYTES,
+                SNAPSHOT_CHUNK_BYTES,
                 TRAILING_ENTRIES);
     }
 
@@ -150,7 +151,7 @@
     }
 
     /** Returns the latest state, if this replica may answer from it now. */
-    Optional<ControlState> readable() {
+    Optional<ControlState> readableState() {
         return replica.core().mayRead(loop.nowMillis()) ? Optional.of(replica.state()) : Optional.empty();
     }
 
@@ -319,7 +320,7 @@
         void onRole(String name, Role role, long term);
 
         /** Writes both to the log. */
-        enum ForLog implements Observer {
+        enum LogObserver implements Observer {
             /** The only instance. */
             INSTANCE;
 
--- a/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
@@ -26,15 +26,15 @@
  * dropped: whoever sends one repeats it if it matters.
  */
 public final class PeerLinks implements Child {
-    private static final int CONNECT_MILLIS = 1_000;
-    private static final long RECONNECT_MILLIS = 150;
-    private static final int LARGEST_BACKLOG_BYTES = 32 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final long RECONNECT_DELAY_MILLIS = 150;
+    private static final int MAXIMUM_BACKLOG_BYTES = 32 << 20;
 
     private final NodeSettings settings;
     private final PeerKey key;
     private final long incarnation;
     private final EventLoopGroup group;
-    private final PeerInbox inbox;
+    private final PeerListener peerListener;
     private final NodeMetrics metrics;
     private final Map<String, Channel> channels = new ConcurrentHashMap<>();
     private volatile boolean closed;
@@ -54,13 +54,13 @@
             PeerKey key,
             long incarnation,
             EventLoopGroup group,
-            PeerInbox inbox,
+            PeerListener inbox,
             NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.incarnation = incarnation;
         this.group = group;
-        this.inbox = inbox;
+        this.peerListener = inbox;
         this.metrics = metrics;
     }
 
@@ -113,16 +113,16 @@
         new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(LARGEST_BACKLOG_BYTES / 2, LARGEST_BACKLOG_BYTES))
+                        new WriteBufferWaterMark(MAXIMUM_BACKLOG_BYTES / 2, MAXIMUM_BACKLOG_BYTES))
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         PeerCodec.install(channel, settings.limits().frameBytes(), PeerMessage.class);
-                        channel.pipeline().addLast(new Introduction(peer));
+                        channel.pipeline().addLast(new ClientHandshake(peer));
                     }
                 })
                 .connect(peer.address().toSocketAddress())
@@ -135,18 +135,18 @@
 
     private void reconnect(PeerSettings peer) {
         if (!closed && !group.isShuttingDown()) {
-            group.schedule(() -> connect(peer), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
+            group.schedule(() -> connect(peer), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
      * Introduces this node to another one.
      */
-    private final class Introduction extends SimpleChannelInboundHandler<PeerMessage> {
+    private final class ClientHandshake extends SimpleChannelInboundHandler<PeerMessage> {
         private final PeerSettings peer;
         private final byte[] nonce = key.nonce();
 
-        Introduction(PeerSettings peer) {
+        ClientHandshake(PeerSettings peer) {
             this.peer = peer;
         }
 
@@ -167,7 +167,7 @@
             } else if (message instanceof PeerMessage.Welcome welcome
                     && key.matches(key.signWelcome(nonce), welcome.signature())) {
                 channels.put(peer.node(), context.channel());
-                inbox.onLink(peer.node(), true);
+                peerListener.onConnectionChanged(peer.node(), true);
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
                 PartLog.PEER.warn("Node " + peer.node() + " did not prove that it holds the shared key.");
@@ -179,7 +179,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (channels.remove(peer.node(), context.channel())) {
-                inbox.onLink(peer.node(), false);
+                peerListener.onConnectionChanged(peer.node(), false);
             }
             reconnect(peer);
         }
--- a/node/src/main/java/org/radishspur/node/peer/PeerInbox.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerListener.java
@@ -3,7 +3,7 @@
 /**
  * Receives what comes from other nodes; called on traffic threads.
  */
-public interface PeerInbox {
+public interface PeerListener {
     /**
      * Takes a message.
      *
@@ -19,5 +19,5 @@
      * @param node the name of the node.
      * @param connected whether there is a connection.
      */
-    void onLink(String node, boolean connected);
+    void onConnectionChanged(String node, boolean connected);
 }
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -210,7 +210,7 @@
      * @param inUse the permits in use.
      * @param waiting the attempts that wait for a permit.
      */
-    record PermitRegister(String pool, long incarnation, List<InUse> inUse, List<PermitId> waiting)
+    record PermitRegister(String pool, long incarnation, List<PermitInUse> inUse, List<PermitId> waiting)
             implements PeerMessage {}
 
     /**
@@ -229,10 +229,10 @@
     /**
      * Describes one permit in use.
      *
-     * @param ask the request for it.
+     * @param request the request for it.
      * @param upstream the upstream that it is for.
      */
-    record InUse(PermitAsk ask, String upstream) {}
+    record PermitInUse(PermitAsk request, String upstream) {}
 
     /**
      * Names what the control leader may be asked.
@@ -323,7 +323,7 @@
             long commitIndex,
             List<String> voters,
             List<String> learners,
-            List<NodeLine> nodes,
+            List<NodeSummary> nodes,
             Map<String, Integer> claims,
             List<Move> moves,
             Set<String> evacuated) {}
@@ -337,7 +337,7 @@
      * @param revisionInForce the revision of the tables that it works by.
      * @param replica the identity of its control replica, or an empty text.
      */
-    record NodeLine(String node, NodeState state, String failureDomain, long revisionInForce, String replica) {}
+    record NodeSummary(String node, NodeState state, String failureDomain, long revisionInForce, String replica) {}
 
     /**
      * Names how a node seems to the control leader.
--- a/node/src/main/java/org/radishspur/node/peer/PeerServer.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerServer.java
@@ -21,13 +21,13 @@
  * Accepts connections from other nodes, each of which must prove that it holds the shared key.
  */
 public final class PeerServer implements Child {
-    private static final int HANDSHAKE_SECONDS = 5;
-    private static final String HANDSHAKE_TIMEOUT = "handshake-timeout";
+    private static final int HANDSHAKE_TIMEOUT_SECONDS = 5;
+    private static final String HANDSHAKE_TIMEOUT_HANDLER = "handshake-timeout";
 
     private final NodeSettings settings;
     private final PeerKey key;
     private final EventLoopGroup group;
-    private final PeerInbox inbox;
+    private final PeerListener peerListener;
     private final NodeMetrics metrics;
     private Channel channel;
 
@@ -40,11 +40,12 @@
      * @param inbox receives what comes.
      * @param metrics counts what is refused.
      */
-    public PeerServer(NodeSettings settings, PeerKey key, EventLoopGroup group, PeerInbox inbox, NodeMetrics metrics) {
+    public PeerServer(
+            NodeSettings settings, PeerKey key, EventLoopGroup group, PeerListener inbox, NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.group = group;
-        this.inbox = inbox;
+        this.peerListener = inbox;
         this.metrics = metrics;
     }
 
@@ -57,9 +58,10 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline().addLast(HANDSHAKE_TIMEOUT, new ReadTimeoutHandler(HANDSHAKE_SECONDS));
+                        accepted.pipeline()
+                                .addLast(HANDSHAKE_TIMEOUT_HANDLER, new ReadTimeoutHandler(HANDSHAKE_TIMEOUT_SECONDS));
                         PeerCodec.install(accepted, settings.limits().frameBytes(), PeerMessage.class);
-                        accepted.pipeline().addLast(new Reception());
+                        accepted.pipeline().addLast(new ConnectionHandler());
                     }
                 })
                 .bind(settings.peerAddress().toSocketAddress())
@@ -81,7 +83,7 @@
     /**
      * Checks one connection and then passes its messages on.
      */
-    private final class Reception extends SimpleChannelInboundHandler<PeerMessage> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<PeerMessage> {
         private final byte[] nonce = key.nonce();
         private String node = "";
         private long incarnation;
@@ -96,11 +98,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerMessage message) {
             if (!node.isEmpty()) {
-                inbox.onMessage(node, incarnation, message);
+                peerListener.onMessage(node, incarnation, message);
             } else if (message instanceof PeerMessage.Hello hello && isValid(hello)) {
                 node = hello.node();
                 incarnation = hello.incarnation();
-                context.pipeline().remove(HANDSHAKE_TIMEOUT);
+                context.pipeline().remove(HANDSHAKE_TIMEOUT_HANDLER);
                 context.writeAndFlush(new PeerMessage.Welcome(key.signWelcome(hello.nonce())));
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -16,15 +16,15 @@
  * too often. Supervisors are children themselves, so that they form a tree whose root ends the process.
  */
 public final class Supervisor implements Child {
-    private static final long FIRST_DELAY_MILLIS = 100;
-    private static final long LONGEST_DELAY_MILLIS = 5_000;
-    private static final int FAILURES_ALLOWED = 8;
+    private static final long BASE_DELAY_MILLIS = 100;
+    private static final long MAXIMUM_DELAY_MILLIS = 5_000;
+    private static final int MAXIMUM_FAILURES = 8;
     private static final long FAILURE_WINDOW_MILLIS = 60_000;
 
     private final String name;
     private final Scheduler scheduler;
     private final LongSupplier clockMillis;
-    private final List<Supervised> children = new ArrayList<>();
+    private final List<SupervisedChild> children = new ArrayList<>();
     private Child.FailureListener parent = cause -> {};
     private boolean closed;
 
@@ -49,7 +49,7 @@
      * @return this supervisor.
      */
     public Supervisor supervise(String childName, Factory factory) {
-        children.add(new Supervised(childName, factory));
+        children.add(new SupervisedChild(childName, factory));
         return this;
     }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    private void startChild(Supervised supervised) {
+    private void startChild(SupervisedChild supervised) {
         if (closed) {
             return;
         }
@@ -83,7 +83,7 @@
         }
     }
 
-    private synchronized void onFailure(Supervised supervised, Child failed, Throwable cause) {
+    private synchronized void onFailure(SupervisedChild supervised, Child failed, Throwable cause) {
         if (closed || supervised.current != failed) {
             return;
         }
@@ -93,22 +93,22 @@
         while (supervised.failures.peekFirst() < now - FAILURE_WINDOW_MILLIS) {
             supervised.failures.removeFirst();
         }
-        if (supervised.failures.size() > FAILURES_ALLOWED) {
+        if (supervised.failures.size() > MAXIMUM_FAILURES) {
             PartLog.SUPERVISOR.error(name + " gives up on " + supervised.name + '.', cause);
             parent.onFailure(cause);
             return;
         }
-        long delay = Math.min(LONGEST_DELAY_MILLIS, FIRST_DELAY_MILLIS << supervised.failures.size());
+        long delay = Math.min(MAXIMUM_DELAY_MILLIS, BASE_DELAY_MILLIS << supervised.failures.size());
         PartLog.SUPERVISOR.warn(
                 name + " restarts " + supervised.name + " in " + delay + " ms: " + cause.getMessage() + '.');
         scheduler.schedule(() -> restart(supervised), delay);
     }
 
-    private synchronized void restart(Supervised supervised) {
+    private synchronized void restart(SupervisedChild supervised) {
         startChild(supervised);
     }
 
-    private static void closeQuietly(Supervised supervised) {
+    private static void closeQuietly(SupervisedChild supervised) {
         Child child = supervised.current;
         supervised.current = null;
         if (child != null) {
@@ -171,13 +171,13 @@
     /**
      * Remembers a child over its restarts.
      */
-    private static final class Supervised {
+    private static final class SupervisedChild {
         private final String name;
         private final Factory factory;
         private final Deque<Long> failures = new ArrayDeque<>();
         private Child current;
 
-        Supervised(String name, Factory factory) {
+        SupervisedChild(String name, Factory factory) {
             this.name = name;
             this.factory = factory;
         }
--- a/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
+++ b/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
@@ -14,14 +14,15 @@
 class SupervisorTest {
     private static final int MANY = 100;
 
-    private final Deque<Runnable> later = new ArrayDeque<>();
-    private final List<Throwable> givenUp = new ArrayList<>();
-    private final Supervisor supervisor = new Supervisor("test", (action, delay) -> later.add(action), () -> 0);
+    private final Deque<Runnable> scheduledRestarts = new ArrayDeque<>();
+    private final List<Throwable> reportedFailures = new ArrayList<>();
+    private final Supervisor supervisor =
+            new Supervisor("test", (action, delay) -> scheduledRestarts.add(action), () -> 0);
     private int starts;
 
-    private void runLater(int times) {
-        for (int count = 0; count < times && !later.isEmpty(); count++) {
-            later.poll().run();
+    private void runScheduledRestarts(int times) {
+        for (int count = 0; count < times && !scheduledRestarts.isEmpty(); count++) {
+            scheduledRestarts.poll().run();
         }
     }
 
@@ -32,10 +33,10 @@
     }
 
     /** Fails at its first starts. */
-    private final class AddressTaken implements Child {
+    private final class ServerWithTakenAddress implements Child {
         private final int failures;
 
-        AddressTaken(int failures) {
+        ServerWithTakenAddress(int failures) {
             this.failures = failures;
         }
 
@@ -52,22 +53,24 @@
     }
 
     @Nested
-    class WhereAnAddressIsTaken {
+    class WhenTheAddressIsInUse {
         /** Guards against a process that ends because an address was taken for a moment. */
         @Test
-        void aServerStartsOnceItsAddressIsFree() {
-            supervisor.supervise("server", () -> new AddressTaken(3)).start(givenUp::add);
-            runLater(MANY);
+        void startsTheServerOnceTheAddressIsFree() {
+            supervisor.supervise("server", () -> new ServerWithTakenAddress(3)).start(reportedFailures::add);
+            runScheduledRestarts(MANY);
             assertThat(starts).isEqualTo(4);
-            assertThat(givenUp).isEmpty();
+            assertThat(reportedFailures).isEmpty();
         }
 
         /** Guards against a server that is never started again, and nobody knows. */
         @Test
-        void theParentLearnsThatAServerNeverStarts() {
-            supervisor.supervise("server", () -> new AddressTaken(MANY)).start(givenUp::add);
-            runLater(MANY);
-            assertThat(givenUp).hasSize(1).first().isInstanceOf(BindException.class);
+        void reportsAServerThatNeverStartsToTheParent() {
+            supervisor
+                    .supervise("server", () -> new ServerWithTakenAddress(MANY))
+                    .start(reportedFailures::add);
+            runScheduledRestarts(MANY);
+            assertThat(reportedFailures).hasSize(1).first().isInstanceOf(BindException.class);
         }
     }
 }
