--- a/node/src/main/java/org/radishspur/node/control/ControlClient.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlClient.java
@@ -12,8 +12,8 @@
 import org.radishspur.node.settings.NodeSettings;
 
 /**
- * Makes this node's calls to the control leader, wherever that is: a call is repeated until it is answered or its time
- * is up, which is safe because every command may be proposed again without harm.
+ * Calls the control leader, whichever node that is. A call is retried until it is answered or its timeout expires, which is
+ * safe because every command is idempotent.
  */
 final class ControlClient {
     private static final long ATTEMPT_TIMEOUT_MILLIS = 800;
@@ -46,9 +46,9 @@
         if (call == null) {
             return;
         }
-        if (reply.result() instanceof ControlResult.NotLeader other) {
+        if (reply.result() instanceof ControlResult.NotLeader notLeader) {
             if (call.calledNode.equals(leader)) {
-                leader = other.leader();
+                leader = notLeader.leader();
             }
             call.nextAttemptAtMillis = loop.nowMillis() + RETRY_DELAY_MILLIS;
             return;
@@ -77,13 +77,13 @@
 
     private void checkCalls() {
         long now = loop.nowMillis();
-        List<Call> late = new ArrayList<>();
+        List<Call> expired = new ArrayList<>();
         Iterator<Call> remaining = calls.values().iterator();
         while (remaining.hasNext()) {
             Call call = remaining.next();
             if (now >= call.expiresAtMillis) {
                 remaining.remove();
-                late.add(call);
+                expired.add(call);
             } else if (now >= call.nextAttemptAtMillis) {
                 if (call.calledNode.equals(leader)) {
                     leader = "";
@@ -91,23 +91,23 @@
                 attempt(call);
             }
         }
-        late.forEach(call -> call.listener.onResult(new ControlResult.Unreachable()));
+        expired.forEach(call -> call.listener.onResult(new ControlResult.Unreachable()));
     }
 
     /**
-     * Receives how a call ends, on the control thread.
+     * Receives the result of a call, on the control thread.
      */
     interface Listener {
         /**
-         * Takes the end.
+         * Receives the result, exactly once.
          *
-         * @param result how the call ended.
+         * @param result the answer, or {@link ControlResult.Unreachable} after the timeout.
          */
         void onResult(ControlResult result);
     }
 
     /**
-     * Tracks one call.
+     * Holds the state of one call.
      */
     private static final class Call {
         private final long number;
@@ -117,10 +117,10 @@
         private String calledNode = "";
         private long nextAttemptAtMillis;
 
-        Call(long number, ControlRequest request, long endsAt, Listener listener) {
+        Call(long number, ControlRequest request, long expiresAtMillis, Listener listener) {
             this.number = number;
             this.request = request;
-            this.expiresAtMillis = endsAt;
+            this.expiresAtMillis = expiresAtMillis;
             this.listener = listener;
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/ControlLoop.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlLoop.java
@@ -8,7 +8,7 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Runs actions one after another on the only thread that touches control state.
+ * Runs actions one after another on the control thread, the only thread that accesses control state.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final long NANOS_PER_MICRO = 1_000;
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Names who is notified of an action that fails. After one, the control state is in doubt and the process has to end.
+     * Sets the listener that is notified when an action throws. The control state may then be inconsistent, so that the process
+     * must end.
      *
      * @param receiver the listener.
      */
@@ -36,7 +37,7 @@
     }
 
     /**
-     * Runs an action after those that wait already.
+     * Runs an action after those already submitted.
      *
      * @param action the action.
      */
@@ -45,38 +46,38 @@
     }
 
     /**
-     * Runs an action later.
+     * Runs an action once after a delay.
      *
      * @param action the action.
-     * @param delayMillis how long to wait.
+     * @param delayMillis the delay in milliseconds.
      */
     public void schedule(Runnable action, long delayMillis) {
         loop.schedule(() -> run(action), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Runs an action again and again.
+     * Runs an action periodically, for the first time after one period.
      *
      * @param action the action.
-     * @param periodMillis the time from one start to the next.
+     * @param periodMillis the time from one start to the next, in milliseconds.
      */
     public void repeat(Runnable action, long periodMillis) {
         loop.scheduleAtFixedRate(() -> run(action), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Returns the monotonic clock in milliseconds; it starts well above 0.
+     * Returns the time of the monotonic clock in milliseconds. The clock starts at one day, so that no point in time is 0.
      *
-     * @return the clock.
+     * @return the time.
      */
     public long nowMillis() {
         return TimeUnit.DAYS.toMillis(1) + (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
     }
 
     /**
-     * Returns the monotonic clock in microseconds.
+     * Returns the time of the monotonic clock in microseconds. The clock starts at one day, so that no point in time is 0.
      *
-     * @return the clock.
+     * @return the time.
      */
     public long nowMicros() {
         return TimeUnit.DAYS.toMicros(1) + (System.nanoTime() - startedAtNanos) / NANOS_PER_MICRO;
--- a/node/src/main/java/org/radishspur/node/control/DiskWriter.java
+++ b/node/src/main/java/org/radishspur/node/control/DiskWriter.java
@@ -17,7 +17,8 @@
 import org.radishspur.replication.raft.WriteBatch;
 
 /**
- * Writes batches on a thread of its own, so that a slow sync holds up neither heartbeats nor permits.
+ * Writes the batches and snapshots of a control replica on threads of its own, so that a slow sync delays neither
+ * heartbeats nor permits.
  */
 final class DiskWriter implements ControlReplica.Writer, AutoCloseable {
     private static final long DISK_FULL_RETRY_MILLIS = 500;
@@ -62,15 +63,15 @@
 
     /** {@inheritDoc} */
     @Override
-    public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
+    public void stage(Supplier<Snapshot> source, Consumer<Snapshot> staged) {
         snapshotExecutor.execute(() -> {
-            Snapshot snapshot = making.get();
+            Snapshot snapshot = source.get();
             try {
                 disk.stage(snapshot);
             } catch (RadishspurException exception) {
-                // Nothing depends on this file yet: the batch that makes it count will write it again, and will end the
-                // process if the disk really fails.
-                PartLog.CONTROL.error("A snapshot could not be stored aside.", exception);
+                // The batch that puts the snapshot into effect writes it again, and ends the process if the disk has
+                // failed.
+                PartLog.CONTROL.error("A snapshot could not be written ahead of its batch.", exception);
             }
             if (!closed.get()) {
                 loop.execute(() -> {
@@ -96,7 +97,7 @@
         disk.close();
     }
 
-    /** Waits while the disk is full; any other failure leaves the disk in doubt and ends the process. */
+    /** Retries while the disk is full; after any other failure the disk state is unknown, and the process ends. */
     private void writeWithRetries(WriteBatch batch) {
         while (!closed.get()) {
             try {
@@ -127,10 +128,12 @@
     }
 
     private void checkSpace() {
-        boolean enough = folder.usableBytes() >= minimumFreeBytes;
-        if (spaceAvailable.getAndSet(enough) != enough) {
+        boolean sufficient = folder.usableBytes() >= minimumFreeBytes;
+        if (spaceAvailable.getAndSet(sufficient) != sufficient) {
             PartLog.CONTROL.warn(
-                    enough ? "The disk has space again." : "The disk is nearly full; edits and claims are refused.");
+                    sufficient
+                            ? "The disk has space again."
+                            : "The disk is nearly full; edits and claims are refused.");
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -25,7 +25,8 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Answers the other nodes while this one leads the control replicas: heartbeats, calls, and fresh tables.
+ * Serves the nodes of the cluster while this one is the control leader: answers heartbeats and calls, and sends changed
+ * tables.
  */
 final class LeaderService {
     private final NodeSettings settings;
@@ -38,10 +39,10 @@
     private long termStartedAtMillis;
     private long auxiliaryRevision;
 
-    LeaderService(NodeSettings settings, ControlLoop loop, ReplicaHost host, Sender sender) {
+    LeaderService(NodeSettings settings, ControlLoop loop, ReplicaHost replica, Sender sender) {
         this.settings = settings;
         this.loop = loop;
-        this.replica = host;
+        this.replica = replica;
         this.sender = sender;
         this.registry = new NodeRegistry(settings.timeouts().nodeLostMillis());
     }
@@ -81,7 +82,7 @@
                         auxiliaryKnown ? Set.of() : state.get().catalogue().evacuated()));
     }
 
-    /** Sends fresh tables to every living node at once, rather than with the next heartbeat. */
+    /** Sends changed tables to every live node immediately rather than with the reply to its next heartbeat. */
     void onApplied(ControlState state, boolean auxiliaryChanged) {
         if (auxiliaryChanged) {
             auxiliaryRevision = Math.max(auxiliaryRevision + 1, System.currentTimeMillis());
@@ -91,10 +92,10 @@
         }
         long current = state.tables().tables().revision();
         for (NodeStatus status : registry.liveNodes(loop.nowMillis())) {
-            long known = Math.max(status.revisionInForce(), sentRevisions.getOrDefault(status.node(), 0L));
-            if (known < current && status.revisionInForce() >= 0) {
+            long knownRevision = Math.max(status.revisionInForce(), sentRevisions.getOrDefault(status.node(), 0L));
+            if (knownRevision < current && status.revisionInForce() >= 0) {
                 sentRevisions.put(status.node(), current);
-                TablesDelta delta = state.tables().since(known);
+                TablesDelta delta = state.tables().since(knownRevision);
                 sender.send(
                         status.node(),
                         new PeerMessage.TablesPush(delta, state.moves().latest()));
@@ -135,11 +136,11 @@
         if (state.isEmpty()) {
             return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        List<NodeSummary> lines = new ArrayList<>(registry.summaries(loop.nowMillis()));
+        List<NodeSummary> summaries = new ArrayList<>(registry.summaries(loop.nowMillis()));
         Set<String> missing = new TreeSet<>(Set.of(settings.node()));
         settings.peers().forEach(peer -> missing.add(peer.node()));
-        lines.forEach(line -> missing.remove(line.node()));
-        missing.forEach(node -> lines.add(new NodeSummary(node, NodeState.LOST, "", -1, "")));
+        summaries.forEach(line -> missing.remove(line.node()));
+        missing.forEach(node -> summaries.add(new NodeSummary(node, NodeState.LOST, "", -1, "")));
         return new ControlResult.Report(new PeerMessage.ClusterStatus(
                 settings.node(),
                 replica.term(),
@@ -147,7 +148,7 @@
                 replica.commitIndex(),
                 replica.voters(),
                 replica.learners(),
-                lines,
+                summaries,
                 state.get().claims().counts(),
                 moves(state.get()),
                 state.get().catalogue().evacuated()));
@@ -157,25 +158,25 @@
         if (replica.readableState().isEmpty()) {
             return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        String fresh = registry.liveNodes(loop.nowMillis()).stream()
+        String replacement = registry.liveNodes(loop.nowMillis()).stream()
                 .filter(status -> status.node().equals(node))
                 .map(NodeStatus::replica)
                 .findFirst()
                 .orElse("");
-        if (fresh.isEmpty()) {
+        if (replacement.isEmpty()) {
             return new ControlResult.Refused("node " + node + " is not live or has no replica");
         }
-        if (replica.voters().contains(fresh)) {
-            return new ControlResult.Refused("replica " + fresh + " votes already");
+        if (replica.voters().contains(replacement)) {
+            return new ControlResult.Refused("replica " + replacement + " votes already");
         }
         String lost = replica.voters().stream()
                 .filter(voter -> ReplicaHost.nodeOf(voter).equals(node))
                 .findFirst()
                 .orElse("");
-        if (!replica.replace(fresh, lost)) {
+        if (!replica.replace(replacement, lost)) {
             return new ControlResult.Refused("another change of the replicas is under way");
         }
-        PartLog.CONTROL.info("Replica " + fresh + " is to replace " + (lost.isEmpty() ? "none" : lost) + '.');
+        PartLog.CONTROL.info("Replica " + replacement + " is to replace " + (lost.isEmpty() ? "none" : lost) + '.');
         return new ControlResult.Committed(new ControlAnswer.Done(), false);
     }
 
@@ -194,14 +195,15 @@
     }
 
     /**
-     * Returns the view, unless this leader is so new that nodes may live of which it has not heard yet: a view without
-     * them would move the ownership of queues to and fro.
+     * Returns the view, or nothing early in a term while live nodes may not have sent their first heartbeat: a view without
+     * them would change the owners of queues only to change them back.
      */
     private Optional<ClusterView> viewOnceSettled() {
         long now = loop.nowMillis();
-        long settling = 3 * settings.timeouts().heartbeatMillis();
-        boolean everybody = registry.liveNodes(now).size() == settings.peers().size() + 1;
-        if (!everybody && now - termStartedAtMillis < settling) {
+        long settleMillis = 3 * settings.timeouts().heartbeatMillis();
+        boolean allNodesLive =
+                registry.liveNodes(now).size() == settings.peers().size() + 1;
+        if (!allNodesLive && now - termStartedAtMillis < settleMillis) {
             return Optional.empty();
         }
         return Optional.of(registry.view(replica.term(), now));
@@ -217,13 +219,13 @@
     }
 
     /**
-     * Sends messages to nodes, this one included.
+     * Sends messages to nodes, including this one.
      */
     interface Sender {
         /**
          * Sends a message, which may be lost.
          *
-         * @param node the receiver.
+         * @param node the name of the receiver.
          * @param message the message.
          */
         void send(String node, PeerMessage message);
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -22,7 +22,8 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Ties the deciding parts of a node together on the control thread, and gives traffic threads a way in.
+ * Connects the control replica, the leader service, the pools' queues and the requests for permits of a node. All of them
+ * run on the control thread; the public methods may be called from any thread.
  */
 public final class NodeCore implements PeerListener, AutoCloseable {
     private static final long COMMIT_TIMEOUT_MILLIS = 10_000;
@@ -46,12 +47,12 @@
     private long lastAuxiliaryChanges;
 
     /**
-     * Creates the core of a node; it starts to work at once.
+     * Creates the core of a node; its timers and its control replica start at once.
      *
      * @param settings the settings of the node.
-     * @param incarnation which run of the process it is.
+     * @param incarnation the run of the process.
      * @param loop the control thread.
-     * @param linksFactory makes the links to other nodes, given who is notified of them.
+     * @param linksFactory creates the connections to other nodes.
      */
     public NodeCore(NodeSettings settings, long incarnation, ControlLoop loop, LinksFactory linksFactory) {
         this.settings = settings;
@@ -98,41 +99,41 @@
     }
 
     /**
-     * Asks the control leader to commit a command.
+     * Commits a command by a call to the control leader.
      *
      * @param command the command.
-     * @param timeoutMillis how long the call may take.
-     * @param listener receives the outcome, on the control thread.
+     * @param timeoutMillis the timeout of the call in milliseconds.
+     * @param listener receives the result, on the control thread.
      */
     public void commit(ControlCommand command, long timeoutMillis, CallListener listener) {
         call(new PeerMessage.ControlRequest.Commit(command), timeoutMillis, listener);
     }
 
     /**
-     * Makes a call to the control leader.
+     * Calls the control leader.
      *
-     * @param request what is asked.
-     * @param timeoutMillis how long the call may take.
-     * @param listener receives the outcome, on the control thread.
+     * @param request the request.
+     * @param timeoutMillis the timeout of the call in milliseconds.
+     * @param listener receives the result, on the control thread.
      */
     public void call(PeerMessage.ControlRequest request, long timeoutMillis, CallListener listener) {
         loop.execute(() -> controlClient.call(request, timeoutMillis, listener::onResult));
     }
 
     /**
-     * Asks for a permit.
+     * Requests a permit from the owner of the pool's queue.
      *
-     * @param ask the request.
-     * @param listener receives the outcome, on the control thread.
+     * @param request the request.
+     * @param listener receives the result, on the control thread.
      */
-    public void ask(PeerMessage.PermitAsk ask, PermitListener listener) {
-        loop.execute(() -> permitService.request(ask, listener));
+    public void ask(PeerMessage.PermitAsk request, PermitListener listener) {
+        loop.execute(() -> permitService.request(request, listener));
     }
 
     /**
-     * Withdraws a request for a permit; if the permit was granted meanwhile, it is given back unused.
+     * Withdraws a request for a permit; if the permit has been granted already, it is released unused.
      *
-     * @param id the attempt.
+     * @param id the identity of the attempt.
      */
     public void cancel(PermitId id) {
         loop.execute(() -> {
@@ -143,35 +144,35 @@
     }
 
     /**
-     * Says that the first token of an answer has come.
+     * Reports the first token of an answer to the owner of the pool's queue.
      *
-     * @param id the attempt.
+     * @param id the identity of the attempt.
      */
     public void firstToken(PermitId id) {
         loop.execute(() -> permitService.reportFirstToken(id));
     }
 
     /**
-     * Passes on to the owner of a pool's queue what an upstream said of itself.
+     * Passes the status that an upstream has reported on to the owner of the pool's queue.
      *
-     * @param word what it said.
+     * @param status the status.
      */
-    public void pass(PeerMessage.UpstreamWord word) {
-        loop.execute(() -> permitService.reportUpstreamStatus(word));
+    public void pass(PeerMessage.UpstreamWord status) {
+        loop.execute(() -> permitService.reportUpstreamStatus(status));
     }
 
     /**
-     * Gives a permit back.
+     * Releases a permit.
      *
-     * @param id the attempt.
-     * @param outcome how it was used.
+     * @param id the identity of the attempt.
+     * @param outcome how the attempt ended.
      */
     public void finish(PermitId id, PermitOutcome outcome) {
         loop.execute(() -> permitService.release(id, outcome));
     }
 
     /**
-     * Draws the identity of a fresh attempt.
+     * Returns a new identity for an attempt, unique within the cluster.
      *
      * @return the identity.
      */
@@ -189,8 +190,8 @@
     }
 
     /**
-     * Returns whether the node may take callers' requests: it has the tables, isn't being stopped, and has heard the
-     * control leader lately or is connected to most of the cluster.
+     * Returns whether the node may accept callers' requests: it has the tables, isn't shutting down, and either received a
+     * reply from the control leader recently or is connected to a majority of the cluster.
      *
      * @return whether it may.
      */
@@ -199,16 +200,16 @@
     }
 
     /**
-     * Returns whether the node is being stopped as planned.
+     * Returns whether a planned stop of the node has begun.
      *
-     * @return whether it is.
+     * @return whether it has.
      */
     public boolean isShuttingDown() {
         return shuttingDown;
     }
 
     /**
-     * Hands over whatever this node owns, as the first step of a planned stop.
+     * Begins a planned stop: hands over the queues and the control leadership that this node holds.
      */
     public void beginShutdown() {
         shuttingDown = true;
@@ -219,9 +220,9 @@
     }
 
     /**
-     * Collects what operators may want to see of this node's part in the pools' queues.
+     * Reports the state of the pools' queues, as this node knows it, for operators.
      *
-     * @param listener gets one line a pool, on the control thread.
+     * @param listener receives the report, on the control thread.
      */
     public void poolReport(ReportListener listener) {
         loop.execute(() -> {
@@ -282,13 +283,13 @@
         if (message instanceof PeerMessage.Raft raft) {
             replicaHost.ifPresent(host -> host.receive(raft.from(), raft.to(), raft.message()));
         } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
-            leaderService.ifPresent(desk -> desk.onHeartbeat(heartbeat.status()));
+            leaderService.ifPresent(service -> service.onHeartbeat(heartbeat.status()));
         } else if (message instanceof PeerMessage.HeartbeatReply reply) {
             onHeartbeatReply(node, reply);
         } else if (message instanceof PeerMessage.TablesPush push) {
             onDelta(push.delta(), push.moves());
         } else if (message instanceof PeerMessage.ControlCall call) {
-            leaderService.ifPresent(desk -> desk.onCall(node, call));
+            leaderService.ifPresent(service -> service.onCall(node, call));
         } else if (message instanceof PeerMessage.ControlReply reply) {
             controlClient.onReply(reply);
         } else {
@@ -297,8 +298,8 @@
     }
 
     private void dispatchPermit(String node, PeerMessage message) {
-        if (message instanceof PeerMessage.PermitAsk ask) {
-            ownerService.onPermitRequest(node, ask);
+        if (message instanceof PeerMessage.PermitAsk request) {
+            ownerService.onPermitRequest(node, request);
         } else if (message instanceof PeerMessage.PermitGranted granted) {
             permitService.onGranted(granted);
         } else if (message instanceof PeerMessage.PermitRefused refused) {
@@ -309,8 +310,8 @@
             ownerService.onFirstToken(first);
         } else if (message instanceof PeerMessage.PermitFinish finish) {
             ownerService.onFinish(finish);
-        } else if (message instanceof PeerMessage.UpstreamWord word) {
-            ownerService.onUpstreamStatus(word);
+        } else if (message instanceof PeerMessage.UpstreamWord status) {
+            ownerService.onUpstreamStatus(status);
         } else if (message instanceof PeerMessage.PermitRegister register) {
             ownerService.onRegister(node, register);
         }
@@ -328,10 +329,10 @@
             onTables();
             heartbeat();
         }
-        reply.view().filter(fresh -> fresh.isLaterThan(view)).ifPresent(fresh -> {
-            view = fresh;
-            ownerService.onView(fresh);
-            permitService.onView(fresh);
+        reply.view().filter(newer -> newer.isLaterThan(view)).ifPresent(newer -> {
+            view = newer;
+            ownerService.onView(newer);
+            permitService.onView(newer);
         });
         if (reply.auxiliaryRevision() != auxiliaryRevision) {
             auxiliaryRevision = reply.auxiliaryRevision();
@@ -342,10 +343,10 @@
     }
 
     /**
-     * Takes over changed tables; a delta that leads backwards or leaves a gap changes nothing.
+     * Applies changed tables; a delta to an older revision or with a gap before it is ignored.
      *
-     * <p>Guards against a new version that gets every request for a moment: a row that names it comes together with the
-     * move that keeps it to its share, so that the one is never in force without the other.
+     * <p>The moves are replaced together with the tables: a row that names a new version must not be in force without the
+     * move that limits the version to its share, or the version would briefly receive every request.
      */
     private void onDelta(TablesDelta delta, Map<String, Move> moves) {
         Tables changed = delta.applyTo(tables);
@@ -368,48 +369,48 @@
     private void onApplied(ControlState state) {
         boolean changed = state.auxiliaryChanges() != lastAuxiliaryChanges;
         lastAuxiliaryChanges = state.auxiliaryChanges();
-        leaderService.ifPresent(desk -> desk.onApplied(state, changed));
+        leaderService.ifPresent(service -> service.onApplied(state, changed));
     }
 
     /**
-     * Makes the links to other nodes.
+     * Creates the connections to other nodes.
      */
     public interface LinksFactory {
         /**
-         * Makes the links; they may call the inbox at once.
+         * Creates the connections; they may call the listener at once.
          *
-         * @param inbox is notified of connections made and lost.
-         * @return the links.
+         * @param listener is notified when a connection is established or lost.
+         * @return the connections.
          */
-        PeerLinks create(PeerListener inbox);
+        PeerLinks create(PeerListener listener);
     }
 
     /**
-     * Receives how a call to the control leader ends.
+     * Receives the result of a call to the control leader.
      */
     public interface CallListener {
         /**
-         * Takes the end, on the control thread.
+         * Receives the result, exactly once and on the control thread.
          *
-         * @param result how the call ended.
+         * @param result the result.
          */
         void onResult(PeerMessage.ControlResult result);
     }
 
     /**
-     * Takes a report on the pools.
+     * Receives a report on the pools' queues.
      */
     public interface ReportListener {
         /**
-         * Takes the report, on the control thread.
+         * Receives the report, on the control thread.
          *
-         * @param report one line a pool.
+         * @param report the report on each pool's queue, by the name of the pool.
          */
         void onReport(Map<String, PoolReport> report);
     }
 
     /**
-     * Commits what the owners of queues find out.
+     * Reports the findings of a queue's owner by committing commands.
      */
     private final class LeaderReporter implements OwnerService.Reporter {
         /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
@@ -12,38 +12,38 @@
 import org.radishspur.node.peer.PeerMessage.NodeSummary;
 
 /**
- * Remembers for the control leader which nodes live and what they have in force.
+ * Holds the latest status of each node for the control leader, and tells live nodes from lost ones.
  */
 final class NodeRegistry {
     private final long lostTimeoutMillis;
     private final Map<String, LatestStatus> nodes = new TreeMap<>();
     private ClusterView view = ClusterView.NONE;
 
-    NodeRegistry(long lostMillis) {
-        this.lostTimeoutMillis = lostMillis;
+    NodeRegistry(long lostTimeoutMillis) {
+        this.lostTimeoutMillis = lostTimeoutMillis;
     }
 
     void onStatus(NodeStatus status, long now) {
-        LatestStatus known = nodes.get(status.node());
-        // Guards against a frozen process that wakes after its successor has started: the older run is ignored.
-        if (known == null || status.incarnation() >= known.status.incarnation()) {
+        LatestStatus latest = nodes.get(status.node());
+        // Ignores an older run: a process that was suspended can resume after its successor has started.
+        if (latest == null || status.incarnation() >= latest.status.incarnation()) {
             nodes.put(status.node(), new LatestStatus(status, now));
         }
     }
 
     boolean isLive(String node, long incarnation, long now) {
-        LatestStatus known = nodes.get(node);
-        return known != null
-                && known.status.incarnation() == incarnation
-                && now - known.receivedAtMillis < lostTimeoutMillis;
+        LatestStatus latest = nodes.get(node);
+        return latest != null
+                && latest.status.incarnation() == incarnation
+                && now - latest.receivedAtMillis < lostTimeoutMillis;
     }
 
-    /** Makes a new view if the set of living entry nodes has changed. */
+    /** Returns the current view; makes a new one if the term or the set of live entry nodes has changed. */
     ClusterView view(long term, long now) {
         List<ClusterView.Member> members = new ArrayList<>();
-        for (LatestStatus known : nodes.values()) {
-            NodeStatus status = known.status;
-            if (status.entry() && !status.shuttingDown() && now - known.receivedAtMillis < lostTimeoutMillis) {
+        for (LatestStatus latest : nodes.values()) {
+            NodeStatus status = latest.status;
+            if (status.entry() && !status.shuttingDown() && now - latest.receivedAtMillis < lostTimeoutMillis) {
                 members.add(new ClusterView.Member(status.node(), status.incarnation()));
             }
         }
@@ -53,38 +53,38 @@
         return view;
     }
 
-    /** Starts anew in a new term, in which nothing has been heard yet. */
+    /** Drops all statuses at the start of a term, in which no node has reported yet. */
     void reset() {
         nodes.clear();
     }
 
     Collection<NodeStatus> liveNodes(long now) {
         return nodes.values().stream()
-                .filter(known -> now - known.receivedAtMillis < lostTimeoutMillis)
-                .map(known -> known.status)
+                .filter(latest -> now - latest.receivedAtMillis < lostTimeoutMillis)
+                .map(latest -> latest.status)
                 .toList();
     }
 
     List<NodeSummary> summaries(long now) {
-        List<NodeSummary> lines = new ArrayList<>();
-        for (LatestStatus known : nodes.values()) {
-            NodeStatus status = known.status;
-            NodeState living = status.shuttingDown() ? NodeState.SHUTTING_DOWN : NodeState.LIVE;
-            lines.add(new NodeSummary(
+        List<NodeSummary> summaries = new ArrayList<>();
+        for (LatestStatus latest : nodes.values()) {
+            NodeStatus status = latest.status;
+            NodeState liveState = status.shuttingDown() ? NodeState.SHUTTING_DOWN : NodeState.LIVE;
+            summaries.add(new NodeSummary(
                     status.node(),
-                    now - known.receivedAtMillis < lostTimeoutMillis ? living : NodeState.LOST,
+                    now - latest.receivedAtMillis < lostTimeoutMillis ? liveState : NodeState.LOST,
                     status.failureDomain(),
                     status.revisionInForce(),
                     status.replica()));
         }
-        return lines;
+        return summaries;
     }
 
     /**
-     * Remembers the latest word of a node.
+     * Holds the latest status of a node.
      *
-     * @param status what the node said.
-     * @param receivedAtMillis when it said so, by the monotonic clock.
+     * @param status the status.
+     * @param receivedAtMillis when it was received, by the monotonic clock in milliseconds.
      */
     private record LatestStatus(NodeStatus status, long receivedAtMillis) {}
 }
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -29,13 +29,19 @@
 import org.radishspur.replication.state.MoveTable;
 
 /**
- * Runs the schedulers of the pools whose queues this node owns, and answers the entries that ask for permits.
+ * Runs the schedulers of the pools whose queues this node owns, and answers requests for permits from entry nodes.
  */
 final class OwnerService {
+    /** How long a new owner grants nothing, unless all entry nodes have registered their permits earlier. */
     private static final long REGISTRATION_WAIT_MICROS = 400_000;
+    /** How long a permit may be in transit before it counts as lost if its entry node doesn't list it. */
     private static final long RECONCILE_GRACE_MICROS = 2_500_000;
+
+    /** How often the schedulers are checked for due timers. */
     private static final long TIMER_INTERVAL_MILLIS = 25;
+    /** How often the moves of the owned pools are checked for their next step. */
     private static final long MOVE_INTERVAL_MILLIS = 200;
+    /** How long a proposed change of a move has to take effect before it is proposed again. */
     private static final long PROPOSAL_RETRY_MILLIS = 3_000;
 
     private final ControlLoop loop;
@@ -50,9 +56,9 @@
     private Set<String> evacuatedDomains = Set.of();
     private boolean decisionScheduled;
 
-    OwnerService(ControlLoop loop, String identity, LeaderService.Sender sender, Reporter reporter) {
+    OwnerService(ControlLoop loop, String ownerIdentity, LeaderService.Sender sender, Reporter reporter) {
         this.loop = loop;
-        this.ownerIdentity = identity;
+        this.ownerIdentity = ownerIdentity;
         this.sender = sender;
         this.reporter = reporter;
         loop.repeat(this::runDueTimers, TIMER_INTERVAL_MILLIS);
@@ -91,14 +97,14 @@
         requestDecision();
     }
 
-    /** Takes over the failure domains whose upstreams get no new request. */
+    /** Replaces the set of failure domains whose upstreams get no new requests. */
     void onEvacuated(Set<String> failureDomains) {
         evacuatedDomains = Set.copyOf(failureDomains);
         ownedPools.values().forEach(owned -> owned.scheduler.evacuate(evacuatedDomains));
         requestDecision();
     }
 
-    /** Takes over the moves that belong to tables which follow at once. */
+    /** Replaces the moves; their version splits take effect with the tables, which the caller passes in next. */
     void onMovesWithTables(Map<String, Move> changed) {
         moves = Map.copyOf(changed);
     }
@@ -109,11 +115,11 @@
     }
 
     private void applyVersionSplits() {
-        Map<String, VersionSplit> all = MoveTable.splits(tables, moves);
+        Map<String, VersionSplit> splits = MoveTable.splits(tables, moves);
         ownedPools.forEach((pool, owned) -> {
-            Map<String, VersionSplit> own = new HashMap<>(all);
-            own.keySet().removeIf(route -> !pool.equals(poolOf(route)));
-            owned.scheduler.versions(own);
+            Map<String, VersionSplit> poolSplits = new HashMap<>(splits);
+            poolSplits.keySet().removeIf(route -> !pool.equals(poolOf(route)));
+            owned.scheduler.versions(poolSplits);
         });
         requestDecision();
     }
@@ -123,7 +129,7 @@
         return row == null ? "" : row.row().pool();
     }
 
-    /** Drives the moves of the pools that this node owns; a version with a fault gets nothing from here on. */
+    /** Proposes the next steps of the moves in owned pools, and sends no more requests to a version found faulty. */
     private void advanceMoves() {
         for (Move move : moves.values()) {
             OwnedPool owned = ownedPools.get(poolOf(move.route()));
@@ -142,18 +148,18 @@
         }
     }
 
-    void onPermitRequest(String node, PeerMessage.PermitAsk ask) {
-        OwnedPool owned = findOrCreatePool(ask.pool());
+    void onPermitRequest(String node, PeerMessage.PermitAsk request) {
+        OwnedPool owned = findOrCreatePool(request.pool());
         if (owned == null) {
             sender.send(
                     node,
                     new PeerMessage.PermitRefused(
-                            ask.pool(),
-                            ask.id(),
+                            request.pool(),
+                            request.id(),
                             Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool is not in the tables.", 1_000)));
             return;
         }
-        owned.scheduler.arrive(requestOf(ask), loop.nowMicros());
+        owned.scheduler.arrive(requestOf(request), loop.nowMicros());
         requestDecision();
     }
 
@@ -172,17 +178,17 @@
         }
     }
 
-    void onUpstreamStatus(PeerMessage.UpstreamWord word) {
-        OwnedPool owned = ownedPools.get(word.pool());
+    void onUpstreamStatus(PeerMessage.UpstreamWord status) {
+        OwnedPool owned = ownedPools.get(status.pool());
         if (owned == null) {
             return;
         }
-        owned.scheduler.seen(word.upstream(), word.incarnation());
-        if (word.leaving()) {
-            owned.scheduler.leaving(word.upstream());
+        owned.scheduler.seen(status.upstream(), status.incarnation());
+        if (status.leaving()) {
+            owned.scheduler.leaving(status.upstream());
         }
-        if (word.running() >= 0) {
-            owned.scheduler.loadReported(word.upstream(), word.running(), word.waiting(), loop.nowMicros());
+        if (status.running() >= 0) {
+            owned.scheduler.loadReported(status.upstream(), status.running(), status.waiting(), loop.nowMicros());
         }
     }
 
@@ -200,15 +206,15 @@
         if (owned == null) {
             return;
         }
-        Set<PermitId> known = new HashSet<>(register.waiting());
-        for (PeerMessage.PermitInUse use : register.inUse()) {
-            known.add(use.request().id());
-            owned.scheduler.register(requestOf(use.request()), use.upstream(), loop.nowMicros());
+        Set<PermitId> listed = new HashSet<>(register.waiting());
+        for (PeerMessage.PermitInUse permit : register.inUse()) {
+            listed.add(permit.request().id());
+            owned.scheduler.register(requestOf(permit.request()), permit.upstream(), loop.nowMicros());
         }
-        owned.scheduler.reconcile(node, register.incarnation(), known, RECONCILE_GRACE_MICROS, loop.nowMicros());
+        owned.scheduler.reconcile(node, register.incarnation(), listed, RECONCILE_GRACE_MICROS, loop.nowMicros());
         owned.registeredNodes.add(node);
-        boolean all = entryMembers.stream().allMatch(member -> owned.registeredNodes.contains(member.node()));
-        if (all) {
+        boolean allRegistered = entryMembers.stream().allMatch(member -> owned.registeredNodes.contains(member.node()));
+        if (allRegistered) {
             owned.scheduler.holdUntil(0);
         }
         requestDecision();
@@ -224,26 +230,27 @@
         OwnedPool owned = ownedPools.get(pool);
         PoolRow row = tables.pool(pool).orElse(null);
         if (owned == null && row != null) {
-            // Guards against two owners giving out the same slots: the entries first tell the new owner what runs.
+            // Grants nothing until the entry nodes have registered their permits in use, or two owners could grant the
+            // same slots.
             owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.STANDARD, ownerIdentity));
             owned.scheduler.holdUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
             owned.scheduler.evacuate(evacuatedDomains);
             ownedPools.put(pool, owned);
             applyVersionSplits();
-            PartLog.OWNER.info("This node takes over the queue of pool " + pool + '.');
+            PartLog.OWNER.info("This node now owns the queue of pool " + pool + '.');
         }
         return owned;
     }
 
-    private PermitRequest requestOf(PeerMessage.PermitAsk ask) {
+    private PermitRequest requestOf(PeerMessage.PermitAsk request) {
         return new PermitRequest(
-                ask.id(),
-                ask.tier(),
-                ask.organisation(),
-                ask.route(),
-                loop.nowMicros() + ask.remainingMicros(),
-                ask.work(),
-                ask.fingerprint());
+                request.id(),
+                request.tier(),
+                request.organisation(),
+                request.route(),
+                loop.nowMicros() + request.remainingMicros(),
+                request.work(),
+                request.fingerprint());
     }
 
     private void runDueTimers() {
@@ -284,8 +291,8 @@
         } else if (action instanceof PermitAction.Cleared cleared) {
             reporter.clearSuspect(pool, cleared.fingerprint());
         } else if (action instanceof PermitAction.Ejected ejected) {
-            PartLog.OWNER.warn(
-                    "Upstream " + ejected.upstream() + " of pool " + pool + " is ejected as " + ejected.cause() + '.');
+            PartLog.OWNER.warn("Upstream " + ejected.upstream() + " of pool " + pool + " is ejected, cause "
+                    + ejected.cause() + '.');
         }
     }
 
@@ -300,13 +307,13 @@
     }
 
     /**
-     * Tells the control leader what owners of queues find out.
+     * Reports the findings of a queue's owner to the control leader.
      */
     interface Reporter {
         /**
-         * Returns whether this node owns a pool's queue now, so that it alone drives the moves there.
+         * Returns whether this node currently owns a pool's queue. Only the owner proposes changes of the moves there.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @return whether it does.
          */
         boolean isOwner(String pool);
@@ -319,25 +326,25 @@
         void propose(MoveDriver.Proposal proposal);
 
         /**
-         * Reports that a request was in flight at a crash.
+         * Reports a request that was in flight at an upstream when it crashed.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @param fingerprint the digest of the request's content.
-         * @param crashId what tells this crash from others.
+         * @param crashId identifies the crash.
          */
         void reportCrash(String pool, String fingerprint, String crashId);
 
         /**
-         * Reports that a suspect ran to its end.
+         * Reports that a request suspected of causing crashes has completed without one.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @param fingerprint the digest of the request's content.
          */
         void clearSuspect(String pool, String fingerprint);
     }
 
     /**
-     * Holds the scheduler of one pool and who has registered with it.
+     * Holds the scheduler of one pool and the entry nodes that have registered their permits with it.
      */
     private static final class OwnedPool {
         private final PoolScheduler scheduler;
--- a/node/src/main/java/org/radishspur/node/control/PermitListener.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitListener.java
@@ -3,11 +3,11 @@
 import org.radishspur.model.error.Refusal;
 
 /**
- * Receives how a request for a permit ends, on the control thread and exactly once.
+ * Receives the outcome of a request for a permit, exactly once and on the control thread.
  */
 public interface PermitListener {
     /**
-     * Takes a permit.
+     * Receives the permit.
      *
      * @param upstream the name of the upstream.
      * @param address the address of the upstream.
@@ -15,9 +15,9 @@
     void onGranted(String upstream, String address);
 
     /**
-     * Takes the final answer.
+     * Receives the refusal; the request is not retried.
      *
-     * @param refusal the final answer.
+     * @param refusal the reason and the time after which the caller may retry.
      */
     void onRefused(Refusal refusal);
 }
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -17,10 +17,11 @@
 import org.radishspur.node.peer.PeerMessage;
 
 /**
- * Gets permits for this entry's requests from the owners of the pools' queues, whoever they are at the moment.
+ * Requests permits for this entry node's requests from the owners of the pools' queues, and follows changes of the owners.
  */
 final class PermitService {
     private static final long REGISTRATION_INTERVAL_MILLIS = 1_000;
+    /** How long an owner may be without a connection before another node is chosen. */
     private static final long OWNER_LOST_MILLIS = 1_500;
 
     private final ControlLoop loop;
@@ -36,9 +37,13 @@
     private Tables tables = Tables.EMPTY;
 
     PermitService(
-            ControlLoop loop, String self, long incarnation, LeaderService.Sender sender, Reachability reachability) {
+            ControlLoop loop,
+            String localNode,
+            long incarnation,
+            LeaderService.Sender sender,
+            Reachability reachability) {
         this.loop = loop;
-        this.localNode = self;
+        this.localNode = localNode;
         this.incarnation = incarnation;
         this.sender = sender;
         this.reachability = reachability;
@@ -71,49 +76,49 @@
         }
     }
 
-    void request(PeerMessage.PermitAsk ask, PermitListener listener) {
-        pendingRequests.put(ask.id(), new PendingRequest(ask, loop.nowMicros(), listener));
-        String owner = owners.get(ask.pool());
+    void request(PeerMessage.PermitAsk request, PermitListener listener) {
+        pendingRequests.put(request.id(), new PendingRequest(request, loop.nowMicros(), listener));
+        String owner = owners.get(request.pool());
         if (owner != null) {
-            sender.send(owner, ask);
+            sender.send(owner, request);
         }
     }
 
-    /** Withdraws an attempt that waits; returns whether it did, so that a grant can't come any more. */
+    /** Withdraws a pending request; returns whether it was pending, in which case no grant will be passed on. */
     boolean cancel(PermitId id) {
-        PendingRequest asked = pendingRequests.remove(id);
-        if (asked != null) {
-            sendToOwner(asked.request.pool(), new PeerMessage.PermitCancel(asked.request.pool(), id));
+        PendingRequest pending = pendingRequests.remove(id);
+        if (pending != null) {
+            sendToOwner(pending.request.pool(), new PeerMessage.PermitCancel(pending.request.pool(), id));
         }
-        return asked != null;
+        return pending != null;
     }
 
     void reportFirstToken(PermitId id) {
-        PeerMessage.PermitInUse use = permitsInUse.get(id);
-        if (use != null) {
+        PeerMessage.PermitInUse permit = permitsInUse.get(id);
+        if (permit != null) {
             sendToOwner(
-                    use.request().pool(),
-                    new PeerMessage.PermitFirstToken(use.request().pool(), id));
+                    permit.request().pool(),
+                    new PeerMessage.PermitFirstToken(permit.request().pool(), id));
         }
     }
 
-    void reportUpstreamStatus(PeerMessage.UpstreamWord word) {
-        sendToOwner(word.pool(), word);
+    void reportUpstreamStatus(PeerMessage.UpstreamWord status) {
+        sendToOwner(status.pool(), status);
     }
 
     void release(PermitId id, PermitOutcome outcome) {
-        PeerMessage.PermitInUse use = permitsInUse.remove(id);
-        if (use != null) {
+        PeerMessage.PermitInUse permit = permitsInUse.remove(id);
+        if (permit != null) {
             sendToOwner(
-                    use.request().pool(),
-                    new PeerMessage.PermitFinish(use.request().pool(), id, outcome));
+                    permit.request().pool(),
+                    new PeerMessage.PermitFinish(permit.request().pool(), id, outcome));
         }
     }
 
     void onGranted(PeerMessage.PermitGranted granted) {
-        PendingRequest asked = pendingRequests.remove(granted.id());
-        if (asked == null) {
-            // The request was given up meanwhile, or this is a second grant by another owner: the slot goes back.
+        PendingRequest pending = pendingRequests.remove(granted.id());
+        if (pending == null) {
+            // The request was withdrawn meanwhile, or another owner has granted a second permit: the slot is released.
             if (!permitsInUse.containsKey(granted.id())) {
                 sendToOwner(
                         granted.pool(),
@@ -122,14 +127,14 @@
             }
             return;
         }
-        permitsInUse.put(granted.id(), new PeerMessage.PermitInUse(asked.request, granted.upstream()));
-        asked.listener.onGranted(granted.upstream(), granted.address());
+        permitsInUse.put(granted.id(), new PeerMessage.PermitInUse(pending.request, granted.upstream()));
+        pending.listener.onGranted(granted.upstream(), granted.address());
     }
 
     void onRefused(PeerMessage.PermitRefused refused) {
-        PendingRequest asked = pendingRequests.remove(refused.id());
-        if (asked != null) {
-            asked.listener.onRefused(refused.refusal());
+        PendingRequest pending = pendingRequests.remove(refused.id());
+        if (pending != null) {
+            pending.listener.onRefused(refused.refusal());
         }
     }
 
@@ -165,31 +170,32 @@
         }
     }
 
-    /** Tells an owner all that goes on here, then asks again for what waits. Both may be repeated without harm. */
+    /** Registers the permits in use with an owner, then requests the pending ones again. Both are idempotent. */
     private void register(String pool, String owner) {
-        List<PeerMessage.PermitInUse> used = permitsInUse.values().stream()
-                .filter(use -> use.request().pool().equals(pool))
-                .map(use -> new PeerMessage.PermitInUse(remaining(use.request(), 0), use.upstream()))
+        List<PeerMessage.PermitInUse> registered = permitsInUse.values().stream()
+                .filter(permit -> permit.request().pool().equals(pool))
+                .map(permit -> new PeerMessage.PermitInUse(remaining(permit.request(), 0), permit.upstream()))
                 .toList();
-        List<PendingRequest> asked = pendingRequests.values().stream()
-                .filter(each -> each.request.pool().equals(pool))
+        List<PendingRequest> pending = pendingRequests.values().stream()
+                .filter(request -> request.request.pool().equals(pool))
                 .toList();
         List<PermitId> ids = new ArrayList<>();
-        asked.forEach(each -> ids.add(each.request.id()));
-        sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, used, ids));
-        asked.forEach(each -> sender.send(owner, remaining(each.request, loop.nowMicros() - each.requestedAtMicros)));
+        pending.forEach(request -> ids.add(request.request.id()));
+        sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, registered, ids));
+        pending.forEach(request ->
+                sender.send(owner, remaining(request.request, loop.nowMicros() - request.requestedAtMicros)));
     }
 
-    private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk ask, long elapsedMicros) {
+    private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk request, long elapsedMicros) {
         return new PeerMessage.PermitAsk(
-                ask.pool(),
-                ask.id(),
-                ask.tier(),
-                ask.organisation(),
-                ask.route(),
-                ask.remainingMicros() - elapsedMicros,
-                ask.work(),
-                ask.fingerprint());
+                request.pool(),
+                request.id(),
+                request.tier(),
+                request.organisation(),
+                request.route(),
+                request.remainingMicros() - elapsedMicros,
+                request.work(),
+                request.fingerprint());
     }
 
     private boolean isUnreachable(String node) {
@@ -204,18 +210,18 @@
         chooseOwners();
         owners.forEach(this::register);
         long now = loop.nowMicros();
-        List<PendingRequest> late = pendingRequests.values().stream()
-                .filter(asked -> now - asked.requestedAtMicros > asked.request.remainingMicros())
+        List<PendingRequest> expired = pendingRequests.values().stream()
+                .filter(pending -> now - pending.requestedAtMicros > pending.request.remainingMicros())
                 .toList();
-        for (PendingRequest asked : late) {
-            cancel(asked.request.id());
-            asked.listener.onRefused(Refusal.notRun(
+        for (PendingRequest pending : expired) {
+            cancel(pending.request.id());
+            pending.listener.onRefused(Refusal.notRun(
                     RefusalReason.OWNER_UNREACHABLE, "The owner of the pool's queue did not answer.", 1_000));
         }
     }
 
     /**
-     * Tells which nodes can be reached.
+     * Knows which nodes this one is connected to.
      */
     interface Reachability {
         /**
@@ -228,10 +234,10 @@
     }
 
     /**
-     * Remembers a request for a permit.
+     * Holds a pending request for a permit.
      *
      * @param request the request.
-     * @param requestedAtMicros when it was made, by the monotonic clock in microseconds.
+     * @param requestedAtMicros when it was made, by the control thread's clock in microseconds.
      * @param listener receives the outcome.
      */
     private record PendingRequest(PeerMessage.PermitAsk request, long requestedAtMicros, PermitListener listener) {}
--- a/node/src/main/java/org/radishspur/node/control/PoolReport.java
+++ b/node/src/main/java/org/radishspur/node/control/PoolReport.java
@@ -7,12 +7,12 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Describes a pool's queue for operators.
+ * Describes the state of a pool's queue for operators.
  *
- * @param owner the node that owns the queue, as this node sees it.
- * @param waiting the number of requests that wait, or -1 where another node owns the queue.
+ * @param owner the name of the node that owns the queue, as this node sees it.
+ * @param waiting the number of queued requests, or -1 where another node owns the queue.
  * @param permitsInUse the number of permits in use, or -1 where another node owns the queue.
- * @param upstreams what the owner knows of the upstreams.
+ * @param upstreams the state of the pool's upstreams; empty where another node owns the queue.
  */
 public record PoolReport(String owner, int waiting, int permitsInUse, List<UpstreamReport> upstreams) {
 
@@ -20,20 +20,20 @@
         if (scheduler.isEmpty()) {
             return new PoolReport(owner, -1, -1, List.of());
         }
-        List<UpstreamReport> lines = scheduler.get().upstreams().stream()
+        List<UpstreamReport> reports = scheduler.get().upstreams().stream()
                 .map(state -> UpstreamReport.of(state, loop.nowMicros()))
                 .toList();
-        return new PoolReport(owner, scheduler.get().waiting(), scheduler.get().permitsInUse(), lines);
+        return new PoolReport(owner, scheduler.get().waiting(), scheduler.get().permitsInUse(), reports);
     }
 
     /**
-     * Describes one upstream.
+     * Describes the state of one upstream, as the owner of the queue sees it.
      *
      * @param name the name of the upstream.
-     * @param usable whether it is given work.
-     * @param inFlight the number of requests that it runs for this system.
-     * @param limit the number of requests that it may run at once.
-     * @param outputMicros the learned time for each token of an answer, in microseconds.
+     * @param usable whether it is sent new requests.
+     * @param inFlight the number of requests that this scheduler has in flight at it.
+     * @param limit the maximum number of requests in flight.
+     * @param outputMicros the estimated time for each output token, in microseconds, learned from earlier answers.
      */
     public record UpstreamReport(String name, boolean usable, int inFlight, int limit, long outputMicros) {
         private static UpstreamReport of(UpstreamState state, long now) {
--- a/node/src/main/java/org/radishspur/node/control/RendezvousHash.java
+++ b/node/src/main/java/org/radishspur/node/control/RendezvousHash.java
@@ -6,13 +6,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * Chooses an owner by rendezvous hashing (Thaler and Ravishankar 1998): when a node goes, only what it owned moves.
+ * Chooses an owner by rendezvous hashing (Thaler and Ravishankar, 1998): when a node leaves, only what it owned is
+ * reassigned.
  */
 enum RendezvousHash {
     /** The only instance; the choice keeps no state. */
     INSTANCE;
 
+    /** 2^64 divided by the golden ratio, the usual multiplier of Fibonacci hashing. */
     private static final long GOLDEN_RATIO_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
     private static final int MIX_SHIFT = 32;
 
     Optional<String> owner(String subject, Collection<String> nodes) {
--- a/node/src/main/java/org/radishspur/node/control/ReplicaHost.java
+++ b/node/src/main/java/org/radishspur/node/control/ReplicaHost.java
@@ -25,9 +25,13 @@
 public final class ReplicaHost implements AutoCloseable {
     private static final int ENTRIES_PER_MESSAGE = 256;
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 18;
+    /** The applied entries that stay in the log after a snapshot, for followers that are slightly behind. */
     private static final int TRAILING_ENTRIES = 1_000;
+
     private static final int MAXIMUM_PENDING_PROPOSALS = 20_000;
+    /** Below 1, so that a lease expires before the followers can elect another leader, even if clocks drift. */
     private static final double LEASE_TO_ELECTION_TIMEOUT_RATIO = 0.8;
+
     private static final int TICKS_PER_HEARTBEAT = 4;
 
     private final ControlLoop loop;
@@ -39,12 +43,12 @@
     private Role lastRole = Role.FOLLOWER;
 
     /**
-     * Starts the replica from what its disk holds.
+     * Recovers the replica from its disk and starts it.
      *
-     * @param setup the disk, the identity and the times of the replica.
+     * @param setup the disk, the identity and the options of the replica.
      * @param loop the control thread.
-     * @param network carries messages to other replicas.
-     * @param applied is notified of changes of the state.
+     * @param network sends messages to other replicas.
+     * @param applied is notified of the state after each change.
      */
     public ReplicaHost(Setup setup, ControlLoop loop, Network network, ControlReplica.AppliedListener applied) {
         this.loop = loop;
@@ -85,10 +89,10 @@
     }
 
     /**
-     * Makes the options of the consensus core from its two main times.
+     * Derives the options of the consensus core from the heartbeat interval and the election timeout.
      *
-     * @param heartbeatMillis how often a leader shows that it leads, in milliseconds.
-     * @param electionMillis how long a follower waits at least before it seeks an election, in milliseconds.
+     * @param heartbeatMillis the time between heartbeats of a leader, in milliseconds.
+     * @param electionMillis the minimum time without a leader before a follower starts an election, in milliseconds.
      * @return the options.
      */
     public static RaftOptions raftOptions(long heartbeatMillis, long electionMillis) {
@@ -102,7 +106,7 @@
     }
 
     /**
-     * Returns the node of a replica.
+     * Returns the name of the node that a replica runs on.
      *
      * @param replica the identity of the replica.
      * @return the name of its node.
@@ -112,14 +116,14 @@
     }
 
     /**
-     * Takes a message from another replica.
+     * Receives a message from another replica. A message to another identity than this replica's is dropped.
      *
      * @param from the identity of the sender.
-     * @param to the identity that is meant.
+     * @param to the identity of the receiver.
      * @param message the message.
      */
     public void receive(String from, String to, RaftMessage message) {
-        // A message for an earlier disk of this node must not be taken by the new one.
+        // The message may be for a replica that ran on an earlier disk of this node.
         if (to.equals(identity.replica())) {
             replica.receive(from, message, loop.nowMillis());
             requestFlush();
@@ -127,7 +131,7 @@
     }
 
     /**
-     * Proposes a command.
+     * Proposes a command for the replicated log.
      *
      * @param command the command.
      * @param listener receives the outcome, on the control thread.
@@ -138,10 +142,10 @@
     }
 
     /**
-     * Starts the replacement of a lost replica.
+     * Starts to replace a lost replica, or to add one.
      *
-     * @param learner the identity of the blank replica.
-     * @param replaced the identity of the lost one, or an empty text to add one.
+     * @param learner the identity of the new replica.
+     * @param replaced the identity of the lost replica, or an empty text to add one.
      * @return whether the change was started.
      */
     public boolean replace(String learner, String replaced) {
@@ -150,22 +154,22 @@
         return started;
     }
 
-    /** Returns the latest state, if this replica may answer from it now. */
+    /** Returns the state, if this replica is the leader and may serve reads from it now. */
     Optional<ControlState> readableState() {
         return replica.core().mayRead(loop.nowMillis()) ? Optional.of(replica.state()) : Optional.empty();
     }
 
     /**
-     * Returns whether this replica leads, as far as it knows.
+     * Returns whether this replica is the leader, as far as it knows.
      *
-     * @return whether it leads.
+     * @return whether it is.
      */
     public boolean isLeader() {
         return replica.core().role() == Role.LEADER;
     }
 
     /**
-     * Hands leadership to a follower, as before a planned stop.
+     * Asks a follower to take over the leadership, as before a planned stop.
      *
      * @return whether a follower was asked.
      */
@@ -185,9 +189,9 @@
     }
 
     /**
-     * Returns the node of the leader.
+     * Returns the name of the node that the leader runs on.
      *
-     * @return the name, or an empty text where none is known.
+     * @return the name, or an empty text where no leader is known.
      */
     public String leaderNode() {
         String leader = replica.core().leader();
@@ -195,7 +199,7 @@
     }
 
     /**
-     * Returns the present term.
+     * Returns the current term.
      *
      * @return the term.
      */
@@ -208,7 +212,7 @@
     }
 
     /**
-     * Returns the replicas that vote.
+     * Returns the voting replicas.
      *
      * @return their identities.
      */
@@ -217,7 +221,7 @@
     }
 
     /**
-     * Returns the replicas that are catching up.
+     * Returns the replicas that are catching up with the log before they may vote.
      *
      * @return their identities.
      */
@@ -241,7 +245,7 @@
         }
     }
 
-    /** Lets everything that waits on the control thread happen first, so that it shares one sync of the disk. */
+    /** Flushes after the actions already submitted to the control thread, so that they share one sync of the disk. */
     private void requestFlush() {
         if (!flushScheduled) {
             flushScheduled = true;
@@ -253,7 +257,7 @@
     }
 
     /**
-     * Returns the state as this replica has applied it, whether or not it is the latest one.
+     * Returns the state that this replica has applied, which may be stale.
      *
      * @return the state.
      */
@@ -262,33 +266,33 @@
     }
 
     /**
-     * Returns whether a majority has confirmed after a moment that this replica leads.
+     * Returns whether a majority has confirmed the leadership of this replica since a read began.
      *
-     * @param since the clock of the control thread in milliseconds when the read began.
-     * @return whether the state may be answered from.
+     * @param since when the read began, by the control thread's clock in milliseconds.
+     * @return whether the read may be served from the state.
      */
     public boolean confirmedSince(long since) {
         return replica.core().confirmedSince(since);
     }
 
     /**
-     * Returns whether a replica votes or learns here.
+     * Returns whether a replica is a voter or a learner.
      *
      * @param other the identity of the replica.
-     * @return whether the latest configuration holds it.
+     * @return whether the latest configuration contains it.
      */
     public boolean knows(String other) {
         return replica.core().configuration().contains(other);
     }
 
     /**
-     * Holds what a replica is made of.
+     * Holds the disk, the identity and the options of a replica.
      *
-     * @param folder the folder of its disk.
-     * @param identity the identity of that disk.
-     * @param options sizes and times.
-     * @param minimumFreeBytes the free space below which nothing is proposed.
-     * @param observer receives how the replica fares.
+     * @param folder the data folder.
+     * @param identity the identity stored in the data folder.
+     * @param options the sizes and times of the replica.
+     * @param minimumFreeBytes the free disk space in bytes below which new proposals are refused.
+     * @param observer is notified of the start and of changes of the role.
      */
     public record Setup(
             DataFolder folder,
@@ -298,28 +302,28 @@
             Observer observer) {}
 
     /**
-     * Receives how a replica fares.
+     * Is notified of the start of a replica and of changes of its role.
      */
     public interface Observer {
         /**
-         * Learns what the disk held.
+         * Is called once the replica has been recovered from its disk.
          *
          * @param name the identity of the replica.
-         * @param entries how many entries follow the snapshot.
-         * @param snapshotIndex the index that the snapshot reaches to.
+         * @param entries the number of log entries after the snapshot.
+         * @param snapshotIndex the index of the last log entry in the snapshot.
          */
         void onStarted(String name, int entries, long snapshotIndex);
 
         /**
-         * Learns of a changed role.
+         * Is called after the role has changed.
          *
          * @param name the identity of the replica.
          * @param role the new role.
-         * @param term the term.
+         * @param term the current term.
          */
         void onRole(String name, Role role, long term);
 
-        /** Writes both to the log. */
+        /** Writes the start and the changes of the role to the log. */
         enum LogObserver implements Observer {
             /** The only instance. */
             INSTANCE;
@@ -328,7 +332,7 @@
             @Override
             public void onStarted(String name, int entries, long snapshotIndex) {
                 PartLog.CONTROL.info(
-                        "Replica " + name + " starts with " + entries + " entries behind index " + snapshotIndex + '.');
+                        "Replica " + name + " starts with " + entries + " entries after index " + snapshotIndex + '.');
             }
 
             /** {@inheritDoc} */
@@ -340,7 +344,7 @@
     }
 
     /**
-     * Carries messages between replicas.
+     * Sends messages to other replicas.
      */
     public interface Network {
         /**
--- a/node/src/main/java/org/radishspur/node/peer/ClusterView.java
+++ b/node/src/main/java/org/radishspur/node/peer/ClusterView.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Lists the entry nodes that live, as the control leader sees them.
+ * Lists the live entry nodes, as the control leader sees them. The owners of the pools' queues are chosen among them.
  *
  * @param term the term of the leader that made the view.
  * @param number the number of the view within the term.
- * @param entries the entry nodes that live and don't shut down.
+ * @param entries the live entry nodes, without those that are shutting down.
  */
 public record ClusterView(long term, long number, List<Member> entries) {
-    /** The view of a node that has heard of no leader yet. */
+    /** The view of a node that has not received one from a control leader yet. */
     public static final ClusterView NONE = new ClusterView(0, 0, List.of());
 
     /**
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Names one run of one entry node.
+     * Identifies one run of the process of an entry node.
      *
-     * @param node the node.
-     * @param incarnation which run of its process it is.
+     * @param node the name of the node.
+     * @param incarnation the number of the run, which grows with each start of the process.
      */
     public record Member(String node, long incarnation) {}
 }
--- a/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
@@ -12,12 +12,12 @@
 import org.radishspur.replication.codec.MessagePack;
 
 /**
- * Turns length-prefixed MessagePack frames into messages of one family and back.
+ * Encodes and decodes the messages of one sealed type as length-prefixed MessagePack frames.
  *
  * @param <M> the sealed type of the messages.
  */
 public final class PeerCodec<M> extends MessageToMessageCodec<ByteBuf, M> {
-    /** The version of the nodes' protocol; nodes of another version are refused. */
+    /** The version of the protocol between nodes; connections of another version are refused. */
     static final int PROTOCOL_VERSION = 1;
 
     private static final int LENGTH_BYTES = 4;
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Puts framing and decoding into the pipeline of a channel.
+     * Adds the frame decoder and this codec to the pipeline of a channel.
      *
      * @param channel the channel.
-     * @param frameBytes the largest frame.
+     * @param frameBytes the maximum size of a frame in bytes; a larger frame fails the decoding.
      * @param type the sealed type of the messages.
      * @param <M> the type of the messages.
      */
@@ -44,12 +44,12 @@
     }
 
     /**
-     * Encodes a message that goes to many receivers; a channel takes the bytes in place of the message.
+     * Encodes a message once for many receivers; the buffer is written to a channel in place of the message.
      *
      * @param message the message.
      * @param type the sealed type of the messages.
      * @param <M> the type of the messages.
-     * @return the bytes of the whole frame, which the caller releases.
+     * @return the whole frame, which the caller must release.
      */
     public static <M> ByteBuf encode(M message, Class<M> type) {
         byte[] bytes = MessagePack.INSTANCE.encode(message, type);
@@ -57,20 +57,20 @@
     }
 
     /**
-     * Encodes a large message that goes to many receivers. Its bytes lie outside of the heap, where the sockets share them; bytes
-     * on the heap are copied for each.
+     * Encodes a large message once for many receivers into a direct buffer. All sockets write from the same direct buffer,
+     * whereas a heap buffer is copied for each of them.
      *
      * @param message the message.
      * @param type the sealed type of the messages.
      * @param <M> the type of the messages.
-     * @return the bytes of the whole frame, which the caller releases.
+     * @return the whole frame, which the caller must release.
      */
     public static <M> ByteBuf encodeLarge(M message, Class<M> type) {
         byte[] bytes = MessagePack.INSTANCE.encode(message, type);
         return frame(Unpooled.directBuffer(LENGTH_BYTES + bytes.length), bytes);
     }
 
-    /** Writes length and message into one buffer; a buffer each would cost a slower write. */
+    /** Writes the length and the message into one buffer, which is written faster than two. */
     private static ByteBuf frame(ByteBuf buffer, byte[] message) {
         return buffer.writeInt(message.length).writeBytes(message);
     }
--- a/node/src/main/java/org/radishspur/node/peer/PeerKey.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerKey.java
@@ -9,7 +9,7 @@
 import java.security.SecureRandom;
 
 /**
- * Proves to other nodes that this one holds the shared key, without sending it.
+ * Makes and compares the signatures by which two nodes prove to each other that they hold the shared key, without sending it.
  */
 public final class PeerKey {
     private static final String ALGORITHM = "HmacSHA256";
@@ -21,16 +21,16 @@
     /**
      * Creates a key.
      *
-     * @param secret the text that all nodes of the cluster share.
+     * @param secret the secret that all nodes of the cluster share.
      */
     public PeerKey(String secret) {
         key = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), ALGORITHM);
     }
 
     /**
-     * Draws bytes for the other side to sign.
+     * Makes a random nonce for the other side to sign.
      *
-     * @return the bytes.
+     * @return the nonce.
      */
     public byte[] nonce() {
         byte[] nonce = new byte[NONCE_BYTES];
@@ -39,23 +39,23 @@
     }
 
     /**
-     * Signs the identity of a caller together with the bytes that the called side has drawn.
+     * Signs the identity of a connecting node together with the nonces of both sides.
      *
-     * @param nonce the bytes of the called side.
-     * @param cluster the cluster of the caller.
-     * @param node the name of the caller.
-     * @param incarnation which run of the caller's process it is.
-     * @param ownNonce the bytes that the caller has drawn.
+     * @param nonce the nonce of the accepting node.
+     * @param cluster the cluster of the connecting node.
+     * @param node the name of the connecting node.
+     * @param incarnation the run of the connecting node's process.
+     * @param connectingNonce the nonce of the connecting node.
      * @return the signature.
      */
-    public byte[] signHello(byte[] nonce, String cluster, String node, long incarnation, byte[] ownNonce) {
-        return sign("hello\n" + cluster + '\n' + node + '\n' + incarnation + '\n', nonce, ownNonce);
+    public byte[] signHello(byte[] nonce, String cluster, String node, long incarnation, byte[] connectingNonce) {
+        return sign("hello\n" + cluster + '\n' + node + '\n' + incarnation + '\n', nonce, connectingNonce);
     }
 
     /**
-     * Signs the bytes that a caller has drawn.
+     * Signs the nonce of a connecting node on behalf of the accepting one.
      *
-     * @param nonce the bytes of the caller.
+     * @param nonce the nonce of the connecting node.
      * @return the signature.
      */
     public byte[] signWelcome(byte[] nonce) {
@@ -63,14 +63,14 @@
     }
 
     /**
-     * Compares two signatures in a time that doesn't tell where they differ.
+     * Compares two signatures in a time that doesn't depend on where they differ.
      *
-     * @param expected the signature made here.
-     * @param shown the signature shown by the other side.
+     * @param expected the signature computed here.
+     * @param received the signature received from the other side.
      * @return whether they are equal.
      */
-    public boolean matches(byte[] expected, byte[] shown) {
-        return MessageDigest.isEqual(expected, shown);
+    public boolean matches(byte[] expected, byte[] received) {
+        return MessageDigest.isEqual(expected, received);
     }
 
     private byte[] sign(String text, byte[] first, byte[] second) {
--- a/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
@@ -23,7 +23,7 @@
 
 /**
  * Keeps one connection to each other node and sends messages over it. A message to a node without a connection is
- * dropped: whoever sends one repeats it if it matters.
+ * dropped; the sender repeats a message that must arrive.
  */
 public final class PeerLinks implements Child {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -40,27 +40,27 @@
     private volatile boolean closed;
 
     /**
-     * Creates links that are not connected yet.
+     * Creates the links; {@link #start} opens the connections.
      *
      * @param settings the settings of the node.
      * @param key the shared key.
-     * @param incarnation which run of this node's process it is.
-     * @param group the threads that carry traffic.
-     * @param inbox is notified of connections made and lost.
-     * @param metrics counts what is refused.
+     * @param incarnation the run of this node's process.
+     * @param group the traffic threads.
+     * @param peerListener is notified when a connection is established or lost.
+     * @param metrics counts refused peers.
      */
     public PeerLinks(
             NodeSettings settings,
             PeerKey key,
             long incarnation,
             EventLoopGroup group,
-            PeerListener inbox,
+            PeerListener peerListener,
             NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.incarnation = incarnation;
         this.group = group;
-        this.peerListener = inbox;
+        this.peerListener = peerListener;
         this.metrics = metrics;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Sends a message.
+     * Sends a message, or drops it where there is no connection to the receiver.
      *
      * @param node the name of the receiver.
      * @param message the message.
@@ -81,7 +81,7 @@
         if (channel == null) {
             return;
         }
-        // Guards against filling the memory with messages for a node that has frozen but whose connection stands.
+        // Bounds the memory for messages to a node that no longer reads but whose connection is still open.
         if (!channel.isWritable()) {
             channel.close();
             return;
@@ -93,7 +93,7 @@
      * Returns whether there is a connection to a node.
      *
      * @param node the name of the node.
-     * @return whether messages can be sent.
+     * @return whether messages can be sent to it.
      */
     public boolean isConnected(String node) {
         return channels.containsKey(node);
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Introduces this node to another one.
+     * Authenticates this node and its peer after connecting, and connects again once the connection is closed.
      */
     private final class ClientHandshake extends SimpleChannelInboundHandler<PeerMessage> {
         private final PeerSettings peer;
@@ -170,7 +170,8 @@
                 peerListener.onConnectionChanged(peer.node(), true);
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn("Node " + peer.node() + " did not prove that it holds the shared key.");
+                PartLog.PEER.warn(
+                        "Node " + peer.node() + " failed the handshake: its protocol version or shared key differs.");
                 context.close();
             }
         }
--- a/node/src/main/java/org/radishspur/node/peer/PeerListener.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerListener.java
@@ -1,23 +1,23 @@
 package org.radishspur.node.peer;
 
 /**
- * Receives what comes from other nodes; called on traffic threads.
+ * Receives messages from other nodes and changes of the connections to them. It is called on traffic threads.
  */
 public interface PeerListener {
     /**
-     * Takes a message.
+     * Receives a message.
      *
-     * @param node the name of the sender, which has proved that it holds the shared key.
-     * @param incarnation which run of the sender's process it is.
+     * @param node the name of the sender, which has authenticated with the shared key.
+     * @param incarnation the run of the sender's process.
      * @param message the message.
      */
     void onMessage(String node, long incarnation, PeerMessage message);
 
     /**
-     * Learns that messages to a node can be sent from now on, or no more.
+     * Is called after the connection to a node was established or lost.
      *
      * @param node the name of the node.
-     * @param connected whether there is a connection.
+     * @param connected whether messages can be sent to the node now.
      */
     void onConnectionChanged(String node, boolean connected);
 }
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -17,34 +17,35 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Passes between two nodes of one cluster.
+ * A message between two nodes of one cluster. The wire format numbers the subtypes in the order of their declaration and writes
+ * the components of each in their order.
  */
 public sealed interface PeerMessage {
     /**
-     * Opens a connection from the side that was called.
+     * Starts the handshake; sent by the accepting node.
      *
      * @param version the version of the protocol.
-     * @param nonce bytes that the caller must sign.
+     * @param nonce the nonce that the connecting node must sign.
      */
     record Challenge(int version, byte[] nonce) implements PeerMessage {}
 
     /**
-     * Answers a challenge.
+     * Answers a challenge; sent by the connecting node.
      *
      * @param version the version of the protocol.
-     * @param cluster the cluster of the caller.
-     * @param node the name of the caller.
-     * @param incarnation which run of the caller's process it is.
-     * @param nonce bytes that the called side must sign.
-     * @param signature the proof that the caller holds the shared key.
+     * @param cluster the cluster of the connecting node.
+     * @param node the name of the connecting node.
+     * @param incarnation the run of the connecting node's process.
+     * @param nonce the nonce that the accepting node must sign.
+     * @param signature the connecting node's signature with the shared key.
      */
     record Hello(int version, String cluster, String node, long incarnation, byte[] nonce, byte[] signature)
             implements PeerMessage {}
 
     /**
-     * Accepts a connection.
+     * Ends the handshake; sent by the accepting node.
      *
-     * @param signature the proof that the called side holds the shared key.
+     * @param signature the accepting node's signature with the shared key.
      */
     record Welcome(byte[] signature) implements PeerMessage {}
 
@@ -58,24 +59,24 @@
     record Raft(String from, String to, RaftMessage message) implements PeerMessage {}
 
     /**
-     * Shows a control node that a node lives.
+     * Reports to a control node that the sender is alive.
      *
-     * @param status what the node says of itself.
+     * @param status the status of the sender.
      */
     record Heartbeat(NodeStatus status) implements PeerMessage {}
 
     /**
-     * Describes a node to the control leader.
+     * Describes the status of a node to the control leader.
      *
      * @param node the name of the node.
-     * @param incarnation which run of its process it is.
-     * @param failureDomain where it stands.
-     * @param entry whether it takes callers' requests.
-     * @param shuttingDown whether it is being stopped as planned.
-     * @param revisionInForce the revision of the tables that it works by.
-     * @param viewTerm the term of the view that it works by.
-     * @param viewNumber the number of the view that it works by.
-     * @param auxiliaryRevision the revision of the crash suspects and moves that it knows.
+     * @param incarnation the run of its process.
+     * @param failureDomain the failure domain that it runs in.
+     * @param entry whether it accepts callers' requests.
+     * @param shuttingDown whether a planned stop has begun.
+     * @param revisionInForce the revision of the tables in force on it, or -1 where it has none.
+     * @param viewTerm the term of its view of the cluster.
+     * @param viewNumber the number of its view within the term.
+     * @param auxiliaryRevision the revision of the crash suspects, moves and evacuations that it has.
      * @param replica the identity of its control replica, or an empty text.
      */
     record NodeStatus(
@@ -93,9 +94,9 @@
     /**
      * Answers a heartbeat.
      *
-     * @param leader whether the sender leads and its lease holds.
-     * @param view the view, where the node has an older one.
-     * @param delta the changes of the tables that the node lacks.
+     * @param leader whether the sender is the control leader and holds a valid lease.
+     * @param view the view of the cluster, where the node has another one.
+     * @param delta the changes of the tables since the node's revision, where it has another one than the leader.
      * @param auxiliaryRevision the revision of the crash suspects, moves and evacuations.
      * @param suspects the crash counts by pool and fingerprint, where the node has another revision.
      * @param moves the latest move of each route, where the node has another revision or gets changes of the tables.
@@ -112,7 +113,7 @@
             implements PeerMessage {}
 
     /**
-     * Carries fresh changes of the tables without waiting for a heartbeat.
+     * Sends changes of the tables without waiting for a heartbeat.
      *
      * @param delta the changes.
      * @param moves the latest move of each route as of these changes.
@@ -120,10 +121,10 @@
     record TablesPush(TablesDelta delta, Map<String, Move> moves) implements PeerMessage {}
 
     /**
-     * Asks the control leader to commit a command, or for a report.
+     * Calls the control leader.
      *
-     * @param call the number of the call, unique within the asking process.
-     * @param request what is asked.
+     * @param call the number of the call, unique within the calling process.
+     * @param request the request.
      */
     record ControlCall(long call, ControlRequest request) implements PeerMessage {}
 
@@ -131,20 +132,20 @@
      * Answers a call.
      *
      * @param call the number of the call.
-     * @param result the answer.
+     * @param result the result.
      */
     record ControlReply(long call, ControlResult result) implements PeerMessage {}
 
     /**
-     * Asks the owner of a pool's queue for a permit.
+     * Requests a permit from the owner of a pool's queue.
      *
-     * @param pool the pool.
-     * @param id the attempt.
-     * @param tier the urgency of the request.
-     * @param organisation the organisation that sent it.
-     * @param route the route that it came by.
-     * @param remainingMicros how long the answer keeps its value.
-     * @param work how much the request asks of an upstream.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
+     * @param tier the priority tier of the request.
+     * @param organisation the organisation that sent the request.
+     * @param route the route that the request was sent to.
+     * @param remainingMicros the time until the deadline of the request, in microseconds.
+     * @param work the estimated cost of the request at an upstream.
      * @param fingerprint the digest of the request's content.
      */
     record PermitAsk(
@@ -159,69 +160,69 @@
             implements PeerMessage {}
 
     /**
-     * Grants a permit.
+     * Grants a permit; sent by the owner of the pool's queue.
      *
-     * @param pool the pool.
-     * @param id the attempt.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
      * @param upstream the name of the upstream.
      * @param address the address of the upstream.
      */
     record PermitGranted(String pool, PermitId id, String upstream, String address) implements PeerMessage {}
 
     /**
-     * Refuses a permit for good.
+     * Refuses a permit; the request for it is not retried.
      *
-     * @param pool the pool.
-     * @param id the attempt.
-     * @param refusal the final answer.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
+     * @param refusal the reason and the time after which the caller may retry.
      */
     record PermitRefused(String pool, PermitId id, Refusal refusal) implements PeerMessage {}
 
     /**
      * Withdraws a request for a permit.
      *
-     * @param pool the pool.
-     * @param id the attempt.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
      */
     record PermitCancel(String pool, PermitId id) implements PeerMessage {}
 
     /**
-     * Says that the first token of an answer has come.
+     * Reports the first token of an answer.
      *
-     * @param pool the pool.
-     * @param id the attempt.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
      */
     record PermitFirstToken(String pool, PermitId id) implements PeerMessage {}
 
     /**
-     * Gives a permit back.
+     * Releases a permit.
      *
-     * @param pool the pool.
-     * @param id the attempt.
-     * @param outcome how the permit was used.
+     * @param pool the name of the pool.
+     * @param id the identity of the attempt.
+     * @param outcome how the attempt ended.
      */
     record PermitFinish(String pool, PermitId id, PermitOutcome outcome) implements PeerMessage {}
 
     /**
-     * Lists all that an entry process has going on in a pool, so that the owner's books agree with it.
+     * Lists all permits and pending requests of an entry process in a pool, so that the owner can reconcile its state.
      *
-     * @param pool the pool.
-     * @param incarnation which run of the entry's process it is.
+     * @param pool the name of the pool.
+     * @param incarnation the run of the entry node's process.
      * @param inUse the permits in use.
-     * @param waiting the attempts that wait for a permit.
+     * @param waiting the attempts whose request for a permit is pending.
      */
     record PermitRegister(String pool, long incarnation, List<PermitInUse> inUse, List<PermitId> waiting)
             implements PeerMessage {}
 
     /**
-     * Passes on what an upstream said of itself at the head of an answer.
+     * Passes on the status that an upstream reported in the headers of an answer.
      *
-     * @param pool the pool.
+     * @param pool the name of the pool.
      * @param upstream the name of the upstream.
-     * @param incarnation which run of its process it is, or 0 where it didn't say.
-     * @param leaving whether it is leaving.
-     * @param running how many requests it runs, or -1 where it didn't say.
-     * @param waiting how many requests wait inside it.
+     * @param incarnation the run of its process, or 0 where it wasn't reported.
+     * @param leaving whether the upstream is about to stop.
+     * @param running the number of requests that it runs, or -1 where it wasn't reported.
+     * @param waiting the number of requests queued inside it.
      */
     record UpstreamWord(String pool, String upstream, long incarnation, boolean leaving, int running, int waiting)
             implements PeerMessage {}
@@ -229,75 +230,76 @@
     /**
      * Describes one permit in use.
      *
-     * @param request the request for it.
-     * @param upstream the upstream that it is for.
+     * @param request the request that it was granted for.
+     * @param upstream the name of the upstream whose slot it holds.
      */
     record PermitInUse(PermitAsk request, String upstream) {}
 
     /**
-     * Names what the control leader may be asked.
+     * A request to the control leader.
      */
     sealed interface ControlRequest {
         /**
-         * Asks to commit a command.
+         * Requests that a command is committed.
          *
          * @param command the command.
          */
         record Commit(ControlCommand command) implements ControlRequest {}
 
         /**
-         * Asks for the state of the cluster.
+         * Requests the status of the cluster.
          */
         record Status() implements ControlRequest {}
 
         /**
-         * Asks to replace the control replica of a node whose disk was lost.
+         * Requests that the control replica of a node whose disk was lost is replaced.
          *
-         * @param node the node, which has started with a freshly formatted folder.
+         * @param node the node, which must have started with a newly formatted data folder.
          */
         record Replace(String node) implements ControlRequest {}
     }
 
     /**
-     * Names how a call to the control leader ends.
+     * The result of a call to the control leader.
      */
     sealed interface ControlResult {
         /**
-         * Says that the command is committed.
+         * The command is committed.
          *
-         * @param answer what the state machine answered.
-         * @param holderLives where a claim is held by another attempt, whether that attempt's process lives.
+         * @param answer the answer of the state machine.
+         * @param holderLives whether the process of the attempt that holds the claim is live; false where the answer isn't a
+         *     claim held by another attempt.
          */
         record Committed(ControlAnswer answer, boolean holderLives) implements ControlResult {}
 
         /**
-         * Carries the state of the cluster.
+         * The status of the cluster.
          *
-         * @param status the state.
+         * @param status the status.
          */
         record Report(ClusterStatus status) implements ControlResult {}
 
         /**
-         * Says that another node leads, or that leadership was lost in the middle; the call may be made again.
+         * The called node is not the control leader, or lost the leadership during the call; the call may be retried.
          *
-         * @param leader the node that leads, or an empty text.
+         * @param leader the name of the leader's node, or an empty text where it isn't known.
          */
         record NotLeader(String leader) implements ControlResult {}
 
         /**
-         * Says that the leader takes no more commands for now.
+         * The leader accepts no more commands for now, because too many are pending or its disk is nearly full.
          */
         record Busy() implements ControlResult {}
 
         /**
-         * Says that a replacement is not possible as things stand.
+         * The replica cannot be replaced at present.
          *
-         * @param problem why not.
+         * @param problem the reason.
          */
         record Refused(String problem) implements ControlResult {}
 
         /**
-         * Says that no leader answered in time; the command may or may not be committed.
+         * No leader answered before the timeout; the command may or may not be committed. Not sent, only passed to listeners.
          */
         record Unreachable() implements ControlResult {}
     }
@@ -305,16 +307,16 @@
     /**
      * Describes the cluster as its control leader sees it.
      *
-     * @param leader the node that leads.
-     * @param term the term of its leadership.
+     * @param leader the name of the leader's node.
+     * @param term the current term.
      * @param revision the revision of the tables.
-     * @param commitIndex the greatest committed index of the log.
+     * @param commitIndex the index of the last committed log entry.
      * @param voters the identities of the voting replicas.
-     * @param learners the identities of the replicas that catch up.
-     * @param nodes every node that was heard of.
+     * @param learners the identities of the replicas that catch up before they may vote.
+     * @param nodes the nodes in the settings and those that have sent a heartbeat.
      * @param claims the number of claims by state.
-     * @param moves the latest move of each route, and those before it.
-     * @param evacuated the failure domains whose upstreams get no new request.
+     * @param moves the latest move of each route and those that ended before it.
+     * @param evacuated the failure domains whose upstreams get no new requests.
      */
     record ClusterStatus(
             String leader,
@@ -329,25 +331,25 @@
             Set<String> evacuated) {}
 
     /**
-     * Describes one node within the cluster.
+     * Describes one node in the status of the cluster.
      *
      * @param node the name of the node.
-     * @param state whether it lives.
-     * @param failureDomain where it stands.
-     * @param revisionInForce the revision of the tables that it works by.
+     * @param state the state of the node, as the control leader sees it.
+     * @param failureDomain the failure domain that it runs in, or an empty text where it has sent no heartbeat.
+     * @param revisionInForce the revision of the tables in force on it, or -1 where it is unknown.
      * @param replica the identity of its control replica, or an empty text.
      */
     record NodeSummary(String node, NodeState state, String failureDomain, long revisionInForce, String replica) {}
 
     /**
-     * Names how a node seems to the control leader.
+     * The state of a node, as the control leader sees it.
      */
     enum NodeState {
-        /** It shows that it lives. */
+        /** Its latest heartbeat is recent. */
         LIVE,
-        /** It is being stopped as planned. */
+        /** Its latest heartbeat is recent and says that a planned stop has begun. */
         SHUTTING_DOWN,
-        /** It was heard of, but not lately. */
+        /** No heartbeat was received recently, or none at all. */
         LOST
     }
 }
--- a/node/src/main/java/org/radishspur/node/peer/PeerServer.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerServer.java
@@ -18,7 +18,7 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts connections from other nodes, each of which must prove that it holds the shared key.
+ * Accepts connections from other nodes, which must authenticate with the shared key before they send messages.
  */
 public final class PeerServer implements Child {
     private static final int HANDSHAKE_TIMEOUT_SECONDS = 5;
@@ -32,20 +32,20 @@
     private Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server; {@link #start} opens its port.
      *
      * @param settings the settings of the node.
      * @param key the shared key.
-     * @param group the threads that carry traffic.
-     * @param inbox receives what comes.
-     * @param metrics counts what is refused.
+     * @param group the traffic threads.
+     * @param peerListener receives the messages of authenticated peers.
+     * @param metrics counts refused peers and malformed frames.
      */
     public PeerServer(
-            NodeSettings settings, PeerKey key, EventLoopGroup group, PeerListener inbox, NodeMetrics metrics) {
+            NodeSettings settings, PeerKey key, EventLoopGroup group, PeerListener peerListener, NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.group = group;
-        this.peerListener = inbox;
+        this.peerListener = peerListener;
         this.metrics = metrics;
     }
 
@@ -69,7 +69,7 @@
                 .channel();
         channel.closeFuture()
                 .addListener(future -> listener.onFailure(
-                        new RadishspurException(ErrorCode.FRAME_INVALID, "the peer address stopped listening")));
+                        new RadishspurException(ErrorCode.FRAME_INVALID, "the socket at the peer address was closed")));
     }
 
     /** {@inheritDoc} */
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Checks one connection and then passes its messages on.
+     * Authenticates the peer of one connection and then passes its messages to the listener.
      */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<PeerMessage> {
         private final byte[] nonce = key.nonce();
@@ -106,7 +106,8 @@
                 context.writeAndFlush(new PeerMessage.Welcome(key.signWelcome(hello.nonce())));
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn("Refused a peer at " + context.channel().remoteAddress() + '.');
+                PartLog.PEER.warn("Refused the connection of a peer at "
+                        + context.channel().remoteAddress() + '.');
                 context.close();
             }
         }
--- a/node/src/main/java/org/radishspur/node/supervise/Child.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Child.java
@@ -1,13 +1,13 @@
 package org.radishspur.node.supervise;
 
 /**
- * Runs as a part of the supervisor tree.
+ * A component that a {@link Supervisor} starts, closes and replaces by a new one after a failure.
  */
 public interface Child extends AutoCloseable {
     /**
      * Starts the child.
      *
-     * @param listener is notified of a failure after the start; a failure of the start itself is thrown.
+     * @param listener is notified of failures after the start; a failure of the start itself is thrown.
      */
     void start(FailureListener listener);
 
@@ -16,13 +16,13 @@
     void close();
 
     /**
-     * Is notified of failures.
+     * Is notified of failures of a child.
      */
     interface FailureListener {
         /**
-         * Takes note of a failure.
+         * Is called after a failure.
          *
-         * @param cause what failed.
+         * @param cause the cause of the failure.
          */
         void onFailure(Throwable cause);
     }
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -12,13 +12,18 @@
 import org.radishspur.node.log.PartLog;
 
 /**
- * Starts children in order, restarts one that fails with growing delays, and reports its own failure when a child fails
- * too often. Supervisors are children themselves, so that they form a tree whose root ends the process.
+ * Starts children in order, restarts a failed child after a delay that doubles with each recent failure, and reports the
+ * failure to its own listener when a child fails too often. Supervisors are children themselves, so that they form a tree;
+ * the listener of the root ends the process.
  */
 public final class Supervisor implements Child {
+    /** Doubled once for each failure in the window, so that the first restart waits twice this delay. */
     private static final long BASE_DELAY_MILLIS = 100;
+
     private static final long MAXIMUM_DELAY_MILLIS = 5_000;
+    /** A child is restarted after at most this many failures within the window. */
     private static final int MAXIMUM_FAILURES = 8;
+
     private static final long FAILURE_WINDOW_MILLIS = 60_000;
 
     private final String name;
@@ -31,9 +36,9 @@
     /**
      * Creates a supervisor without children.
      *
-     * @param name what the log calls it.
-     * @param scheduler runs restarts later.
-     * @param clockMillis the monotonic clock.
+     * @param name the name in log messages.
+     * @param scheduler runs delayed restarts.
+     * @param clockMillis the monotonic clock in milliseconds.
      */
     public Supervisor(String name, Scheduler scheduler, LongSupplier clockMillis) {
         this.name = name;
@@ -44,8 +49,8 @@
     /**
      * Adds a child; it starts with the supervisor.
      *
-     * @param childName what the log calls the child.
-     * @param factory makes a fresh child for each start.
+     * @param childName the name of the child in log messages.
+     * @param factory creates a new child for each start.
      * @return this supervisor.
      */
     public Supervisor supervise(String childName, Factory factory) {
@@ -78,7 +83,7 @@
         try {
             child.start(cause -> onFailure(supervised, child, cause));
         } catch (Exception exception) {
-            // Netty passes on checked exceptions undeclared, as of an address that is taken.
+            // Netty throws checked exceptions that no method declares, such as BindException for an address in use.
             onFailure(supervised, child, exception);
         }
     }
@@ -94,7 +99,8 @@
             supervised.failures.removeFirst();
         }
         if (supervised.failures.size() > MAXIMUM_FAILURES) {
-            PartLog.SUPERVISOR.error(name + " gives up on " + supervised.name + '.', cause);
+            PartLog.SUPERVISOR.error(
+                    name + " no longer restarts the repeatedly failed " + supervised.name + '.', cause);
             parent.onFailure(cause);
             return;
         }
@@ -121,11 +127,11 @@
     }
 
     /**
-     * Makes children.
+     * Creates children.
      */
     public interface Factory {
         /**
-         * Makes a child that has not started.
+         * Creates a child that has not been started.
          *
          * @return the child.
          */
@@ -133,14 +139,14 @@
     }
 
     /**
-     * Runs actions later.
+     * Runs actions after a delay.
      */
     public interface Scheduler {
         /**
          * Runs an action once.
          *
          * @param action the action.
-         * @param delayMillis how long to wait.
+         * @param delayMillis the delay in milliseconds.
          */
         void schedule(Runnable action, long delayMillis);
 
@@ -169,7 +175,7 @@
     }
 
     /**
-     * Remembers a child over its restarts.
+     * Holds the current instance of a child and the times of its recent failures, in milliseconds.
      */
     private static final class SupervisedChild {
         private final String name;
--- a/node/src/main/java/org/radishspur/node/supervise/package-info.java
+++ b/node/src/main/java/org/radishspur/node/supervise/package-info.java
@@ -1,4 +1,6 @@
 /**
- * Restarts parts that fail, and ends the process when restarting doesn't help.
+ * Restarts components that fail, and reports a failure that restarts don't cure so that the process ends.
+ *
+ * <p>The program radishspur-node and the platform's entry and control programs all use this package; it has no counterpart.
  */
 package org.radishspur.node.supervise;
--- a/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
+++ b/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
@@ -26,17 +26,17 @@
         }
     }
 
-    /** Throws as Netty does, which passes on checked exceptions that no method declares. */
+    /** Throws a checked exception that no method declares, as Netty does. */
     @SuppressWarnings("unchecked")
     private static <E extends Throwable> void throwUndeclared(Throwable cause) throws E {
         throw (E) cause;
     }
 
-    /** Fails at its first starts. */
-    private final class ServerWithTakenAddress implements Child {
+    /** A server whose first starts fail because its address is in use. */
+    private final class ServerWithAddressInUse implements Child {
         private final int failures;
 
-        ServerWithTakenAddress(int failures) {
+        ServerWithAddressInUse(int failures) {
             this.failures = failures;
         }
 
@@ -54,20 +54,20 @@
 
     @Nested
     class WhenTheAddressIsInUse {
-        /** Guards against a process that ends because an address was taken for a moment. */
+        /** Guards against a process that ends because an address was in use for a short time. */
         @Test
         void startsTheServerOnceTheAddressIsFree() {
-            supervisor.supervise("server", () -> new ServerWithTakenAddress(3)).start(reportedFailures::add);
+            supervisor.supervise("server", () -> new ServerWithAddressInUse(3)).start(reportedFailures::add);
             runScheduledRestarts(MANY);
             assertThat(starts).isEqualTo(4);
             assertThat(reportedFailures).isEmpty();
         }
 
-        /** Guards against a server that is never started again, and nobody knows. */
+        /** Guards against a server that stays down without its failure being reported. */
         @Test
         void reportsAServerThatNeverStartsToTheParent() {
             supervisor
-                    .supervise("server", () -> new ServerWithTakenAddress(MANY))
+                    .supervise("server", () -> new ServerWithAddressInUse(MANY))
                     .start(reportedFailures::add);
             runScheduledRestarts(MANY);
             assertThat(reportedFailures).hasSize(1).first().isInstanceOf(BindException.class);
