--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -422,7 +422,7 @@
         /** {@inheritDoc} */
         @Override
         public void propose(MoveDriver.Proposal proposal) {
-            PartLog.OWNER.info("Move " + proposal.moveId() + " of route " + proposal.route() + " is to be "
+            PartLog.OWNER.info("Move " + proposal.moveId() + " of route " + proposal.route() + " is proposed to become "
                     + proposal.state() + " at " + proposal.stage() + ", reason " + proposal.reason() + '.');
             commit(
                     new ControlCommand.ChangeMove(proposal, System.currentTimeMillis()),
--- a/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeRegistry.java
@@ -12,7 +12,7 @@
 import org.radishspur.node.peer.PeerMessage.NodeSummary;
 
 /**
- * Holds the latest status of each node for the control leader, and tells live nodes from lost ones.
+ * Holds the latest status of each node for the control leader, and distinguishes live nodes from lost ones.
  */
 final class NodeRegistry {
     private final long lostTimeoutMillis;
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -221,7 +221,7 @@
     }
 
     /**
-     * Knows which nodes this one is connected to.
+     * Checks the connections to other nodes.
      */
     interface Reachability {
         /**
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -347,7 +347,7 @@
     enum NodeState {
         /** Its latest heartbeat is recent. */
         LIVE,
-        /** Its latest heartbeat is recent and says that a planned stop has begun. */
+        /** Its latest heartbeat is recent and reports that a planned stop has begun. */
         SHUTTING_DOWN,
         /** No heartbeat was received recently, or none at all. */
         LOST
