--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -32,25 +32,25 @@
  */
 public final class FleetLinks implements FleetSender, AutoCloseable {
     /** How long making a connection may take, in milliseconds; the longest ways take some ten. */
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     /** How long to wait before the next attempt, in milliseconds; short beside an election. */
     private static final long RECONNECT_MILLIS = 60;
 
     /** How often links are looked after, in milliseconds. */
-    private static final long CARE_MILLIS = 300;
+    private static final long HEALTH_CHECK_INTERVAL_MILLIS = 300;
 
     /** So many messages are written with one call at most, in the order in which they were sent in one turn of the loop. */
-    static final int MOST_UNFLUSHED = 64;
+    static final int MAX_UNFLUSHED_MESSAGES = 64;
 
     /** How many bytes may wait for a peer that does not read; beyond them the connection is made anew. */
-    private static final int BACKLOG_BYTES = 32 << 20;
+    private static final int MAX_BACKLOG_BYTES = 32 << 20;
 
     private final EventLoop loop;
     private final FleetInbox inbox;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
     private final ScheduledFuture<?> care;
-    private volatile String attended = "";
+    private volatile String closelyWatched = "";
     private volatile boolean closed;
 
     /**
@@ -62,7 +62,8 @@
     public FleetLinks(EventLoop loop, FleetInbox inbox) {
         this.loop = loop;
         this.inbox = inbox;
-        this.care = loop.scheduleAtFixedRate(this::care, CARE_MILLIS, CARE_MILLIS, TimeUnit.MILLISECONDS);
+        this.care = loop.scheduleAtFixedRate(
+                this::care, HEALTH_CHECK_INTERVAL_MILLIS, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -74,7 +75,7 @@
         links.forEach((address, link) -> {
             if (!addresses.contains(address)) {
                 links.remove(address);
-                link.drop();
+                link.remove();
             }
         });
         for (String address : addresses) {
@@ -114,14 +115,14 @@
     /** {@inheritDoc} */
     @Override
     public void attend(String address) {
-        attended = address;
+        closelyWatched = address;
     }
 
     /** {@inheritDoc} */
     @Override
     public int connection(String address) {
         Link link = links.get(address);
-        return link == null || link.channel == null ? 0 : link.connections;
+        return link == null || link.channel == null ? 0 : link.connectionCount;
     }
 
     /** {@inheritDoc} */
@@ -129,13 +130,13 @@
     public void close() {
         closed = true;
         care.cancel(false);
-        links.values().forEach(Link::drop);
+        links.values().forEach(Link::remove);
         links.clear();
     }
 
     private void care() {
         long now = Moment.steadyNow();
-        links.values().forEach(link -> link.care(now));
+        links.values().forEach(link -> link.checkHealth(now));
     }
 
     /**
@@ -144,8 +145,8 @@
     private final class Link extends SimpleChannelInboundHandler<FleetMessage> implements FleetInbox.Sender {
         private final String address;
         private volatile Channel channel;
-        private volatile int connections;
-        private volatile boolean dropped;
+        private volatile int connectionCount;
+        private volatile boolean removed;
         private final LinkHealth health = new LinkHealth();
 
         Link(String address) {
@@ -159,29 +160,29 @@
         }
 
         void connect() {
-            if (dropped || closed) {
+            if (removed || closed) {
                 return;
             }
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(
                             ChannelOption.WRITE_BUFFER_WATER_MARK,
-                            new WriteBufferWaterMark(BACKLOG_BYTES / 2, BACKLOG_BYTES))
+                            new WriteBufferWaterMark(MAX_BACKLOG_BYTES / 2, MAX_BACKLOG_BYTES))
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel made) {
-                            made.pipeline().addLast(new FlushConsolidationHandler(MOST_UNFLUSHED, true));
-                            PeerCodec.install(made, FleetServer.FRAME_BYTES, FleetMessage.class);
+                            made.pipeline().addLast(new FlushConsolidationHandler(MAX_UNFLUSHED_MESSAGES, true));
+                            PeerCodec.install(made, FleetServer.MAX_FRAME_BYTES, FleetMessage.class);
                             made.pipeline().addLast(Link.this);
                         }
                     })
                     .connect(HostPort.parse(address).toSocketAddress())
                     .addListener((ChannelFuture future) -> {
                         if (!future.isSuccess()) {
-                            again();
+                            scheduleReconnect();
                         }
                     });
         }
@@ -212,7 +213,7 @@
 
         /** Sends a message, or the bytes of an encoded one. */
         void sendEncoded(Object message) {
-            health.used(Moment.steadyNow());
+            health.onSent(Moment.steadyNow());
             write(message);
         }
 
@@ -232,14 +233,14 @@
             present.writeAndFlush(message, present.voidPromise());
         }
 
-        void care(long now) {
+        void checkHealth(long now) {
             Channel present = channel;
             if (present == null) {
                 return;
             }
-            switch (health.due(address.equals(attended), now)) {
+            switch (health.nextAction(address.equals(closelyWatched), now)) {
                 case PING -> write(new FleetMessage.Ping());
-                case RENEW -> {
+                case RECONNECT -> {
                     PartLog.PEER.info("The link to " + address + " is silent and is made anew.");
                     present.close();
                 }
@@ -247,16 +248,16 @@
             }
         }
 
-        void drop() {
-            dropped = true;
+        void remove() {
+            removed = true;
             Channel present = channel;
             if (present != null) {
                 present.close();
             }
         }
 
-        private void again() {
-            if (!dropped && !closed && !loop.isShuttingDown()) {
+        private void scheduleReconnect() {
+            if (!removed && !closed && !loop.isShuttingDown()) {
                 loop.schedule(this::connect, RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
@@ -264,10 +265,10 @@
         /** {@inheritDoc} */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            health.opened(Moment.steadyNow());
-            connections++;
+            health.onOpened(Moment.steadyNow());
+            connectionCount++;
             channel = context.channel();
-            if (dropped) {
+            if (removed) {
                 context.close();
             }
         }
@@ -276,14 +277,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             channel = null;
-            again();
+            scheduleReconnect();
             inbox.onClosed(this);
         }
 
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FleetMessage message) {
-            health.received(Moment.steadyNow());
+            health.onReceived(Moment.steadyNow());
             if (!(message instanceof FleetMessage.Pong)) {
                 inbox.onMessage(this, message);
             }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -39,31 +39,31 @@
      * @param controls the addresses of control hosts.
      * @param failureDomain the failure domain of the sender.
      */
-    record Candidate(String replica, List<String> controls, String failureDomain) implements FleetMessage {}
+    record ReplicaAnnouncement(String replica, List<String> controls, String failureDomain) implements FleetMessage {}
 
     /**
      * Asks the control leader what is in force.
      *
      * @param nonce a number that the answer repeats.
      * @param entry the address of the entry; empty where a scheduler asks.
-     * @param run which run of the entry's process asks.
+     * @param incarnation which run of the entry's process asks.
      * @param revision the revision of the catalogue that the entry has.
      * @param listTerm the term of the host list that the entry has.
      * @param listReading the reading of the host list that the entry has.
-     * @param tallies what the entry has seen of versions, since it started.
+     * @param versionCounts what the entry has seen of versions, since it started.
      */
-    record Follow(
+    record ViewRequest(
             long nonce,
             String entry,
-            long run,
+            long incarnation,
             long revision,
             long listTerm,
             long listReading,
-            List<VersionCounts> tallies)
+            List<VersionCounts> versionCounts)
             implements FleetMessage {}
 
     /**
-     * Answers a {@link Follow}.
+     * Answers a {@link ViewRequest}.
      *
      * @param nonce the number from the question.
      * @param confirmed whether a majority has confirmed after the question that the sender leads; else only the leader
@@ -72,7 +72,7 @@
      * @param revision the revision of the catalogue in force.
      * @param list the host list, where the entry has an older one.
      * @param rollouts the latest rollout of each pool.
-     * @param entries how many entries have asked lately.
+     * @param entryCount how many entries have asked lately.
      * @param controls all control hosts.
      * @param evacuated the failure domains whose upstreams are to get no new request.
      */
@@ -83,7 +83,7 @@
             long revision,
             Optional<HostList> list,
             List<CatalogueState.Rollout> rollouts,
-            int entries,
+            int entryCount,
             List<ControlHost> controls,
             Set<String> evacuated)
             implements FleetMessage {}
@@ -95,13 +95,13 @@
      * failure domains each byte counts.
      *
      * @param scheduler the run of the sending scheduler.
-     * @param whole whether everything is carried, so that what is missing is zero.
+     * @param full whether everything is carried, so that what is missing is zero.
      * @param upstreams digests of the upstreams' runs.
      * @param counts for each upstream the requests in progress, the good answers, the bad ones, the step of its pace and
      *     the steps of prompt tokens that it has still to read, one after the other.
      * @param organisations what was admitted for organisations since the scheduler started.
      */
-    record Load(String scheduler, boolean whole, int[] upstreams, int[] counts, Map<String, Long> organisations)
+    record LoadReport(String scheduler, boolean full, int[] upstreams, int[] counts, Map<String, Long> organisations)
             implements FleetMessage {}
 
     /**
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -22,10 +22,10 @@
  */
 public final class FleetServer implements Child {
     /** The largest frame in bytes: four catalogues of the largest size that operators may send, with room to spare. */
-    static final int FRAME_BYTES = 32 << 20;
+    static final int MAX_FRAME_BYTES = 32 << 20;
 
     /** A connection that brings nothing for so long is dead; the other end sends a ping every two seconds at least. */
-    private static final int SILENCE_SECONDS = 5;
+    private static final int READ_TIMEOUT_SECONDS = 5;
 
     private final HostPort address;
     private final EventLoopGroup group;
@@ -50,10 +50,10 @@
     public void start(FailureListener listener) {
         channel = Listener.INSTANCE.listen(address, group, accepted -> {
             accepted.pipeline()
-                    .addLast(new FlushConsolidationHandler(FleetLinks.MOST_UNFLUSHED, true))
-                    .addLast(new ReadTimeoutHandler(SILENCE_SECONDS));
-            PeerCodec.install(accepted, FRAME_BYTES, FleetMessage.class);
-            accepted.pipeline().addLast(new Reception(accepted));
+                    .addLast(new FlushConsolidationHandler(FleetLinks.MAX_UNFLUSHED_MESSAGES, true))
+                    .addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS));
+            PeerCodec.install(accepted, MAX_FRAME_BYTES, FleetMessage.class);
+            accepted.pipeline().addLast(new ConnectionHandler(accepted));
         });
         channel.closeFuture()
                 .addListener(future -> listener.onFailure(
@@ -71,11 +71,12 @@
     /**
      * Takes the messages of one connection.
      */
-    private final class Reception extends SimpleChannelInboundHandler<FleetMessage> implements FleetInbox.Sender {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FleetMessage>
+            implements FleetInbox.Sender {
         private final Channel connection;
         private long receivedAt = System.nanoTime();
 
-        Reception(Channel connection) {
+        ConnectionHandler(Channel connection) {
             this.connection = connection;
         }
 
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -8,38 +8,38 @@
  */
 final class LinkHealth {
     /** So long after a ping that was not answered the connection is dead, in milliseconds. */
-    static final long ANSWER_MILLIS = 1_000;
+    static final long PING_TIMEOUT_MILLIS = 1_000;
 
     /** A link in use is pinged after so much silence, in milliseconds. */
-    static final long SILENCE_MILLIS = 150;
+    static final long PING_AFTER_MILLIS = 150;
 
     /** The same for an idle link, in milliseconds; the other end gives the link up after twice as much. */
-    static final long IDLE_SILENCE_MILLIS = 2_000;
+    static final long IDLE_PING_AFTER_MILLIS = 2_000;
 
     /** A link over which nothing was sent for so long is idle, in milliseconds. */
-    static final long USE_MILLIS = 2_000;
+    static final long IDLE_AFTER_MILLIS = 2_000;
 
     private volatile long receivedAt;
-    private volatile long usedAt;
-    private volatile boolean pinged;
-    private long pingedAt;
+    private volatile long sentAt;
+    private volatile boolean awaitingAnswer;
+    private long pingSentAt;
 
     /** Notes that the connection was made. */
-    void opened(long now) {
+    void onOpened(long now) {
         receivedAt = now;
-        usedAt = now;
-        pinged = false;
+        sentAt = now;
+        awaitingAnswer = false;
     }
 
     /** Notes that something has come. */
-    void received(long now) {
+    void onReceived(long now) {
         receivedAt = now;
-        pinged = false;
+        awaitingAnswer = false;
     }
 
     /** Notes that something other than a ping was sent. */
-    void used(long now) {
-        usedAt = now;
+    void onSent(long now) {
+        sentAt = now;
     }
 
     long silentMillis(long now) {
@@ -52,28 +52,28 @@
      * @param attended whether the link is needed even while nothing is sent over it.
      * @param now the clock in milliseconds.
      */
-    Care due(boolean attended, long now) {
-        if (pinged && now - pingedAt > ANSWER_MILLIS) {
-            return Care.RENEW;
+    Action nextAction(boolean attended, long now) {
+        if (awaitingAnswer && now - pingSentAt > PING_TIMEOUT_MILLIS) {
+            return Action.RECONNECT;
         }
-        boolean inUse = attended || now - usedAt < USE_MILLIS;
-        if (silentMillis(now) < (inUse ? SILENCE_MILLIS : IDLE_SILENCE_MILLIS)) {
-            return Care.NONE;
+        boolean inUse = attended || now - sentAt < IDLE_AFTER_MILLIS;
+        if (silentMillis(now) < (inUse ? PING_AFTER_MILLIS : IDLE_PING_AFTER_MILLIS)) {
+            return Action.NONE;
         }
-        if (!pinged) {
-            pinged = true;
-            pingedAt = now;
+        if (!awaitingAnswer) {
+            awaitingAnswer = true;
+            pingSentAt = now;
         }
-        return Care.PING;
+        return Action.PING;
     }
 
     /** Says what a link needs. */
-    enum Care {
+    enum Action {
         /** Nothing. */
         NONE,
         /** A ping. */
         PING,
         /** Another connection. */
-        RENEW
+        RECONNECT
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
@@ -25,27 +25,27 @@
         return registry;
     }
 
-    void role(Role role, long reached) {
+    void recordRole(Role role, long reached) {
         leading = role == Role.LEADER;
         term = reached;
         registry.counter("control.roles." + role).inc();
     }
 
-    void operatorAnswered(int status, long known, long millis) {
+    void recordOperatorCall(int status, long known, long millis) {
         revision = known;
         registry.counter("operators.answers." + status).inc();
         registry.timer("operators.call").update(millis, TimeUnit.MILLISECONDS);
     }
 
-    void listRead() {
+    void recordListRead() {
         registry.counter("host-list.readings").inc();
     }
 
-    void listFailed() {
+    void recordListFailure() {
         registry.counter("host-list.failures").inc();
     }
 
-    void followed(boolean confirmed) {
+    void recordViewRequest(boolean confirmed) {
         registry.counter(confirmed ? "entries.confirmed" : "entries.unconfirmed")
                 .inc();
     }
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -37,21 +37,21 @@
  * Runs a control host: one thread for control state, one for the transport, one for the disk.
  */
 public final class ControlProcess implements FleetInbox, AutoCloseable {
-    private static final String CLUSTER = "fleet";
+    private static final String CLUSTER_NAME = "fleet";
 
     /** How often a leader shows that it leads, in milliseconds; a read waits for up to one such round. */
     private static final long HEARTBEAT_MILLIS = 60;
 
     /** How long a follower waits at least before an election, in milliseconds; six heartbeats may be late or lost. */
-    private static final long ELECTION_MILLIS = 400;
+    private static final long ELECTION_TIMEOUT_MILLIS = 400;
 
     /** Every read is confirmed by a majority, because hosts may be suspended while a lease seems to run on. */
-    private static final long NO_LEASE = 0;
+    private static final long LEASE_MILLIS = 0;
 
     /** An entry holds a whole catalogue: four of the largest ones fit into a frame. */
     private static final int ENTRIES_PER_MESSAGE = 4;
 
-    private static final int SNAPSHOT_PART_BYTES = 1 << 20;
+    private static final int SNAPSHOT_CHUNK_BYTES = 1 << 20;
 
     /** How many entries stay in memory for followers a little behind; a snapshot is no larger than a few entries. */
     private static final int TRAILING_ENTRIES = 8;
@@ -62,29 +62,29 @@
      */
     private static final int ENTRIES_PER_SNAPSHOT = 40;
 
-    private static final int MAXIMUM_PENDING = 1_000;
+    private static final int MAX_PENDING_PROPOSALS = 1_000;
 
     /** Below so much free space nothing is proposed; room for one snapshot of the state beside the journal. */
     private static final long MINIMUM_FREE_BYTES = 4L << 20;
 
     /** How long a planned stop waits for a follower to take over, in milliseconds; an election takes some ten. */
-    private static final long HANDOVER_MILLIS = 150;
+    private static final long LEADERSHIP_TRANSFER_MILLIS = 150;
 
-    private static final int SUFFIX_BOUND = 1 << 30;
+    private static final int IDENTITY_SUFFIX_BOUND = 1 << 30;
 
     private final FleetSettings settings;
     private final EventLog events;
     private final ControlLoop loop = new ControlLoop();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup transportThreads = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ControlMetrics metrics = new ControlMetrics();
     private final FleetLinks links;
     private final ReplicaHost replica;
-    private final MembershipManager members;
+    private final MembershipManager membership;
     private final HostListReader hostList;
-    private final FollowService follow;
+    private final ViewService viewService;
     private final SchedulerHost scheduler;
     private final Supervisor.Scheduler.ForThread timers = new Supervisor.Scheduler.ForThread();
-    private final Supervisor root;
+    private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
 
     /**
@@ -108,23 +108,23 @@
                 new ControlReplica.Options(
                         new RaftOptions(
                                 HEARTBEAT_MILLIS,
-                                ELECTION_MILLIS,
-                                NO_LEASE,
+                                ELECTION_TIMEOUT_MILLIS,
+                                LEASE_MILLIS,
                                 ENTRIES_PER_MESSAGE,
-                                SNAPSHOT_PART_BYTES,
+                                SNAPSHOT_CHUNK_BYTES,
                                 TRAILING_ENTRIES),
                         StateOptions.STANDARD,
                         ENTRIES_PER_SNAPSHOT,
-                        MAXIMUM_PENDING),
+                        MAX_PENDING_PROPOSALS),
                 MINIMUM_FREE_BYTES,
-                new RoleEvents());
-        links = new FleetLinks(group.next(), this);
+                new ReplicaObserver());
+        links = new FleetLinks(transportThreads.next(), this);
         replica = new ReplicaHost(
                 setup,
                 loop,
                 (from, to, message) -> links.send(ReplicaHost.nodeOf(to), new FleetMessage.Raft(from, to, message)),
                 state -> {});
-        members = new MembershipManager(
+        membership = new MembershipManager(
                 loop,
                 replica,
                 links,
@@ -132,43 +132,43 @@
                 new ControlHost(settings.peerAddress().toString(), settings.failureDomain()),
                 settings.bounds().voters());
         hostList = new HostListReader(
-                loop, group.next(), replica, listDialect, settings.hostListAddress(), events, metrics);
+                loop, transportThreads.next(), replica, listDialect, settings.hostListAddress(), events, metrics);
         RolloutDriver rollouts = new RolloutDriver(loop, replica, events);
-        follow = new FollowService(loop, replica, members, hostList, rollouts, metrics);
+        viewService = new ViewService(loop, replica, membership, hostList, rollouts, metrics);
         OperatorService desk =
-                new OperatorService(loop, replica, follow, operators, settings.operatorPort(), events, metrics);
+                new OperatorService(loop, replica, viewService, operators, settings.operatorPort(), events, metrics);
         scheduler = new SchedulerHost(
-                settings, cause -> failed.countDown(), group.next(), operators, events, metrics.registry());
-        root = new Supervisor("control", timers, loop::nowMillis)
-                .supervise("fleet-server", () -> new FleetServer(settings.peerAddress(), group, this))
+                settings, cause -> failed.countDown(), transportThreads.next(), operators, events, metrics.registry());
+        supervisor = new Supervisor("control", timers, loop::nowMillis)
+                .supervise("fleet-server", () -> new FleetServer(settings.peerAddress(), transportThreads, this))
                 .supervise(
                         "operator-server",
-                        () -> new OperatorServer(settings.operatorAddress().orElseThrow(), group, desk));
+                        () -> new OperatorServer(settings.operatorAddress().orElseThrow(), transportThreads, desk));
         settings.metricsAddress()
-                .ifPresent(address ->
-                        root.supervise("metrics-server", () -> new MetricsServer(address, group, metrics.registry())));
-        root.start(cause -> failed.countDown());
-        loop.execute(() -> members.seeds(addresses(settings.seeds())));
+                .ifPresent(address -> supervisor.supervise(
+                        "metrics-server", () -> new MetricsServer(address, transportThreads, metrics.registry())));
+        supervisor.start(cause -> failed.countDown());
+        loop.execute(() -> membership.seeds(addresses(settings.seeds())));
         loop.execute(hostList::prefetch);
-        loop.repeat(follow::settle, HEARTBEAT_MILLIS / 2);
+        loop.repeat(viewService::answerPending, HEARTBEAT_MILLIS / 2);
     }
 
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
-        if (SchedulerHost.concerns(message)) {
+        if (SchedulerHost.handles(message)) {
             scheduler.onMessage(sender, message);
             return;
         }
         loop.execute(() -> {
             if (message instanceof FleetMessage.Raft raft) {
-                members.onRaft(raft.from());
+                membership.onRaftMessage(raft.from());
                 replica.receive(raft.from(), raft.to(), raft.message());
-                follow.settle();
-            } else if (message instanceof FleetMessage.Candidate candidate) {
-                members.onCandidate(candidate);
-            } else if (message instanceof FleetMessage.Follow question) {
-                follow.onFollow(sender, question);
+                viewService.answerPending();
+            } else if (message instanceof FleetMessage.ReplicaAnnouncement candidate) {
+                membership.onAnnouncement(candidate);
+            } else if (message instanceof FleetMessage.ViewRequest question) {
+                viewService.onViewRequest(sender, question);
             }
         });
     }
@@ -176,7 +176,7 @@
     /** {@inheritDoc} */
     @Override
     public void onClosed(Sender sender) {
-        loop.execute(() -> follow.onClosed(sender));
+        loop.execute(() -> viewService.onClosed(sender));
         scheduler.onClosed(sender);
     }
 
@@ -187,7 +187,7 @@
      */
     public void reload(FleetSettings changed) {
         events.emit(EventCode.RELOADED, changed.seeds());
-        loop.execute(() -> members.seeds(addresses(changed.seeds())));
+        loop.execute(() -> membership.seeds(addresses(changed.seeds())));
         scheduler.seeds(changed.seeds());
     }
 
@@ -205,7 +205,7 @@
         events.emit(EventCode.STOPPING, 0);
         loop.execute(replica::transferLeadership);
         try {
-            Thread.sleep(HANDOVER_MILLIS);
+            Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
@@ -216,17 +216,17 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        root.close();
+        supervisor.close();
         timers.close();
         scheduler.close();
         links.close();
         replica.close();
         loop.close();
-        group.shutdownGracefully();
+        transportThreads.shutdownGracefully();
     }
 
     /** Puts the fate of the replica into the structured log, and takes over what a leader does. */
-    private final class RoleEvents implements ReplicaHost.Observer {
+    private final class ReplicaObserver implements ReplicaHost.Observer {
         /** {@inheritDoc} */
         @Override
         public void onStarted(String identity, int entries, long snapshotIndex) {
@@ -237,9 +237,9 @@
         @Override
         public void onRole(String identity, Role role, long term) {
             events.emit(EventCode.ROLE, role, term, replica.voters());
-            metrics.role(role, term);
+            metrics.recordRole(role, term);
             if (role == Role.LEADER) {
-                hostList.lead();
+                hostList.onElected();
             }
         }
     }
@@ -253,11 +253,13 @@
         if (!folder.isFormatted()) {
             Set<String> founders = addresses(settings.seeds());
             boolean founds = settings.founding() && founders.contains(node);
-            String suffix = Integer.toString(new Random().nextInt(SUFFIX_BOUND), Character.MAX_RADIX);
+            String suffix = Integer.toString(new Random().nextInt(IDENTITY_SUFFIX_BOUND), Character.MAX_RADIX);
             folder.format(
-                    founds ? Identity.ofFounder(CLUSTER, node, founders) : Identity.ofJoiner(CLUSTER, node, suffix));
+                    founds
+                            ? Identity.ofFounder(CLUSTER_NAME, node, founders)
+                            : Identity.ofJoiner(CLUSTER_NAME, node, suffix));
         }
-        return folder.identity(CLUSTER, node);
+        return folder.identity(CLUSTER_NAME, node);
     }
 
     private static Set<String> addresses(List<HostPort> hosts) {
--- a/node/src/main/java/org/radishspur/node/group/ParkedQuestions.java
+++ b/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
@@ -14,24 +14,24 @@
  * confirms what was asked before it, instead of a round that entries ask for later; they ask every 80 ms, and a round takes
  * up to 60 ms more.
  */
-final class ParkedQuestions {
+final class DeferredRequests {
     /** How long a question waits for a leader to be elected, in milliseconds; one election fits into it. */
-    static final long PARKED_MILLIS = 400;
+    static final long MAX_DEFERRAL_MILLIS = 400;
 
-    private final Map<String, Parked> questions = new LinkedHashMap<>();
+    private final Map<String, DeferredRequest> requestsByEntry = new LinkedHashMap<>();
 
     /** Keeps a question in place of an earlier one of the same entry. */
-    void park(Parked question) {
-        questions.remove(question.question().entry());
-        questions.put(question.question().entry(), question);
+    void defer(DeferredRequest question) {
+        requestsByEntry.remove(question.request().entry());
+        requestsByEntry.put(question.request().entry(), question);
     }
 
     /** Takes out the questions that can be answered now, or that have waited too long, in the order of their coming. */
-    List<Parked> due(boolean leaderKnown, long now) {
-        List<Parked> due = questions.values().stream()
-                .filter(question -> leaderKnown || now - question.askedAt() > PARKED_MILLIS)
+    List<DeferredRequest> removeDue(boolean leaderKnown, long now) {
+        List<DeferredRequest> due = requestsByEntry.values().stream()
+                .filter(question -> leaderKnown || now - question.receivedAt() > MAX_DEFERRAL_MILLIS)
                 .toList();
-        questions.values().removeAll(due);
+        requestsByEntry.values().removeAll(due);
         return due;
     }
 
@@ -39,8 +39,8 @@
      * Holds one question.
      *
      * @param sender where the answer goes.
-     * @param question the question.
-     * @param askedAt when it came, by the clock of the control thread.
+     * @param request the question.
+     * @param receivedAt when it came, by the clock of the control thread.
      */
-    record Parked(FleetInbox.Sender sender, FleetMessage.Follow question, long askedAt) {}
+    record DeferredRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest request, long receivedAt) {}
 }
--- a/node/src/main/java/org/radishspur/node/group/DocumentSender.java
+++ b/node/src/main/java/org/radishspur/node/group/DocumentSender.java
@@ -20,7 +20,7 @@
  */
 final class DocumentSender {
     /** After so long without effect a document is sent once more, in milliseconds; a slow link takes half a second for it. */
-    private static final long AGAIN_MILLIS = 3_000;
+    private static final long RESEND_AFTER_MILLIS = 3_000;
 
     private final Map<String, Sent> sent = new HashMap<>();
     private ByteBuf encoded = Unpooled.EMPTY_BUFFER;
@@ -29,7 +29,7 @@
     /** Sends a document, unless it is under way to the receiver. */
     void send(FleetInbox.Sender receiver, CatalogueState.Document document, long now) {
         Sent before = sent.get(receiver.peer());
-        if (before != null && before.revision() == document.revision() && now - before.at() < AGAIN_MILLIS) {
+        if (before != null && before.revision() == document.revision() && now - before.sentAt() < RESEND_AFTER_MILLIS) {
             return;
         }
         if (encodedRevision != document.revision()) {
@@ -52,7 +52,7 @@
      * Remembers what was sent over a connection.
      *
      * @param revision the revision of the document.
-     * @param at when, in milliseconds.
+     * @param sentAt when, in milliseconds.
      */
-    private record Sent(long revision, long at) {}
+    private record Sent(long revision, long sentAt) {}
 }
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -39,19 +39,19 @@
      * The time from one reading to the next, in milliseconds: together with the entries' questions it puts a change in
      * force within a second, a third of what is allowed, at some four calls in three seconds.
      */
-    private static final long PERIOD_MILLIS = 750;
+    private static final long READ_INTERVAL_MILLIS = 750;
 
     /** How long one page may take, in milliseconds. */
-    private static final long PAGE_MILLIS = 1_200;
+    private static final long PAGE_TIMEOUT_MILLIS = 1_200;
 
     /** More pages than this are taken for a fault of the list; 50 hosts on a page make some 50,000 hosts. */
-    private static final int MOST_PAGES = 1_000;
+    private static final int MAX_PAGES = 1_000;
 
     /** How old a list may be that was read before this replica led, in milliseconds; the period of reading it. */
-    private static final long PREFETCHED_MILLIS = PERIOD_MILLIS;
+    private static final long MAX_PREFETCHED_AGE_MILLIS = READ_INTERVAL_MILLIS;
 
-    private static final long CONNECT_MILLIS = 500;
-    private static final long KEEP_MILLIS = 10_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 500;
+    private static final long KEEP_ALIVE_MILLIS = 10_000;
 
     private final ControlLoop loop;
     private final EventLoop transport;
@@ -64,8 +64,8 @@
     private HostList latest = HostList.NONE;
     private List<Upstream> prefetched = List.of();
     private long prefetchedAt = Long.MIN_VALUE / 2;
-    private long readings;
-    private boolean reading;
+    private long publishedReadings;
+    private boolean readInProgress;
 
     HostListReader(
             ControlLoop loop,
@@ -82,8 +82,8 @@
         this.dialect = dialect;
         this.address = address;
         this.events = events;
-        this.connections = new UpstreamConnections(transport, CONNECT_MILLIS, KEEP_MILLIS);
-        loop.repeat(this::readIfLeading, PERIOD_MILLIS);
+        this.connections = new UpstreamConnections(transport, CONNECT_TIMEOUT_MILLIS, KEEP_ALIVE_MILLIS);
+        loop.repeat(this::readIfLeading, READ_INTERVAL_MILLIS);
     }
 
     HostList latest() {
@@ -100,8 +100,8 @@
     }
 
     /** Takes the leadership over: what was read a moment ago is told at once, and the list is read again. */
-    void lead() {
-        if (loop.nowMillis() - prefetchedAt < PREFETCHED_MILLIS) {
+    void onElected() {
+        if (loop.nowMillis() - prefetchedAt < MAX_PREFETCHED_AGE_MILLIS) {
             publish(prefetched);
         }
         readIfLeading();
@@ -115,8 +115,8 @@
     }
 
     private void read() {
-        if (!reading) {
-            reading = true;
+        if (!readInProgress) {
+            readInProgress = true;
             readPage(Optional.empty(), new ArrayList<>(), 1);
         }
     }
@@ -136,12 +136,12 @@
 
     private void onPage(HostListDialect.Page page, List<Upstream> sofar, int number) {
         sofar.addAll(page.upstreams());
-        if (page.next().isPresent() && number < MOST_PAGES) {
+        if (page.next().isPresent() && number < MAX_PAGES) {
             readPage(page.next(), sofar, number + 1);
             return;
         }
-        reading = false;
-        metrics.listRead();
+        readInProgress = false;
+        metrics.recordListRead();
         if (replica.isLeader()) {
             publish(sofar);
         } else {
@@ -151,18 +151,18 @@
     }
 
     private void publish(List<Upstream> sofar) {
-        readings++;
+        publishedReadings++;
         boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(sofar);
         if (changed) {
-            latest = new HostList(replica.term(), readings, sofar);
+            latest = new HostList(replica.term(), publishedReadings, sofar);
             long leaving = sofar.stream().filter(Upstream::leaving).count();
-            events.emit(EventCode.HOST_LIST, latest.term(), readings, sofar.size(), leaving);
+            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, sofar.size(), leaving);
         }
     }
 
     private void onFailure(String cause) {
-        reading = false;
-        metrics.listFailed();
+        readInProgress = false;
+        metrics.recordListFailure();
         events.emit(EventCode.LIST_FAILED, cause);
     }
 
@@ -191,7 +191,7 @@
         }
 
         void start() {
-            timeout = transport.schedule(() -> fail("no answer in time"), PAGE_MILLIS, TimeUnit.MILLISECONDS);
+            timeout = transport.schedule(() -> fail("no answer in time"), PAGE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             exchange = connections.open(address.toString(), this);
         }
 
@@ -238,7 +238,7 @@
         public void onEnd() {
             if (!HttpResponseStatus.OK.equals(status)) {
                 fail("status " + status);
-            } else if (end()) {
+            } else if (markEnded()) {
                 listener.onBody(body.toString(StandardCharsets.UTF_8));
             }
         }
@@ -250,13 +250,13 @@
         }
 
         private void fail(String cause) {
-            if (end()) {
+            if (markEnded()) {
                 exchange.abort();
                 loop.execute(() -> onFailure(cause));
             }
         }
 
-        private boolean end() {
+        private boolean markEnded() {
             boolean first = !ended;
             ended = true;
             timeout.cancel(false);
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -25,13 +25,13 @@
  */
 final class MembershipManager {
     /** How often replicas show themselves to each other, in milliseconds. */
-    private static final long SHOW_MILLIS = 400;
+    private static final long ANNOUNCE_INTERVAL_MILLIS = 400;
 
     /** A candidate that has not shown itself for so long is not taken, in milliseconds. */
-    private static final long CANDIDATE_LOST_MILLIS = 1_500;
+    private static final long CANDIDATE_TIMEOUT_MILLIS = 1_500;
 
     /** A voter that was silent for so long may be replaced, in milliseconds; several elections fit into it. */
-    private static final long VOTER_LOST_MILLIS = 2_500;
+    private static final long VOTER_TIMEOUT_MILLIS = 2_500;
 
     private final ControlLoop loop;
     private final ReplicaHost replica;
@@ -40,8 +40,8 @@
     private final ControlHost self;
     private final int wantedVoters;
     private final Set<String> seeds = new TreeSet<>();
-    private final Map<String, Long> replicasSeen = new HashMap<>();
-    private final Set<String> learnt = new TreeSet<>();
+    private final Map<String, Long> replicasLastSeenAt = new HashMap<>();
+    private final Set<String> announcedAddresses = new TreeSet<>();
     private final Map<String, String> failureDomains = new HashMap<>();
     private long leadingSince;
 
@@ -59,25 +59,25 @@
         this.events = events;
         this.self = self;
         failureDomains.put(self.address(), self.failureDomain());
-        loop.repeat(this::show, SHOW_MILLIS);
+        loop.repeat(this::announce, ANNOUNCE_INTERVAL_MILLIS);
     }
 
     void seeds(Set<String> addresses) {
         seeds.clear();
         seeds.addAll(addresses);
-        show();
+        announce();
     }
 
-    void onCandidate(FleetMessage.Candidate candidate) {
-        replicasSeen.put(candidate.replica(), loop.nowMillis());
-        learnt.addAll(candidate.controls());
+    void onAnnouncement(FleetMessage.ReplicaAnnouncement candidate) {
+        replicasLastSeenAt.put(candidate.replica(), loop.nowMillis());
+        announcedAddresses.addAll(candidate.controls());
         if (candidate.failureDomain() != null) {
             failureDomains.put(ReplicaHost.nodeOf(candidate.replica()), candidate.failureDomain());
         }
     }
 
-    void onRaft(String from) {
-        replicasSeen.put(from, loop.nowMillis());
+    void onRaftMessage(String from) {
+        replicasLastSeenAt.put(from, loop.nowMillis());
     }
 
     /** Returns all control hosts that are worth asking. */
@@ -94,22 +94,22 @@
         return new ArrayList<>(addresses);
     }
 
-    private void show() {
+    private void announce() {
         long now = loop.nowMillis();
         Set<String> wanted = new TreeSet<>(seeds);
         wanted.addAll(addresses());
         if (replica.voters().isEmpty()) {
-            wanted.addAll(learnt);
+            wanted.addAll(announcedAddresses);
         }
-        replicasSeen.forEach((seen, at) -> {
-            if (now - at < CANDIDATE_LOST_MILLIS) {
+        replicasLastSeenAt.forEach((seen, at) -> {
+            if (now - at < CANDIDATE_TIMEOUT_MILLIS) {
                 wanted.add(ReplicaHost.nodeOf(seen));
             }
         });
         wanted.remove(self.address());
         links.want(wanted);
-        FleetMessage.Candidate candidate =
-                new FleetMessage.Candidate(replica.identity(), addresses(), self.failureDomain());
+        FleetMessage.ReplicaAnnouncement candidate =
+                new FleetMessage.ReplicaAnnouncement(replica.identity(), addresses(), self.failureDomain());
         wanted.forEach(address -> links.send(address, candidate));
         replaceLost(now);
     }
@@ -122,12 +122,12 @@
         if (leadingSince == 0) {
             leadingSince = now;
         }
-        for (Map.Entry<String, Long> seen : replicasSeen.entrySet()) {
+        for (Map.Entry<String, Long> seen : replicasLastSeenAt.entrySet()) {
             String candidate = seen.getKey();
-            if (now - seen.getValue() > CANDIDATE_LOST_MILLIS || replica.knows(candidate)) {
+            if (now - seen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.knows(candidate)) {
                 continue;
             }
-            Optional<String> place = placeFor(candidate, now);
+            Optional<String> place = replaceableVoterFor(candidate, now);
             if (place.isPresent()) {
                 boolean started = replica.replace(candidate, place.get());
                 events.emit(EventCode.MEMBER, candidate, place.get(), started);
@@ -137,7 +137,7 @@
     }
 
     /** Returns the voter whose place a candidate may take, an empty text for a place of its own, or nothing. */
-    private Optional<String> placeFor(String candidate, long now) {
+    private Optional<String> replaceableVoterFor(String candidate, long now) {
         String node = ReplicaHost.nodeOf(candidate);
         for (String voter : replica.voters()) {
             if (ReplicaHost.nodeOf(voter).equals(node)) {
@@ -148,8 +148,8 @@
             return Optional.of("");
         }
         for (String voter : replica.voters()) {
-            long receivedAt = Math.max(leadingSince, replicasSeen.getOrDefault(voter, 0L));
-            if (!voter.equals(replica.identity()) && now - receivedAt > VOTER_LOST_MILLIS) {
+            long receivedAt = Math.max(leadingSince, replicasLastSeenAt.getOrDefault(voter, 0L));
+            if (!voter.equals(replica.identity()) && now - receivedAt > VOTER_TIMEOUT_MILLIS) {
                 return Optional.of(voter);
             }
         }
--- a/node/src/main/java/org/radishspur/node/group/OperatorServer.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorServer.java
@@ -29,17 +29,17 @@
  */
 final class OperatorServer implements Child {
     /** The largest body in bytes; a catalogue of some twenty thousand routes. */
-    private static final int BODY_BYTES = 6 << 20;
+    private static final int MAX_BODY_BYTES = 6 << 20;
 
     private final HostPort address;
     private final EventLoopGroup group;
-    private final OperatorService desk;
+    private final OperatorService service;
     private Channel channel;
 
     OperatorServer(HostPort address, EventLoopGroup group, OperatorService desk) {
         this.address = address;
         this.group = group;
-        this.desk = desk;
+        this.service = desk;
     }
 
     /** {@inheritDoc} */
@@ -48,8 +48,8 @@
         channel = Listener.INSTANCE.listen(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(BODY_BYTES))
-                    .addLast(new Reception());
+                    .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                    .addLast(new CallHandler());
         });
         channel.closeFuture()
                 .addListener(future -> listener.onFailure(
@@ -67,13 +67,13 @@
     /**
      * Takes the calls of one connection.
      */
-    private final class Reception extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keep = HttpUtil.isKeepAlive(request);
             String body = request.content().toString(StandardCharsets.UTF_8);
-            desk.call(
+            service.call(
                     request.method().name(),
                     request.uri(),
                     body,
--- a/node/src/main/java/org/radishspur/node/group/OperatorService.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorService.java
@@ -29,7 +29,7 @@
 
     private final ControlLoop loop;
     private final ReplicaHost replica;
-    private final FollowService follow;
+    private final ViewService viewService;
     private final OperatorDialect dialect;
     private final int operatorPort;
     private final EventLog events;
@@ -38,7 +38,7 @@
     OperatorService(
             ControlLoop loop,
             ReplicaHost replica,
-            FollowService follow,
+            ViewService follow,
             OperatorDialect dialect,
             int operatorPort,
             EventLog events,
@@ -46,7 +46,7 @@
         this.metrics = metrics;
         this.loop = loop;
         this.replica = replica;
-        this.follow = follow;
+        this.viewService = follow;
         this.dialect = dialect;
         this.operatorPort = operatorPort;
         this.events = events;
@@ -68,11 +68,11 @@
                 long revision = replica.state().catalogue().document().revision();
                 long millis = loop.nowMillis() - began;
                 events.emit(EventCode.OPERATOR, method + ' ' + path, answer.status(), revision, millis);
-                metrics.operatorAnswered(answer.status(), revision, millis);
+                metrics.recordOperatorCall(answer.status(), revision, millis);
                 listener.onAnswer(answer);
             };
             if (!replica.isLeader()) {
-                logged.onAnswer(elsewhere(target));
+                logged.onAnswer(redirectToLeader(target));
                 return;
             }
             answer(dialect.read(method, path, body), target, logged);
@@ -139,7 +139,7 @@
             if (proposal instanceof Proposal.Committed) {
                 listener.onAnswer(Answer.of(OK, "{}"));
             } else if (proposal instanceof Proposal.NotLeader) {
-                listener.onAnswer(elsewhere(target));
+                listener.onAnswer(redirectToLeader(target));
             } else {
                 listener.onAnswer(Answer.of(UNAVAILABLE, ""));
             }
@@ -147,7 +147,7 @@
     }
 
     private void read(AnswerListener listener, StateReader reader) {
-        follow.read(new FollowService.ReadListener() {
+        viewService.read(new ViewService.ReadListener() {
             @Override
             public void onConfirmed(CatalogueState state) {
                 listener.onAnswer(reader.read(state));
@@ -160,7 +160,7 @@
         });
     }
 
-    private Answer elsewhere(String target) {
+    private Answer redirectToLeader(String target) {
         String leader = replica.leaderNode();
         if (leader.isEmpty() || replica.isLeader()) {
             return Answer.of(UNAVAILABLE, "");
--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -23,7 +23,7 @@
  */
 final class RolloutDriver {
     /** How often rollouts are evaluated, in milliseconds; a bad version gets at most this much longer. */
-    private static final long JUDGE_MILLIS = 200;
+    private static final long EVALUATION_INTERVAL_MILLIS = 200;
 
     /** How long requests go to the target alone before the old upstreams may stop, in milliseconds. */
     private static final long MOVE_MILLIS = 600;
@@ -31,42 +31,42 @@
     private final ControlLoop loop;
     private final ReplicaHost replica;
     private final EventLog events;
-    private final Map<String, List<VersionCounts>> tallies = new HashMap<>();
-    private final Map<String, List<VersionCounts>> baselines = new HashMap<>();
+    private final Map<String, List<VersionCounts>> countsByEntry = new HashMap<>();
+    private final Map<String, List<VersionCounts>> baselinesByEntry = new HashMap<>();
     private final Map<String, Long> movingSince = new HashMap<>();
-    private String evaluated = "";
+    private String evaluatedRollout = "";
 
     RolloutDriver(ControlLoop loop, ReplicaHost replica, EventLog events) {
         this.loop = loop;
         this.replica = replica;
         this.events = events;
-        loop.repeat(this::judge, JUDGE_MILLIS);
+        loop.repeat(this::evaluate, EVALUATION_INTERVAL_MILLIS);
     }
 
-    void onCounts(String entryRun, List<VersionCounts> seen) {
-        tallies.put(entryRun, seen);
-        baselines.putIfAbsent(entryRun, seen);
+    void recordCounts(String entryRun, List<VersionCounts> seen) {
+        countsByEntry.put(entryRun, seen);
+        baselinesByEntry.putIfAbsent(entryRun, seen);
     }
 
-    private void judge() {
+    private void evaluate() {
         if (!replica.isLeader()) {
             movingSince.clear();
             return;
         }
         for (Rollout rollout : replica.state().catalogue().rollouts()) {
             if (!rollout.stage().isFinal()) {
-                judge(rollout);
+                evaluate(rollout);
             }
         }
     }
 
-    private void judge(Rollout rollout) {
+    private void evaluate(Rollout rollout) {
         String name = rollout.pool() + '/' + rollout.target();
-        if (!evaluated.equals(name)) {
+        if (!evaluatedRollout.equals(name)) {
             // What was seen before the order says nothing of the trial.
-            evaluated = name;
-            baselines.clear();
-            baselines.putAll(tallies);
+            evaluatedRollout = name;
+            baselinesByEntry.clear();
+            baselinesByEntry.putAll(countsByEntry);
         }
         Map<String, Evidence> evidence = evidence(rollout);
         long elapsed = System.currentTimeMillis() - rollout.startedAtMillis();
@@ -97,14 +97,14 @@
 
     private Map<String, Evidence> evidence(Rollout rollout) {
         Map<String, Evidence> routes = new HashMap<>();
-        for (Map.Entry<String, List<VersionCounts>> entry : tallies.entrySet()) {
-            add(rollout, entry.getValue(), 1, routes);
-            add(rollout, baselines.getOrDefault(entry.getKey(), new ArrayList<>()), -1, routes);
+        for (Map.Entry<String, List<VersionCounts>> entry : countsByEntry.entrySet()) {
+            addCounts(rollout, entry.getValue(), 1, routes);
+            addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, routes);
         }
         return routes;
     }
 
-    private static void add(Rollout rollout, List<VersionCounts> seen, int sign, Map<String, Evidence> routes) {
+    private static void addCounts(Rollout rollout, List<VersionCounts> seen, int sign, Map<String, Evidence> routes) {
         for (VersionCounts tally : seen) {
             if (!tally.pool().equals(rollout.pool())) {
                 continue;
--- a/node/src/main/java/org/radishspur/node/group/FollowService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -19,12 +19,12 @@
 /**
  * Tells entries what is in force, once a majority has confirmed after their question that this replica leads.
  */
-final class FollowService {
+final class ViewService {
     /** An entry that has not asked for so long doesn't count any more, in milliseconds. */
-    private static final long ENTRY_LOST_MILLIS = 3_000;
+    private static final long ENTRY_TIMEOUT_MILLIS = 3_000;
 
     /** A read that a majority has not confirmed by then is given up, in milliseconds; callers ask again sooner. */
-    private static final long READ_MILLIS = 900;
+    private static final long READ_TIMEOUT_MILLIS = 900;
 
     private final ControlLoop loop;
     private final ReplicaHost replica;
@@ -32,12 +32,12 @@
     private final HostListReader hostList;
     private final RolloutDriver rollouts;
     private final ControlMetrics metrics;
-    private final Map<String, Long> entries = new HashMap<>();
-    private final Deque<PendingRead> pending = new ArrayDeque<>();
+    private final Map<String, Long> entriesLastSeenAt = new HashMap<>();
+    private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
     private final DocumentSender documents = new DocumentSender();
-    private final ParkedQuestions parked = new ParkedQuestions();
+    private final DeferredRequests deferredRequests = new DeferredRequests();
 
-    FollowService(
+    ViewService(
             ControlLoop loop,
             ReplicaHost replica,
             MembershipManager members,
@@ -52,15 +52,15 @@
         this.rollouts = rollouts;
     }
 
-    void onFollow(FleetInbox.Sender sender, FleetMessage.Follow question) {
+    void onViewRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest question) {
         long now = loop.nowMillis();
         if (!question.entry().isEmpty()) {
-            entries.put(question.entry(), now);
+            entriesLastSeenAt.put(question.entry(), now);
         }
         if (!replica.isLeader() && replica.leaderNode().isEmpty()) {
-            parked.park(new ParkedQuestions.Parked(sender, question, now));
+            deferredRequests.defer(new DeferredRequests.DeferredRequest(sender, question, now));
         } else {
-            follow(sender, question, now);
+            answerOnceConfirmed(sender, question, now);
         }
     }
 
@@ -68,7 +68,7 @@
         documents.forget(sender);
     }
 
-    private void follow(FleetInbox.Sender sender, FleetMessage.Follow question, long askedAt) {
+    private void answerOnceConfirmed(FleetInbox.Sender sender, FleetMessage.ViewRequest question, long askedAt) {
         if (!replica.isLeader()) {
             sender.send(new FleetMessage.Followed(
                     question.nonce(),
@@ -83,25 +83,25 @@
             return;
         }
         if (!question.entry().isEmpty()) {
-            rollouts.onCounts(question.entry() + '/' + question.run(), question.tallies());
+            rollouts.recordCounts(question.entry() + '/' + question.incarnation(), question.versionCounts());
         }
-        pending.addLast(new PendingRead(askedAt, new ReadListener() {
+        pendingReads.addLast(new PendingRead(askedAt, new ReadListener() {
             @Override
             public void onConfirmed(CatalogueState state) {
-                metrics.followed(true);
+                metrics.recordViewRequest(true);
                 if (state.document().revision() > question.revision()) {
                     documents.send(sender, state.document(), loop.nowMillis());
                 }
-                sender.send(answer(question, state));
+                sender.send(response(question, state));
             }
 
             @Override
             public void onUnconfirmed() {
                 // The entry asks again, and by then perhaps another leader.
-                metrics.followed(false);
+                metrics.recordViewRequest(false);
             }
         }));
-        settleReads();
+        answerReads();
     }
 
     /**
@@ -110,37 +110,41 @@
      * @param listener receives the outcome.
      */
     void read(ReadListener listener) {
-        pending.addLast(new PendingRead(loop.nowMillis(), listener));
-        settleReads();
+        pendingReads.addLast(new PendingRead(loop.nowMillis(), listener));
+        answerReads();
     }
 
     /** Answers the questions and reads that can be answered by now, and gives up those that are too old. */
-    void settle() {
-        settleParked();
-        settleReads();
+    void answerPending() {
+        answerDeferredRequests();
+        answerReads();
     }
 
-    private void settleParked() {
+    private void answerDeferredRequests() {
         boolean known = replica.isLeader() || !replica.leaderNode().isEmpty();
-        parked.due(known, loop.nowMillis())
-                .forEach(question -> follow(question.sender(), question.question(), question.askedAt()));
+        deferredRequests
+                .removeDue(known, loop.nowMillis())
+                .forEach(question -> answerOnceConfirmed(question.sender(), question.request(), question.receivedAt()));
     }
 
-    private void settleReads() {
+    private void answerReads() {
         long now = loop.nowMillis();
-        while (!pending.isEmpty()) {
-            PendingRead first = pending.peekFirst();
-            if (replica.confirmedSince(first.askedAt())) {
-                pending.removeFirst().listener().onConfirmed(replica.state().catalogue());
-            } else if (!replica.isLeader() || now - first.askedAt() > READ_MILLIS) {
-                pending.removeFirst().listener().onUnconfirmed();
+        while (!pendingReads.isEmpty()) {
+            PendingRead first = pendingReads.peekFirst();
+            if (replica.confirmedSince(first.startedAt())) {
+                pendingReads
+                        .removeFirst()
+                        .listener()
+                        .onConfirmed(replica.state().catalogue());
+            } else if (!replica.isLeader() || now - first.startedAt() > READ_TIMEOUT_MILLIS) {
+                pendingReads.removeFirst().listener().onUnconfirmed();
             } else {
                 return;
             }
         }
     }
 
-    private FleetMessage.Followed answer(FleetMessage.Follow question, CatalogueState state) {
+    private FleetMessage.Followed response(FleetMessage.ViewRequest question, CatalogueState state) {
         HostList list = hostList.latest();
         boolean listNewer = list.isLaterThan(new HostList(question.listTerm(), question.listReading(), List.of()));
         return new FleetMessage.Followed(
@@ -157,8 +161,8 @@
 
     private int countEntries() {
         long now = loop.nowMillis();
-        entries.values().removeIf(receivedAt -> now - receivedAt > ENTRY_LOST_MILLIS);
-        return entries.size();
+        entriesLastSeenAt.values().removeIf(receivedAt -> now - receivedAt > ENTRY_TIMEOUT_MILLIS);
+        return entriesLastSeenAt.size();
     }
 
     /**
@@ -179,8 +183,8 @@
     /**
      * Remembers a read.
      *
-     * @param askedAt when it began, by the clock of the control thread.
+     * @param startedAt when it began, by the clock of the control thread.
      * @param listener receives the outcome.
      */
-    private record PendingRead(long askedAt, ReadListener listener) {}
+    private record PendingRead(long startedAt, ReadListener listener) {}
 }
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -53,7 +53,7 @@
 
     ConfirmedView confirmed(FleetMessage.Followed answer, Moment at) {
         return new ConfirmedView(
-                catalogue, hosts, answer.rollouts(), answer.entries(), answer.controls(), answer.evacuated(), at);
+                catalogue, hosts, answer.rollouts(), answer.entryCount(), answer.controls(), answer.evacuated(), at);
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
@@ -25,32 +25,32 @@
  */
 public final class ControlFollower {
     /** How often the leader is asked, in milliseconds; an eighth of the time in which an edit must be in force. */
-    private static final long ASK_MILLIS = 300;
+    private static final long POLL_INTERVAL_MILLIS = 300;
 
     /** How often control hosts are asked while no leader is known, in milliseconds. */
-    private static final long SEEK_MILLIS = 80;
+    private static final long SEARCH_INTERVAL_MILLIS = 80;
 
     /** After so long without a confirmation the other control hosts are asked as well, in milliseconds. */
-    private static final long LEADER_LOST_MILLIS = 500;
+    private static final long LEADER_TIMEOUT_MILLIS = 500;
 
     /** Questions that were not answered for so long are forgotten, in milliseconds. */
-    private static final long QUESTION_MILLIS = 3_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 3_000;
 
     private final ControlLoop loop;
     private final FleetLinks links;
     private final OperatorDialect dialect;
     private final EventLog events;
     private final String entry;
-    private final long run;
-    private final CountSource tallies;
+    private final long incarnation;
+    private final CountSource versionCounts;
     private final ViewListener listener;
     private final Set<String> seeds = new TreeSet<>();
     private final Map<String, ControlHost> controls = new TreeMap<>();
-    private final Map<Long, Moment> questions = new HashMap<>();
-    private final SeekOrder seekOrder = new SeekOrder();
+    private final Map<Long, Moment> requestsSentAt = new HashMap<>();
+    private final LeaderSearchOrder searchOrder = new LeaderSearchOrder();
     private ConfirmedView view = ConfirmedView.NOTHING;
     private String leader = "";
-    private boolean lost = true;
+    private boolean leaderLost = true;
     private long nextNonce;
 
     /**
@@ -77,10 +77,10 @@
         this.dialect = dialect;
         this.events = events;
         this.entry = entry;
-        this.run = System.currentTimeMillis();
-        this.tallies = tallies;
+        this.incarnation = System.currentTimeMillis();
+        this.versionCounts = tallies;
         this.listener = listener;
-        loop.schedule(this::round, SEEK_MILLIS);
+        loop.schedule(this::poll, SEARCH_INTERVAL_MILLIS);
     }
 
     /**
@@ -91,8 +91,8 @@
     public void seeds(Set<String> addresses) {
         seeds.clear();
         seeds.addAll(addresses);
-        want();
-        ask();
+        updateLinks();
+        sendRequests();
     }
 
     /**
@@ -106,22 +106,22 @@
         }
         answer.controls().forEach(host -> controls.put(host.address(), host));
         if (!answer.confirmed()) {
-            onHint(answer.leader());
-            want();
+            onLeaderHint(answer.leader());
+            updateLinks();
             return;
         }
-        Moment askedAt = questions.remove(answer.nonce());
+        Moment askedAt = requestsSentAt.remove(answer.nonce());
         if (askedAt == null) {
             return;
         }
-        if (lost) {
-            lost = false;
+        if (leaderLost) {
+            leaderLost = false;
             events.emit(
                     EventCode.CONTROL, "followed", answer.leader(), Moment.now().since(view.confirmedAt()));
         }
         leader = answer.leader();
-        takeOver(answer, askedAt);
-        want();
+        updateView(answer, askedAt);
+        updateLinks();
     }
 
     /**
@@ -143,16 +143,16 @@
         listener.onView(view);
     }
 
-    private void onHint(String hinted) {
+    private void onLeaderHint(String hinted) {
         if (!hinted.isEmpty() && !hinted.equals(leader)) {
             leader = hinted;
             controls.putIfAbsent(hinted, new ControlHost(hinted, ""));
-            want();
-            ask();
+            updateLinks();
+            sendRequests();
         }
     }
 
-    private void takeOver(FleetMessage.Followed answer, Moment askedAt) {
+    private void updateView(FleetMessage.Followed answer, Moment askedAt) {
         ConfirmedView next = view;
         if (answer.list().isPresent() && answer.list().get().isLaterThan(next.hosts())) {
             HostList hosts = answer.list().get();
@@ -177,19 +177,19 @@
     }
 
     /** Asks, and asks again soon where the last answer is overdue; each round of an idle host is a wake-up that it pays for. */
-    private void round() {
-        ask();
-        boolean overdue = Moment.now().since(view.confirmedAt()) > ASK_MILLIS + SEEK_MILLIS;
-        loop.schedule(this::round, lost || overdue ? SEEK_MILLIS : ASK_MILLIS);
+    private void poll() {
+        sendRequests();
+        boolean overdue = Moment.now().since(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
+        loop.schedule(this::poll, leaderLost || overdue ? SEARCH_INTERVAL_MILLIS : POLL_INTERVAL_MILLIS);
     }
 
-    private void ask() {
+    private void sendRequests() {
         Moment now = Moment.now();
-        questions.values().removeIf(asked -> now.since(asked) > QUESTION_MILLIS);
+        requestsSentAt.values().removeIf(asked -> now.since(asked) > REQUEST_TIMEOUT_MILLIS);
         long age = now.since(view.confirmedAt());
-        boolean missing = age > LEADER_LOST_MILLIS;
-        if (missing && !lost) {
-            lost = true;
+        boolean missing = age > LEADER_TIMEOUT_MILLIS;
+        if (missing && !leaderLost) {
+            leaderLost = true;
             events.emit(EventCode.CONTROL, "lost", leader, age);
         }
         Set<String> asked = new TreeSet<>();
@@ -197,18 +197,18 @@
             asked.add(leader);
         }
         if (missing || leader.isEmpty()) {
-            asked.addAll(seekOrder.next(wanted()));
+            asked.addAll(searchOrder.next(wantedAddresses()));
         }
-        List<FleetMessage.VersionCounts> seen = tallies.tallies();
+        List<FleetMessage.VersionCounts> seen = versionCounts.tallies();
         for (String address : asked) {
             long nonce = ++nextNonce;
-            questions.put(nonce, now);
+            requestsSentAt.put(nonce, now);
             links.send(
                     address,
-                    new FleetMessage.Follow(
+                    new FleetMessage.ViewRequest(
                             nonce,
                             entry,
-                            run,
+                            incarnation,
                             view.revision(),
                             view.hosts().term(),
                             view.hosts().reading(),
@@ -217,9 +217,9 @@
     }
 
     /** Returns the control hosts to stay connected with: the seeds only as long as nothing better is known. */
-    private Set<String> wanted() {
+    private Set<String> wantedAddresses() {
         Set<String> wanted = new TreeSet<>(controls.keySet());
-        if (controls.isEmpty() || lost) {
+        if (controls.isEmpty() || leaderLost) {
             wanted.addAll(seeds);
         }
         if (!leader.isEmpty()) {
@@ -228,8 +228,8 @@
         return wanted;
     }
 
-    private void want() {
-        links.want(wanted());
+    private void updateLinks() {
+        links.want(wantedAddresses());
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
+++ b/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
@@ -13,7 +13,7 @@
     private final PoolSet pools;
     private final EventLog events;
     private final Set<String> evacuated = new TreeSet<>();
-    private final Set<String> emptying = new TreeSet<>();
+    private final Set<String> draining = new TreeSet<>();
 
     EvacuationLog(PoolSet pools, EventLog events) {
         this.pools = pools;
@@ -27,16 +27,16 @@
         Set<String> added = new TreeSet<>(newer);
         added.removeAll(evacuated);
         evacuated.removeAll(readmitted);
-        emptying.removeAll(readmitted);
+        draining.removeAll(readmitted);
         readmitted.forEach(failureDomain -> emit(failureDomain, "readmitted"));
         evacuated.addAll(added);
-        emptying.addAll(added);
+        draining.addAll(added);
         added.forEach(failureDomain -> emit(failureDomain, "evacuated"));
     }
 
     /** Logs each failure domain in which the last request of this scheduler has ended. */
-    void look() {
-        emptying.removeIf(failureDomain -> {
+    void logDrained() {
+        draining.removeIf(failureDomain -> {
             boolean empty = pools.inProgress(failureDomain) == 0;
             if (empty) {
                 emit(failureDomain, "empty");
--- a/node/src/main/java/org/radishspur/node/schedule/SeekOrder.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LeaderSearchOrder.java
@@ -12,9 +12,9 @@
  * to elect a leader then spend their time on questions that they can't answer yet. A control host keeps a question until a
  * leader is known, so that asking it again meanwhile gains nothing.
  */
-final class SeekOrder {
+final class LeaderSearchOrder {
     /** How many control hosts are asked in a round. */
-    static final int ASKED_AT_ONCE = 2;
+    static final int HOSTS_PER_ROUND = 2;
 
     private String last = "";
 
@@ -27,7 +27,7 @@
     List<String> next(Collection<String> hosts) {
         TreeSet<String> sorted = new TreeSet<>(hosts);
         List<String> asked = new ArrayList<>();
-        while (asked.size() < Math.min(ASKED_AT_ONCE, sorted.size())) {
+        while (asked.size() < Math.min(HOSTS_PER_ROUND, sorted.size())) {
             String following = sorted.higher(last);
             last = following == null ? sorted.first() : following;
             asked.add(last);
--- a/node/src/main/java/org/radishspur/node/schedule/LoadSharing.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadSharing.java
@@ -25,42 +25,42 @@
  */
 final class LoadSharing {
     /** A scheduler that has reported nothing for so long is taken for lost, in milliseconds. */
-    private static final long LOST_MILLIS = 900;
+    private static final long PEER_TIMEOUT_MILLIS = 900;
 
     /** The shortest time between two rounds, in milliseconds. */
-    static final long SHORTEST_ROUND_MILLIS = 40;
+    static final long MIN_ROUND_MILLIS = 40;
 
     /**
      * How many messages a second a scheduler sends at most, and how many it gets. Where there are more schedulers, each
      * publishes less often, so that what it spends on them doesn't grow with their number.
      */
-    private static final int MESSAGES_PER_SECOND = 200;
+    private static final int MAX_MESSAGES_PER_SECOND = 200;
 
     /** How many answers reported by another scheduler are taken in one by one; more in one message say nothing more. */
-    private static final int MOST_ANSWERS = 4;
+    private static final int MAX_OUTCOMES_PER_REPORT = 4;
 
     /** How many numbers are published of each upstream. */
-    private static final int FIELDS = 5;
+    private static final int COUNTS_PER_UPSTREAM = 5;
 
     private static final int IN_PROGRESS = 0;
-    private static final int GOOD = 1;
-    private static final int BAD = 2;
-    private static final int EVENT_TIME = 3;
-    private static final int UNREAD = 4;
+    private static final int SUCCESSES = 1;
+    private static final int FAILURES = 2;
+    private static final int EVENT_TIME_STEPS = 3;
+    private static final int UNREAD_TOKEN_STEPS = 4;
 
     /** Tokens of prompts that are still to be read are published in this step; fewer are read in a few milliseconds. */
-    private static final int UNREAD_STEP = 256;
+    private static final int TOKENS_PER_STEP = 256;
 
     /** The ratio of one step of a pace to the next. Steps this coarse rarely change, and a change costs a message. */
-    private static final double EVENT_TIME_STEP = 1.25;
+    private static final double EVENT_TIME_STEP_RATIO = 1.25;
 
     private final FleetSender links;
     private final PoolSet pools;
     private final QuotaLedger quotas;
     private final String self;
-    private final Map<UpstreamLoad, long[]> answers = new HashMap<>();
-    private final PublishRounds publishing = new PublishRounds(SHORTEST_ROUND_MILLIS, MESSAGES_PER_SECOND);
-    private final Map<String, Integer> connections = new HashMap<>();
+    private final Map<UpstreamLoad, long[]> outcomes = new HashMap<>();
+    private final PublishRounds publishRounds = new PublishRounds(MIN_ROUND_MILLIS, MAX_MESSAGES_PER_SECOND);
+    private final Map<String, Integer> connectionCounts = new HashMap<>();
     private final Map<String, Peer> peers = new HashMap<>();
     private Map<Integer, UpstreamLoad> upstreams = Map.of();
 
@@ -81,66 +81,71 @@
 
     /** Takes over a newer view, by which the upstreams of the pools may have changed as well. */
     void refresh(List<String> others) {
-        publishing.peers(others);
-        upstreams = byDigest();
-        answers.keySet().retainAll(Set.copyOf(upstreams.values()));
+        publishRounds.peers(others);
+        upstreams = upstreamsByDigest();
+        outcomes.keySet().retainAll(Set.copyOf(upstreams.values()));
     }
 
     /** Counts an answer for the other schedulers. */
-    void onAnswer(UpstreamLoad upstream, boolean good) {
-        answers.computeIfAbsent(upstream, key -> new long[2])[good ? 0 : 1]++;
+    void recordOutcome(UpstreamLoad upstream, boolean good) {
+        outcomes.computeIfAbsent(upstream, key -> new long[2])[good ? 0 : 1]++;
     }
 
     /** Publishes what has changed since the last round, where the next one is due. */
-    void share(long now) {
-        forgetLost(now);
-        if (!publishing.beginRound(now)) {
+    void publishIfDue(long now) {
+        removeLostPeers(now);
+        if (!publishRounds.beginRound(now)) {
             return;
         }
-        Map<Integer, int[]> present = present(publishing.publishedUpstreams().keySet());
+        Map<Integer, int[]> present =
+                currentCounts(publishRounds.publishedUpstreams().keySet());
         List<String> wholeTo = new ArrayList<>();
         List<String> changesTo = new ArrayList<>();
-        boolean whole = publishing.takeWhole();
-        for (String other : publishing.peers()) {
+        boolean whole = publishRounds.beginFullReport();
+        for (String other : publishRounds.peers()) {
             int connection = links.connection(other);
-            boolean fresh = connection != connections.getOrDefault(other, 0);
-            connections.put(other, connection);
+            boolean fresh = connection != connectionCounts.getOrDefault(other, 0);
+            connectionCounts.put(other, connection);
             (whole || fresh ? wholeTo : changesTo).add(other);
         }
         if (!wholeTo.isEmpty()) {
-            links.send(wholeTo, message(present, Map.of(), quotas.usedHere(), true));
+            links.send(wholeTo, report(present, Map.of(), quotas.usedHere(), true));
         }
         if (!changesTo.isEmpty()) {
-            FleetMessage.Load changes =
-                    message(present, publishing.publishedUpstreams(), publishing.newUse(quotas.usedHere()), false);
+            FleetMessage.LoadReport changes = report(
+                    present, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.usedHere()), false);
             if (changes.upstreams().length > 0 || !changes.organisations().isEmpty()) {
                 links.send(changesTo, changes);
             }
         }
-        publishing.published(present, quotas.usedHere());
+        publishRounds.recordPublished(present, quotas.usedHere());
     }
 
     /** Takes in a report of another scheduler, and returns whether a slot has become free by it. */
-    boolean onLoad(FleetMessage.Load load, Map<String, OrganisationRule> organisations, long now) {
+    boolean onReport(FleetMessage.LoadReport load, Map<String, OrganisationRule> organisations, long now) {
         Peer peer = peers.computeIfAbsent(load.scheduler(), key -> new Peer());
         peer.receivedAt = now;
-        if (load.whole()) {
-            forgetMissing(load, peer);
+        if (load.full()) {
+            removeMissingUpstreams(load, peer);
         }
         boolean freed = false;
         for (int index = 0; index < load.upstreams().length; index++) {
             int digest = load.upstreams()[index];
-            int[] counts = Arrays.copyOfRange(load.counts(), index * FIELDS, (index + 1) * FIELDS);
+            int[] counts =
+                    Arrays.copyOfRange(load.counts(), index * COUNTS_PER_UPSTREAM, (index + 1) * COUNTS_PER_UPSTREAM);
             int[] before = peer.counts.put(digest, counts);
             UpstreamLoad upstream = upstreams.get(digest);
             if (upstream != null) {
                 upstream.recordPeerInProgress(load.scheduler(), counts[IN_PROGRESS]);
-                upstream.recordPeerUnread(load.scheduler(), (long) counts[UNREAD] * UNREAD_STEP);
+                upstream.recordPeerUnread(load.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
                 upstream.recordPeerEventTime(
-                        counts[EVENT_TIME] == 0 ? 0 : Math.pow(EVENT_TIME_STEP, counts[EVENT_TIME] - 1));
+                        counts[EVENT_TIME_STEPS] == 0
+                                ? 0
+                                : Math.pow(EVENT_TIME_STEP_RATIO, counts[EVENT_TIME_STEPS] - 1));
                 if (before != null) {
                     freed |= counts[IN_PROGRESS] < before[IN_PROGRESS];
-                    judge(upstream, counts[GOOD] - before[GOOD], counts[BAD] - before[BAD], now);
+                    recordPeerOutcomes(
+                            upstream, counts[SUCCESSES] - before[SUCCESSES], counts[FAILURES] - before[FAILURES], now);
                 }
             }
         }
@@ -153,53 +158,53 @@
         return freed;
     }
 
-    private void forgetMissing(FleetMessage.Load load, Peer peer) {
+    private void removeMissingUpstreams(FleetMessage.LoadReport load, Peer peer) {
         Set<Integer> carried = Arrays.stream(load.upstreams()).boxed().collect(Collectors.toSet());
         peer.counts.keySet().removeIf(digest -> {
             boolean missing = !carried.contains(digest);
             if (missing && upstreams.containsKey(digest)) {
-                forget(load.scheduler(), upstreams.get(digest));
+                clearPeerLoad(load.scheduler(), upstreams.get(digest));
             }
             return missing;
         });
     }
 
-    private void judge(UpstreamLoad upstream, int good, int bad, long now) {
-        double usual = pools.usualFailures(upstream);
-        for (int count = 0; count < Math.min(bad, MOST_ANSWERS); count++) {
+    private void recordPeerOutcomes(UpstreamLoad upstream, int good, int bad, long now) {
+        double usual = pools.usualFailureShare(upstream);
+        for (int count = 0; count < Math.min(bad, MAX_OUTCOMES_PER_REPORT); count++) {
             upstream.recordOutcome(false, usual, now);
         }
-        for (int count = 0; count < Math.min(good, MOST_ANSWERS); count++) {
+        for (int count = 0; count < Math.min(good, MAX_OUTCOMES_PER_REPORT); count++) {
             upstream.recordOutcome(true, usual, now);
         }
     }
 
-    private static void forget(String scheduler, UpstreamLoad upstream) {
+    private static void clearPeerLoad(String scheduler, UpstreamLoad upstream) {
         upstream.recordPeerInProgress(scheduler, 0);
         upstream.recordPeerUnread(scheduler, 0);
     }
 
-    private void forgetLost(long now) {
+    private void removeLostPeers(long now) {
         peers.entrySet().removeIf(peer -> {
-            boolean lost = now - peer.getValue().receivedAt > publishing.lostMillis(LOST_MILLIS);
+            boolean lost = now - peer.getValue().receivedAt > publishRounds.peerTimeoutMillis(PEER_TIMEOUT_MILLIS);
             if (lost) {
-                upstreams.values().forEach(upstream -> forget(peer.getKey(), upstream));
+                upstreams.values().forEach(upstream -> clearPeerLoad(peer.getKey(), upstream));
             }
             return lost;
         });
     }
 
-    private Map<Integer, int[]> present(Set<Integer> published) {
+    private Map<Integer, int[]> currentCounts(Set<Integer> published) {
         Map<Integer, int[]> present = new HashMap<>();
         upstreams.forEach((digest, upstream) -> {
-            long[] answered = answers.getOrDefault(upstream, new long[2]);
+            long[] answered = outcomes.getOrDefault(upstream, new long[2]);
             if (upstream.own() > 0 || answered[0] + answered[1] > 0 || published.contains(digest)) {
-                int[] counts = new int[FIELDS];
+                int[] counts = new int[COUNTS_PER_UPSTREAM];
                 counts[IN_PROGRESS] = upstream.own();
-                counts[GOOD] = (int) answered[0];
-                counts[BAD] = (int) answered[1];
-                counts[EVENT_TIME] = eventTimeStep(upstream.ownEventMillis());
-                counts[UNREAD] = (int) (upstream.ownUnreadTokens() / UNREAD_STEP);
+                counts[SUCCESSES] = (int) answered[0];
+                counts[FAILURES] = (int) answered[1];
+                counts[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
+                counts[UNREAD_TOKEN_STEPS] = (int) (upstream.ownUnreadTokens() / TOKENS_PER_STEP);
                 present.put(digest, counts);
             }
         });
@@ -208,10 +213,10 @@
 
     /** Returns the step of a pace from 1 on, 0 for a pace that is not known. */
     private static int eventTimeStep(double millis) {
-        return millis <= 0 ? 0 : 1 + (int) Math.max(0, Math.round(Math.log(millis) / Math.log(EVENT_TIME_STEP)));
+        return millis <= 0 ? 0 : 1 + (int) Math.max(0, Math.round(Math.log(millis) / Math.log(EVENT_TIME_STEP_RATIO)));
     }
 
-    private FleetMessage.Load message(
+    private FleetMessage.LoadReport report(
             Map<Integer, int[]> present, Map<Integer, int[]> known, Map<String, Long> use, boolean whole) {
         List<Integer> changed = new ArrayList<>();
         present.forEach((digest, counts) -> {
@@ -220,15 +225,15 @@
             }
         });
         int[] digests = new int[changed.size()];
-        int[] counts = new int[changed.size() * FIELDS];
+        int[] counts = new int[changed.size() * COUNTS_PER_UPSTREAM];
         for (int index = 0; index < digests.length; index++) {
             digests[index] = changed.get(index);
-            System.arraycopy(present.get(digests[index]), 0, counts, index * FIELDS, FIELDS);
+            System.arraycopy(present.get(digests[index]), 0, counts, index * COUNTS_PER_UPSTREAM, COUNTS_PER_UPSTREAM);
         }
-        return new FleetMessage.Load(self, whole, digests, counts, new HashMap<>(use));
+        return new FleetMessage.LoadReport(self, whole, digests, counts, new HashMap<>(use));
     }
 
-    private Map<Integer, UpstreamLoad> byDigest() {
+    private Map<Integer, UpstreamLoad> upstreamsByDigest() {
         Map<Integer, UpstreamLoad> known = new HashMap<>();
         for (PoolDispatcher dispatcher : pools.dispatchers()) {
             dispatcher.upstreams().loads().forEach(load -> known.put(load.run().hashCode(), load));
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -32,18 +32,18 @@
      * The part of the allowed exposure that a version under trial gets; the rest covers retries, and that schedulers see the
      * end of a trial a moment apart.
      */
-    private static final double TRIAL_PART = 0.7;
+    private static final double TRIAL_SHARE_FACTOR = 0.7;
 
     /** A slot count for upstreams of which neither the list nor the catalogue tells one. */
-    private static final int UNKNOWN_SLOTS = 4;
+    private static final int DEFAULT_SLOTS = 4;
 
     private final String self;
     private final String failureDomain;
     private final double greatestTrialShare;
     private final Map<String, PoolDispatcher> dispatchers = new HashMap<>();
     private final Map<String, Rollout> rollouts = new HashMap<>();
-    private final Map<String, Double> trialDebt = new HashMap<>();
-    private final Set<String> servedCold = new HashSet<>();
+    private final Map<String, Double> trialCredit = new HashMap<>();
+    private final Set<String> usableWhileCold = new HashSet<>();
     private ConfirmedView view = ConfirmedView.NOTHING;
     private double quotaPart = 1;
 
@@ -70,7 +70,7 @@
     public void apply(ConfirmedView newer, int deciders, long now) {
         view = newer;
         view.rollouts().forEach(rollout -> rollouts.put(rollout.pool(), rollout));
-        chooseServedCold();
+        chooseUsableWhileCold();
         Map<String, List<Upstream>> listed = new HashMap<>();
         view.hosts()
                 .upstreams()
@@ -82,7 +82,8 @@
             if (rule(name).isPresent() || dispatchers.containsKey(name)) {
                 UpstreamPool upstreams = dispatcher(name).upstreams();
                 upstreams.schedulers(deciders);
-                upstreams.coldStart(rule(name).map(PoolRule::coldStart).orElse(ColdStart.NONE), servedCold::contains);
+                upstreams.coldStart(
+                        rule(name).map(PoolRule::coldStart).orElse(ColdStart.NONE), usableWhileCold::contains);
                 upstreams.refresh(listed.getOrDefault(name, List.of()));
                 upstreams.evacuate(view.evacuated(), now);
             }
@@ -90,8 +91,8 @@
     }
 
     /** Finds the upstreams that this process may use while they are cold: those of which it is the first scheduler. */
-    private void chooseServedCold() {
-        servedCold.clear();
+    private void chooseUsableWhileCold() {
+        usableWhileCold.clear();
         Map<String, String> schedulers = view.controls().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one));
         if (schedulers.containsKey(self)) {
@@ -99,7 +100,7 @@
                     .filter(upstream -> SchedulerChoice.inOrder(upstream.run(), upstream.failureDomain(), schedulers)
                             .get(0)
                             .equals(self))
-                    .forEach(upstream -> servedCold.add(upstream.run()));
+                    .forEach(upstream -> usableWhileCold.add(upstream.run()));
         }
     }
 
@@ -121,7 +122,7 @@
     public PoolDispatcher dispatcher(String pool) {
         return dispatchers.computeIfAbsent(pool, name -> {
             int stated = rule(name).map(PoolRule::slots).orElse(0);
-            int slots = stated > 0 ? stated : UNKNOWN_SLOTS;
+            int slots = stated > 0 ? stated : DEFAULT_SLOTS;
             return new PoolDispatcher(new UpstreamPool(self, failureDomain, slots));
         });
     }
@@ -152,11 +153,11 @@
     }
 
     private boolean isTrialDue(String pool) {
-        double debt = trialDebt.merge(pool, greatestTrialShare * TRIAL_PART, Double::sum);
+        double debt = trialCredit.merge(pool, greatestTrialShare * TRIAL_SHARE_FACTOR, Double::sum);
         if (debt < 1) {
             return false;
         }
-        trialDebt.put(pool, debt - 1);
+        trialCredit.put(pool, debt - 1);
         return true;
     }
 
@@ -191,7 +192,7 @@
     }
 
     /** Returns the usual share of failures in the pool of an upstream. */
-    double usualFailures(UpstreamLoad upstream) {
+    double usualFailureShare(UpstreamLoad upstream) {
         PoolDispatcher dispatcher = dispatchers.get(upstream.upstream().pool());
         return dispatcher == null ? 0 : dispatcher.upstreams().usualFailures();
     }
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -9,21 +9,21 @@
  */
 final class PublishRounds {
     /** Everything is published again after this time, also where nothing has changed, in milliseconds. */
-    private static final long WHOLE_MILLIS = 320;
+    private static final long FULL_REPORT_MILLIS = 320;
 
     /** So many rounds at least bring only changes before everything is published again. */
-    private static final int LEAST_ROUNDS_PER_WHOLE = 4;
+    private static final int MIN_ROUNDS_PER_FULL_REPORT = 4;
 
     /** A scheduler is not taken for lost before it has been silent for so many rounds. */
-    private static final int LOST_ROUNDS = 5;
+    private static final int PEER_TIMEOUT_ROUNDS = 5;
 
     private final long stepMillis;
     private final int messagesPerSecond;
     private final Map<Integer, int[]> publishedUpstreams = new HashMap<>();
-    private final Map<String, Long> publishedUse = new HashMap<>();
+    private final Map<String, Long> publishedUsage = new HashMap<>();
     private List<String> peers = List.of();
     private long nextRoundAt;
-    private int roundsSinceWhole;
+    private int roundsSinceFullReport;
 
     /**
      * Creates rounds for no peers.
@@ -52,8 +52,8 @@
     }
 
     /** Returns after how long a silence a peer is taken for lost, which publishes as often as this one does. */
-    long lostMillis(long leastMillis) {
-        return Math.max(leastMillis, LOST_ROUNDS * roundMillis());
+    long peerTimeoutMillis(long leastMillis) {
+        return Math.max(leastMillis, PEER_TIMEOUT_ROUNDS * roundMillis());
     }
 
     /** Begins a round if one is due. */
@@ -63,15 +63,15 @@
         }
         // The timer fires a little early or late; half a step of it is no reason to leave a round out.
         nextRoundAt = now + roundMillis() - stepMillis / 2;
-        roundsSinceWhole++;
+        roundsSinceFullReport++;
         return true;
     }
 
     /** Returns whether everything is to be published in this round, and counts from here if so. */
-    boolean takeWhole() {
-        long rounds = Math.max(LEAST_ROUNDS_PER_WHOLE, WHOLE_MILLIS / roundMillis());
-        boolean whole = roundsSinceWhole >= rounds;
-        roundsSinceWhole = whole ? 0 : roundsSinceWhole;
+    boolean beginFullReport() {
+        long rounds = Math.max(MIN_ROUNDS_PER_FULL_REPORT, FULL_REPORT_MILLIS / roundMillis());
+        boolean whole = roundsSinceFullReport >= rounds;
+        roundsSinceFullReport = whole ? 0 : roundsSinceFullReport;
         return whole;
     }
 
@@ -80,20 +80,20 @@
     }
 
     /** Returns what organisations have used that the group was not told yet. */
-    Map<String, Long> newUse(Map<String, Long> used) {
+    Map<String, Long> changedUsage(Map<String, Long> used) {
         Map<String, Long> changed = new HashMap<>();
         used.forEach((name, total) -> {
-            if (!total.equals(publishedUse.get(name))) {
+            if (!total.equals(publishedUsage.get(name))) {
                 changed.put(name, total);
             }
         });
         return changed;
     }
 
-    void published(Map<Integer, int[]> present, Map<String, Long> used) {
+    void recordPublished(Map<Integer, int[]> present, Map<String, Long> used) {
         publishedUpstreams.clear();
         publishedUpstreams.putAll(present);
-        publishedUse.clear();
-        publishedUse.putAll(used);
+        publishedUsage.clear();
+        publishedUsage.putAll(used);
     }
 }
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -33,20 +33,20 @@
  */
 public final class SchedulerHost implements FleetInbox, AutoCloseable {
     /** How often waiting requests are looked after, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
     /**
      * An entry that has sent nothing for so long is taken for lost, in milliseconds; its links ping more often. Guards against
      * slots that stay taken for a frozen host, and against grants that nobody uses.
      */
-    private static final long ENTRY_LOST_MILLIS = 1_200;
+    private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
     /** How long after its confirmation a view may be acted on, as a part of the time until a revoked key must not work. */
-    private static final double CONFIRMED_SHARE = 0.8;
+    private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
     private final FleetSettings settings;
     /** Reads catalogues aside from the replica's thread: a large one takes longer than an election timeout. */
-    private final ControlLoop following = new ControlLoop();
+    private final ControlLoop followerLoop = new ControlLoop();
 
     private final EventLoop traffic;
     private final EventLog events;
@@ -55,12 +55,12 @@
     private final ControlFollower follower;
     private final PoolSet pools;
     private final QuotaLedger quotas;
-    private final SlotScheduler slots;
-    private final LoadSharing sharing;
+    private final SlotScheduler slotScheduler;
+    private final LoadSharing loadSharing;
     private final String self;
-    private final Map<String, Sender> entries = new HashMap<>();
-    private final Map<String, String> connections = new HashMap<>();
-    private final EvacuationLog evacuations;
+    private final Map<String, Sender> attachedEntries = new HashMap<>();
+    private final Map<String, String> connectionsByEntry = new HashMap<>();
+    private final EvacuationLog evacuationLog;
     private ConfirmedView view = ConfirmedView.NOTHING;
 
     /**
@@ -81,7 +81,7 @@
             EventLog events,
             MetricRegistry metrics) {
         this.settings = settings;
-        following.onFailure(failure);
+        followerLoop.onFailure(failure);
         this.traffic = traffic;
         this.events = events;
         this.metrics = metrics;
@@ -89,20 +89,21 @@
         links = new FleetLinks(traffic, this);
         pools = new PoolSet(self, settings.failureDomain(), settings.bounds().greatestTrialShare());
         quotas = new QuotaLedger(settings.bounds().quota());
-        slots = new SlotScheduler(pools, quotas, new Replies());
-        evacuations = new EvacuationLog(pools, events);
-        sharing = new LoadSharing(links, pools, quotas, self + '/' + System.currentTimeMillis());
+        slotScheduler = new SlotScheduler(pools, quotas, new SchedulerListener());
+        evacuationLog = new EvacuationLog(pools, events);
+        loadSharing = new LoadSharing(links, pools, quotas, self + '/' + System.currentTimeMillis());
         follower = new ControlFollower(
-                following, links, operators, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
-        metrics.register("scheduler.entries", (Gauge<Integer>) slots::entries);
-        metrics.register("scheduler.waiting", (Gauge<Integer>) slots::waiting);
+                followerLoop, links, operators, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
+        metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entries);
+        metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::waiting);
         seeds(settings.seeds());
         traffic.scheduleAtFixedRate(
-                () -> sharing.share(now()),
-                LoadSharing.SHORTEST_ROUND_MILLIS,
-                LoadSharing.SHORTEST_ROUND_MILLIS,
+                () -> loadSharing.publishIfDue(now()),
+                LoadSharing.MIN_ROUND_MILLIS,
+                LoadSharing.MIN_ROUND_MILLIS,
                 TimeUnit.MILLISECONDS);
-        traffic.scheduleAtFixedRate(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        traffic.scheduleAtFixedRate(
+                this::maintain, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -111,10 +112,10 @@
      * @param message a message that has come to this host.
      * @return whether the scheduler takes it.
      */
-    public static boolean concerns(FleetMessage message) {
+    public static boolean handles(FleetMessage message) {
         return message instanceof FleetMessage.Ask
                 || message instanceof FleetMessage.Report
-                || message instanceof FleetMessage.Load
+                || message instanceof FleetMessage.LoadReport
                 || message instanceof FleetMessage.Attach
                 || message instanceof FleetMessage.Detach;
     }
@@ -127,23 +128,23 @@
     public void seeds(List<HostPort> seeds) {
         Set<String> addresses = new TreeSet<>();
         seeds.forEach(host -> addresses.add(host.toString()));
-        following.execute(() -> follower.seeds(addresses));
+        followerLoop.execute(() -> follower.seeds(addresses));
     }
 
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
         if (message instanceof FleetMessage.Followed answer) {
-            following.execute(() -> follower.onFollowed(answer));
+            followerLoop.execute(() -> follower.onFollowed(answer));
         } else if (message instanceof FleetMessage.Document document) {
-            following.execute(() -> follower.onDocument(document));
+            followerLoop.execute(() -> follower.onDocument(document));
         } else if (message instanceof FleetMessage.Ask ask) {
-            onAsk(sender, ask);
+            onSlotRequest(sender, ask);
         } else if (message instanceof FleetMessage.Report report) {
-            slots.report(sender.peer(), report.id(), report.report(), now());
-        } else if (message instanceof FleetMessage.Load load) {
-            if (sharing.onLoad(load, view.organisations(), now())) {
-                slots.advance(now());
+            slotScheduler.report(sender.peer(), report.id(), report.report(), now());
+        } else if (message instanceof FleetMessage.LoadReport load) {
+            if (loadSharing.onReport(load, view.organisations(), now())) {
+                slotScheduler.advance(now());
             }
         } else if (message instanceof FleetMessage.Attach attach) {
             onAttach(sender, attach);
@@ -152,22 +153,22 @@
         }
     }
 
-    private void onAsk(Sender sender, FleetMessage.Ask ask) {
-        double confirmedMillis = settings.bounds().revokeMillis() * CONFIRMED_SHARE;
-        if (!entries.containsKey(sender.peer()) || !view.isConfirmedWithin(confirmedMillis)) {
+    private void onSlotRequest(Sender sender, FleetMessage.Ask ask) {
+        double confirmedMillis = settings.bounds().revokeMillis() * MAX_VIEW_AGE_SHARE;
+        if (!attachedEntries.containsKey(sender.peer()) || !view.isConfirmedWithin(confirmedMillis)) {
             reply(sender, ask.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
             return;
         }
-        slots.request(sender.peer(), ask.id(), ask.request(), now());
+        slotScheduler.request(sender.peer(), ask.id(), ask.request(), now());
     }
 
     private void onAttach(Sender sender, FleetMessage.Attach attach) {
-        String before = connections.put(attach.entry(), sender.peer());
-        if (before != null && !before.equals(sender.peer()) && entries.remove(before) != null) {
-            slots.detach(before, now());
+        String before = connectionsByEntry.put(attach.entry(), sender.peer());
+        if (before != null && !before.equals(sender.peer()) && attachedEntries.remove(before) != null) {
+            slotScheduler.detach(before, now());
         }
-        entries.put(sender.peer(), sender);
-        slots.attach(sender.peer(), attach.held(), now());
+        attachedEntries.put(sender.peer(), sender);
+        slotScheduler.attach(sender.peer(), attach.held(), now());
     }
 
     /** {@inheritDoc} */
@@ -177,8 +178,8 @@
     }
 
     private void detach(Sender sender) {
-        if (entries.remove(sender.peer()) != null) {
-            slots.detach(sender.peer(), now());
+        if (attachedEntries.remove(sender.peer()) != null) {
+            slotScheduler.detach(sender.peer(), now());
         }
     }
 
@@ -191,18 +192,18 @@
                     .filter(address -> !address.equals(self))
                     .toList();
             pools.apply(newer, others.size() + 1, now());
-            sharing.refresh(others);
-            evacuations.onView(newer.evacuated());
-            slots.advance(now());
+            loadSharing.refresh(others);
+            evacuationLog.onView(newer.evacuated());
+            slotScheduler.advance(now());
         }
     }
 
-    private void look() {
-        List.copyOf(entries.values()).stream()
-                .filter(entry -> entry.silentMillis() > ENTRY_LOST_MILLIS)
+    private void maintain() {
+        List.copyOf(attachedEntries.values()).stream()
+                .filter(entry -> entry.silentMillis() > ENTRY_TIMEOUT_MILLIS)
                 .forEach(this::detach);
-        slots.advance(now());
-        evacuations.look();
+        slotScheduler.advance(now());
+        evacuationLog.logDrained();
     }
 
     private static long now() {
@@ -210,11 +211,11 @@
     }
 
     private void reply(Sender sender, long id, SlotReply reply) {
-        metrics.counter("scheduler.replies." + nameOf(reply)).inc();
+        metrics.counter("scheduler.replies." + metricNameOf(reply)).inc();
         sender.send(new FleetMessage.Reply(id, reply));
     }
 
-    private static String nameOf(SlotReply reply) {
+    private static String metricNameOf(SlotReply reply) {
         return reply instanceof SlotReply.Rejected rejected
                 ? "rejected." + rejected.reason()
                 : reply.getClass().getSimpleName();
@@ -223,16 +224,16 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        following.close();
+        followerLoop.close();
         links.close();
     }
 
     /** Sends replies to entries, and passes on what was learnt. */
-    private final class Replies implements SlotScheduler.Listener {
+    private final class SchedulerListener implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
         public void onReply(String entry, long id, SlotReply reply) {
-            Sender sender = entries.get(entry);
+            Sender sender = attachedEntries.get(entry);
             if (sender != null) {
                 reply(sender, id, reply);
             }
@@ -241,7 +242,7 @@
         /** {@inheritDoc} */
         @Override
         public void onAnswer(UpstreamLoad upstream, boolean good) {
-            sharing.onAnswer(upstream, good);
+            loadSharing.recordOutcome(upstream, good);
         }
 
         /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/fleet/WrittenEqualityTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/HandWrittenEqualityTest.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class WrittenEqualityTest {
+class HandWrittenEqualityTest {
     static Stream<Class<? extends Record>> recordsThatCompareByWrittenCode() {
         return Stream.of(ControlHost.class, ColdStart.class, Upstream.class);
     }
--- a/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.radishspur.node.fleet.LinkHealth.Care;
+import org.radishspur.node.fleet.LinkHealth.Action;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,13 +18,13 @@
 
     @BeforeEach
     void open() {
-        health.opened(0);
+        health.onOpened(0);
     }
 
     /** Looks after the link until a time, and returns when it is given up, or that time. */
     private long renewedBy(long until, boolean attended) {
         for (long now = ROUND_MILLIS; now < until; now += ROUND_MILLIS) {
-            if (health.due(attended, now) == Care.RENEW) {
+            if (health.nextAction(attended, now) == Action.RECONNECT) {
                 return now;
             }
         }
@@ -34,9 +34,9 @@
     private int pings(long from, long millis, boolean attended) {
         int pings = 0;
         for (long now = from; now < from + millis; now += ROUND_MILLIS) {
-            if (health.due(attended, now) == Care.PING) {
+            if (health.nextAction(attended, now) == Action.PING) {
                 pings++;
-                health.received(now + 1);
+                health.onReceived(now + 1);
             }
         }
         return pings;
@@ -61,11 +61,11 @@
         @Test
         void isNotGivenUpWhenItHasBeenIdleBefore() {
             long now = 60 * SECOND_MILLIS;
-            health.received(now - 1_900);
-            health.used(now);
-            assertThat(health.due(false, now)).isEqualTo(Care.PING);
-            health.received(now + 1);
-            assertThat(health.due(false, now + ROUND_MILLIS)).isEqualTo(Care.PING);
+            health.onReceived(now - 1_900);
+            health.onSent(now);
+            assertThat(health.nextAction(false, now)).isEqualTo(Action.PING);
+            health.onReceived(now + 1);
+            assertThat(health.nextAction(false, now + ROUND_MILLIS)).isEqualTo(Action.PING);
         }
     }
 
--- a/node/src/test/java/org/radishspur/node/group/ParkedQuestionsTest.java
+++ b/node/src/test/java/org/radishspur/node/group/DeferredRequestsTest.java
@@ -8,24 +8,24 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ParkedQuestionsTest {
-    private final ParkedQuestions parked = new ParkedQuestions();
+class DeferredRequestsTest {
+    private final DeferredRequests parked = new DeferredRequests();
 
     private void park(String entry, long nonce, long now) {
-        parked.park(new ParkedQuestions.Parked(
-                new RecordingSender(entry), new FleetMessage.Follow(nonce, entry, 1, 0, 0, 0, List.of()), now));
+        parked.defer(new DeferredRequests.DeferredRequest(
+                new RecordingSender(entry), new FleetMessage.ViewRequest(nonce, entry, 1, 0, 0, 0, List.of()), now));
     }
 
     private List<Long> due(boolean leaderKnown, long now) {
-        return parked.due(leaderKnown, now).stream()
-                .map(question -> question.question().nonce())
+        return parked.removeDue(leaderKnown, now).stream()
+                .map(question -> question.request().nonce())
                 .toList();
     }
 
     @Test
     void keepsQuestionsWhileNoLeaderIsKnown() {
         park("one", 1, 0);
-        assertThat(due(false, ParkedQuestions.PARKED_MILLIS)).isEmpty();
+        assertThat(due(false, DeferredRequests.MAX_DEFERRAL_MILLIS)).isEmpty();
     }
 
     @Test
@@ -48,6 +48,6 @@
     void givesOutWhatHasWaitedTooLong() {
         park("one", 1, 0);
         park("two", 2, 300);
-        assertThat(due(false, ParkedQuestions.PARKED_MILLIS + 1)).containsExactly(1L);
+        assertThat(due(false, DeferredRequests.MAX_DEFERRAL_MILLIS + 1)).containsExactly(1L);
     }
 }
--- a/node/src/test/java/org/radishspur/node/schedule/SeekOrderTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
@@ -10,8 +10,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SeekOrderTest {
-    private final SeekOrder order = new SeekOrder();
+class LeaderSearchOrderTest {
+    private final LeaderSearchOrder order = new LeaderSearchOrder();
 
     private static List<String> hosts(int count) {
         return IntStream.range(0, count)
@@ -25,7 +25,7 @@
         @Test
         void eachRoundAsksAFewControlHosts() {
             for (int round = 0; round < 20; round++) {
-                assertThat(order.next(hosts(16))).hasSize(SeekOrder.ASKED_AT_ONCE);
+                assertThat(order.next(hosts(16))).hasSize(LeaderSearchOrder.HOSTS_PER_ROUND);
             }
         }
 
--- a/node/src/test/java/org/radishspur/node/schedule/LoadSharingTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadSharingTest.java
@@ -28,10 +28,10 @@
 
 class LoadSharingTest {
     private static final Upstream ENGINE = new Upstream("e", 1, "pool", "10.0.0.1:80", "a", "v1", 9, false, false);
-    private static final long TICK_MILLIS = LoadSharing.SHORTEST_ROUND_MILLIS;
+    private static final long TICK_MILLIS = LoadSharing.MIN_ROUND_MILLIS;
 
     private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
-    private final List<FleetMessage.Load> sent = new ArrayList<>();
+    private final List<FleetMessage.LoadReport> sent = new ArrayList<>();
     private final Map<String, Integer> toldTo = new HashMap<>();
     private long messages;
     private final LoadSharing sharing =
@@ -60,8 +60,8 @@
         sharing.refresh(peers);
     }
 
-    private static FleetMessage.Load load(boolean whole, int inProgress) {
-        return new FleetMessage.Load(
+    private static FleetMessage.LoadReport load(boolean whole, int inProgress) {
+        return new FleetMessage.LoadReport(
                 "other-0/1", whole, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
     }
 
@@ -74,7 +74,7 @@
             view(others);
             for (long now = 0; now < 10_000; now += TICK_MILLIS) {
                 engine().began(now, 0, now);
-                sharing.share(now);
+                sharing.publishIfDue(now);
             }
             assertThat(messages).isLessThanOrEqualTo(10 * 200 + others);
         }
@@ -83,11 +83,11 @@
         @ValueSource(ints = {6, 53, 369})
         void publishesAChangeWithinARoundOfThisManySchedulers(int others) {
             view(others);
-            sharing.share(0);
+            sharing.publishIfDue(0);
             engine().began("request", 0, 1);
             long told = 0;
             for (long now = TICK_MILLIS; told == 0; now += TICK_MILLIS) {
-                sharing.share(now);
+                sharing.publishIfDue(now);
                 told = sent.stream().anyMatch(load -> load.counts().length > 0 && load.counts()[0] == 1) ? now : 0;
             }
             assertThat(told).isLessThanOrEqualTo(2 * TICK_MILLIS + others * 1_000L / 200);
@@ -97,9 +97,9 @@
         void saysNothingBetweenWholeWordsWhereNothingChanges() {
             view(6);
             for (long now = 0; now < 4_000; now += TICK_MILLIS) {
-                sharing.share(now);
+                sharing.publishIfDue(now);
             }
-            assertThat(sent).hasSizeLessThanOrEqualTo(14).allMatch(FleetMessage.Load::whole);
+            assertThat(sent).hasSizeLessThanOrEqualTo(14).allMatch(FleetMessage.LoadReport::full);
         }
     }
 
@@ -108,30 +108,30 @@
         @Test
         void countsWhatOthersHaveInProgress() {
             view(6);
-            sharing.onLoad(load(false, 4), Map.of(), 0);
+            sharing.onReport(load(false, 4), Map.of(), 0);
             assertThat(engine().inProgress()).isEqualTo(4);
         }
 
         @Test
         void saysThatASlotHasBecomeFree() {
             view(6);
-            assertThat(sharing.onLoad(load(false, 4), Map.of(), 0)).isFalse();
-            assertThat(sharing.onLoad(load(false, 3), Map.of(), 40)).isTrue();
+            assertThat(sharing.onReport(load(false, 4), Map.of(), 0)).isFalse();
+            assertThat(sharing.onReport(load(false, 3), Map.of(), 40)).isTrue();
         }
 
         @Test
         void forgetsASchedulerThatHasFallenSilent() {
             view(6);
-            sharing.onLoad(load(false, 4), Map.of(), 0);
-            sharing.share(1_000);
+            sharing.onReport(load(false, 4), Map.of(), 0);
+            sharing.publishIfDue(1_000);
             assertThat(engine().inProgress()).isZero();
         }
 
         @Test
         void forgetsNoSchedulerThatPublishesAsSeldomAsManyDo() {
             view(369);
-            sharing.onLoad(load(false, 4), Map.of(), 0);
-            sharing.share(2_000);
+            sharing.onReport(load(false, 4), Map.of(), 0);
+            sharing.publishIfDue(2_000);
             assertThat(engine().inProgress()).isEqualTo(4);
         }
     }
@@ -149,7 +149,7 @@
         public void send(Collection<String> addresses, FleetMessage message) {
             messages += addresses.size();
             addresses.forEach(address -> toldTo.merge(address, 1, Integer::sum));
-            sent.add((FleetMessage.Load) message);
+            sent.add((FleetMessage.LoadReport) message);
         }
 
         /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
@@ -46,14 +46,14 @@
         peers(36);
         int wholes = 0;
         for (long now = 0; now < 40 * 240; now += 240) {
-            wholes += rounds.beginRound(now) && rounds.takeWhole() ? 1 : 0;
+            wholes += rounds.beginRound(now) && rounds.beginFullReport() ? 1 : 0;
         }
         assertThat(wholes).isEqualTo(10);
     }
 
     @Test
     void isToldOnlyOfUseThatHasChanged() {
-        rounds.published(Map.of(), Map.of("one", 5L, "two", 7L));
-        assertThat(rounds.newUse(Map.of("one", 5L, "two", 8L))).isEqualTo(Map.of("two", 8L));
+        rounds.recordPublished(Map.of(), Map.of("one", 5L, "two", 7L));
+        assertThat(rounds.changedUsage(Map.of("one", 5L, "two", 8L))).isEqualTo(Map.of("two", 8L));
     }
 }
