--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -50,7 +50,7 @@
     private final FleetInbox inbox;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
     private final ScheduledFuture<?> care;
-    private volatile String closelyWatched = "";
+    private volatile String watchedAddress = "";
     private volatile boolean closed;
 
     /**
@@ -71,7 +71,7 @@
      *
      * @param addresses the wanted addresses; links to others are closed.
      */
-    public void want(Set<String> addresses) {
+    public void setAddresses(Set<String> addresses) {
         links.forEach((address, link) -> {
             if (!addresses.contains(address)) {
                 links.remove(address);
@@ -115,7 +115,7 @@
     /** {@inheritDoc} */
     @Override
     public void attend(String address) {
-        closelyWatched = address;
+        watchedAddress = address;
     }
 
     /** {@inheritDoc} */
@@ -238,7 +238,7 @@
             if (present == null) {
                 return;
             }
-            switch (health.nextAction(address.equals(closelyWatched), now)) {
+            switch (health.nextAction(address.equals(watchedAddress), now)) {
                 case PING -> write(new FleetMessage.Ping());
                 case RECONNECT -> {
                     PartLog.PEER.info("The link to " + address + " is silent and is made anew.");
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -9,10 +9,10 @@
  * time of day may be set back while the monotonic clock goes on. An age is the larger of both differences, so that only
  * both failing at once, in opposite ways, could hide it.
  *
- * @param steadyMillis the monotonic clock in milliseconds.
+ * @param monotonicMillis the monotonic clock in milliseconds.
  * @param wallMillis the time of day in milliseconds since the epoch.
  */
-public record Moment(long steadyMillis, long wallMillis) {
+public record Moment(long monotonicMillis, long wallMillis) {
     /** A moment so long ago that nothing from then is fresh. */
     public static final Moment LONG_AGO = new Moment(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
@@ -41,7 +41,7 @@
      * @return the age in milliseconds, never negative.
      */
     public long since(Moment earlier) {
-        long steady = steadyMillis - earlier.steadyMillis;
+        long steady = monotonicMillis - earlier.monotonicMillis;
         long wall = wallMillis - earlier.wallMillis;
         return Math.max(0, Math.max(steady, wall));
     }
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -80,9 +80,9 @@
     private final FleetLinks links;
     private final ReplicaHost replica;
     private final MembershipManager membership;
-    private final HostListReader hostList;
+    private final HostListReader hostListReader;
     private final ViewService viewService;
-    private final SchedulerHost scheduler;
+    private final SchedulerHost schedulerHost;
     private final Supervisor.Scheduler.ForThread timers = new Supervisor.Scheduler.ForThread();
     private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
@@ -131,13 +131,13 @@
                 events,
                 new ControlHost(settings.peerAddress().toString(), settings.failureDomain()),
                 settings.bounds().voters());
-        hostList = new HostListReader(
+        hostListReader = new HostListReader(
                 loop, transportThreads.next(), replica, listDialect, settings.hostListAddress(), events, metrics);
         RolloutDriver rollouts = new RolloutDriver(loop, replica, events);
-        viewService = new ViewService(loop, replica, membership, hostList, rollouts, metrics);
+        viewService = new ViewService(loop, replica, membership, hostListReader, rollouts, metrics);
         OperatorService desk =
                 new OperatorService(loop, replica, viewService, operators, settings.operatorPort(), events, metrics);
-        scheduler = new SchedulerHost(
+        schedulerHost = new SchedulerHost(
                 settings, cause -> failed.countDown(), transportThreads.next(), operators, events, metrics.registry());
         supervisor = new Supervisor("control", timers, loop::nowMillis)
                 .supervise("fleet-server", () -> new FleetServer(settings.peerAddress(), transportThreads, this))
@@ -149,7 +149,7 @@
                         "metrics-server", () -> new MetricsServer(address, transportThreads, metrics.registry())));
         supervisor.start(cause -> failed.countDown());
         loop.execute(() -> membership.seeds(addresses(settings.seeds())));
-        loop.execute(hostList::prefetch);
+        loop.execute(hostListReader::prefetch);
         loop.repeat(viewService::answerPending, HEARTBEAT_MILLIS / 2);
     }
 
@@ -157,7 +157,7 @@
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
         if (SchedulerHost.handles(message)) {
-            scheduler.onMessage(sender, message);
+            schedulerHost.onMessage(sender, message);
             return;
         }
         loop.execute(() -> {
@@ -177,7 +177,7 @@
     @Override
     public void onClosed(Sender sender) {
         loop.execute(() -> viewService.onClosed(sender));
-        scheduler.onClosed(sender);
+        schedulerHost.onClosed(sender);
     }
 
     /**
@@ -188,7 +188,7 @@
     public void reload(FleetSettings changed) {
         events.emit(EventCode.RELOADED, changed.seeds());
         loop.execute(() -> membership.seeds(addresses(changed.seeds())));
-        scheduler.seeds(changed.seeds());
+        schedulerHost.seeds(changed.seeds());
     }
 
     /**
@@ -218,7 +218,7 @@
     public void close() {
         supervisor.close();
         timers.close();
-        scheduler.close();
+        schedulerHost.close();
         links.close();
         replica.close();
         loop.close();
@@ -239,7 +239,7 @@
             events.emit(EventCode.ROLE, role, term, replica.voters());
             metrics.recordRole(role, term);
             if (role == Role.LEADER) {
-                hostList.onElected();
+                hostListReader.onElected();
             }
         }
     }
--- a/node/src/main/java/org/radishspur/node/group/DocumentSender.java
+++ b/node/src/main/java/org/radishspur/node/group/DocumentSender.java
@@ -44,7 +44,7 @@
     }
 
     /** Forgets a receiver whose connection is gone. */
-    void forget(FleetInbox.Sender receiver) {
+    void remove(FleetInbox.Sender receiver) {
         sent.remove(receiver.peer());
     }
 
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -81,13 +81,13 @@
     }
 
     /** Returns all control hosts that are worth asking. */
-    List<ControlHost> controls() {
-        return addresses().stream()
+    List<ControlHost> controlHosts() {
+        return memberAddresses().stream()
                 .map(address -> new ControlHost(address, failureDomains.getOrDefault(address, "")))
                 .toList();
     }
 
-    private List<String> addresses() {
+    private List<String> memberAddresses() {
         Set<String> addresses = new TreeSet<>();
         replica.voters().forEach(voter -> addresses.add(ReplicaHost.nodeOf(voter)));
         replica.learners().forEach(learner -> addresses.add(ReplicaHost.nodeOf(learner)));
@@ -97,7 +97,7 @@
     private void announce() {
         long now = loop.nowMillis();
         Set<String> wanted = new TreeSet<>(seeds);
-        wanted.addAll(addresses());
+        wanted.addAll(memberAddresses());
         if (replica.voters().isEmpty()) {
             wanted.addAll(announcedAddresses);
         }
@@ -107,9 +107,9 @@
             }
         });
         wanted.remove(self.address());
-        links.want(wanted);
+        links.setAddresses(wanted);
         FleetMessage.ReplicaAnnouncement candidate =
-                new FleetMessage.ReplicaAnnouncement(replica.identity(), addresses(), self.failureDomain());
+                new FleetMessage.ReplicaAnnouncement(replica.identity(), memberAddresses(), self.failureDomain());
         wanted.forEach(address -> links.send(address, candidate));
         replaceLost(now);
     }
--- a/node/src/main/java/org/radishspur/node/group/OperatorServer.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorServer.java
@@ -73,7 +73,7 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keep = HttpUtil.isKeepAlive(request);
             String body = request.content().toString(StandardCharsets.UTF_8);
-            service.call(
+            service.handle(
                     request.method().name(),
                     request.uri(),
                     body,
--- a/node/src/main/java/org/radishspur/node/group/OperatorService.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorService.java
@@ -60,7 +60,7 @@
      * @param body the body.
      * @param listener takes the answer, on the control thread.
      */
-    void call(String method, String target, String body, AnswerListener listener) {
+    void handle(String method, String target, String body, AnswerListener listener) {
         loop.execute(() -> {
             long began = loop.nowMillis();
             String path = target.contains("?") ? target.substring(0, target.indexOf('?')) : target;
--- a/node/src/main/java/org/radishspur/node/group/ViewService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -28,13 +28,13 @@
 
     private final ControlLoop loop;
     private final ReplicaHost replica;
-    private final MembershipManager members;
-    private final HostListReader hostList;
-    private final RolloutDriver rollouts;
+    private final MembershipManager membership;
+    private final HostListReader hostListReader;
+    private final RolloutDriver rolloutDriver;
     private final ControlMetrics metrics;
     private final Map<String, Long> entriesLastSeenAt = new HashMap<>();
     private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
-    private final DocumentSender documents = new DocumentSender();
+    private final DocumentSender documentSender = new DocumentSender();
     private final DeferredRequests deferredRequests = new DeferredRequests();
 
     ViewService(
@@ -47,9 +47,9 @@
         this.metrics = metrics;
         this.loop = loop;
         this.replica = replica;
-        this.members = members;
-        this.hostList = hostList;
-        this.rollouts = rollouts;
+        this.membership = members;
+        this.hostListReader = hostList;
+        this.rolloutDriver = rollouts;
     }
 
     void onViewRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest question) {
@@ -65,7 +65,7 @@
     }
 
     void onClosed(FleetInbox.Sender sender) {
-        documents.forget(sender);
+        documentSender.remove(sender);
     }
 
     private void answerOnceConfirmed(FleetInbox.Sender sender, FleetMessage.ViewRequest question, long askedAt) {
@@ -78,19 +78,19 @@
                     Optional.empty(),
                     List.of(),
                     0,
-                    members.controls(),
+                    membership.controlHosts(),
                     Set.of()));
             return;
         }
         if (!question.entry().isEmpty()) {
-            rollouts.recordCounts(question.entry() + '/' + question.incarnation(), question.versionCounts());
+            rolloutDriver.recordCounts(question.entry() + '/' + question.incarnation(), question.versionCounts());
         }
         pendingReads.addLast(new PendingRead(askedAt, new ReadListener() {
             @Override
             public void onConfirmed(CatalogueState state) {
                 metrics.recordViewRequest(true);
                 if (state.document().revision() > question.revision()) {
-                    documents.send(sender, state.document(), loop.nowMillis());
+                    documentSender.send(sender, state.document(), loop.nowMillis());
                 }
                 sender.send(response(question, state));
             }
@@ -145,7 +145,7 @@
     }
 
     private FleetMessage.Followed response(FleetMessage.ViewRequest question, CatalogueState state) {
-        HostList list = hostList.latest();
+        HostList list = hostListReader.latest();
         boolean listNewer = list.isLaterThan(new HostList(question.listTerm(), question.listReading(), List.of()));
         return new FleetMessage.Followed(
                 question.nonce(),
@@ -155,7 +155,7 @@
                 listNewer ? Optional.of(list) : Optional.empty(),
                 new ArrayList<>(state.rollouts()),
                 countEntries(),
-                members.controls(),
+                membership.controlHosts(),
                 state.evacuated());
     }
 
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -51,7 +51,7 @@
         return new ConfirmedView(catalogue, newer, rollouts, entries, controls, evacuated, confirmedAt);
     }
 
-    ConfirmedView confirmed(FleetMessage.Followed answer, Moment at) {
+    ConfirmedView withAnswer(FleetMessage.Followed answer, Moment at) {
         return new ConfirmedView(
                 catalogue, hosts, answer.rollouts(), answer.entryCount(), answer.controls(), answer.evacuated(), at);
     }
--- a/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
@@ -168,9 +168,9 @@
         // The answer confirms this entry's catalogue only if the entry now holds the one that the leader told of. An
         // answer that was overtaken by a later one confirms nothing newer than that one did.
         boolean current = next.revision() >= answer.revision();
-        boolean newer = askedAt.steadyMillis() >= next.confirmedAt().steadyMillis();
+        boolean newer = askedAt.monotonicMillis() >= next.confirmedAt().monotonicMillis();
         if (current && newer) {
-            next = next.confirmed(answer, askedAt);
+            next = next.withAnswer(answer, askedAt);
         }
         view = next;
         listener.onView(next);
@@ -229,7 +229,7 @@
     }
 
     private void updateLinks() {
-        links.want(wantedAddresses());
+        links.setAddresses(wantedAddresses());
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/schedule/LeaderSearchOrder.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LeaderSearchOrder.java
@@ -16,7 +16,7 @@
     /** How many control hosts are asked in a round. */
     static final int HOSTS_PER_ROUND = 2;
 
-    private String last = "";
+    private String lastAsked = "";
 
     /**
      * Returns whom to ask in the next round.
@@ -28,9 +28,9 @@
         TreeSet<String> sorted = new TreeSet<>(hosts);
         List<String> asked = new ArrayList<>();
         while (asked.size() < Math.min(HOSTS_PER_ROUND, sorted.size())) {
-            String following = sorted.higher(last);
-            last = following == null ? sorted.first() : following;
-            asked.add(last);
+            String following = sorted.higher(lastAsked);
+            lastAsked = following == null ? sorted.first() : following;
+            asked.add(lastAsked);
         }
         return asked;
     }
--- a/node/src/main/java/org/radishspur/node/schedule/LoadSharing.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -23,7 +23,7 @@
  * which then queues one request itself for a moment. In return no request waits for a permit from another failure domain, and
  * the loss of a scheduler takes away nothing but its own queue.
  */
-final class LoadSharing {
+final class LoadReportExchange {
     /** A scheduler that has reported nothing for so long is taken for lost, in milliseconds. */
     private static final long PEER_TIMEOUT_MILLIS = 900;
 
@@ -72,7 +72,7 @@
      * @param quotas the same for what organisations have used.
      * @param self the run of this scheduler: its address, a slash and what sets its runs apart.
      */
-    LoadSharing(FleetSender links, PoolSet pools, QuotaLedger quotas, String self) {
+    LoadReportExchange(FleetSender links, PoolSet pools, QuotaLedger quotas, String self) {
         this.links = links;
         this.pools = pools;
         this.quotas = quotas;
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -17,7 +17,7 @@
     /** A scheduler is not taken for lost before it has been silent for so many rounds. */
     private static final int PEER_TIMEOUT_ROUNDS = 5;
 
-    private final long stepMillis;
+    private final long tickMillis;
     private final int messagesPerSecond;
     private final Map<Integer, int[]> publishedUpstreams = new HashMap<>();
     private final Map<String, Long> publishedUsage = new HashMap<>();
@@ -32,7 +32,7 @@
      * @param messagesPerSecond how many messages a second all peers together may get.
      */
     PublishRounds(long stepMillis, int messagesPerSecond) {
-        this.stepMillis = stepMillis;
+        this.tickMillis = stepMillis;
         this.messagesPerSecond = messagesPerSecond;
     }
 
@@ -47,8 +47,8 @@
     /** Returns the time between two rounds, in whole steps of the timer. */
     long roundMillis() {
         long needed = peers.size() * 1_000L / messagesPerSecond;
-        long steps = Math.max(1, (needed + stepMillis - 1) / stepMillis);
-        return steps * stepMillis;
+        long steps = Math.max(1, (needed + tickMillis - 1) / tickMillis);
+        return steps * tickMillis;
     }
 
     /** Returns after how long a silence a peer is taken for lost, which publishes as often as this one does. */
@@ -62,7 +62,7 @@
             return false;
         }
         // The timer fires a little early or late; half a step of it is no reason to leave a round out.
-        nextRoundAt = now + roundMillis() - stepMillis / 2;
+        nextRoundAt = now + roundMillis() - tickMillis / 2;
         roundsSinceFullReport++;
         return true;
     }
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -56,7 +56,7 @@
     private final PoolSet pools;
     private final QuotaLedger quotas;
     private final SlotScheduler slotScheduler;
-    private final LoadSharing loadSharing;
+    private final LoadReportExchange loadReports;
     private final String self;
     private final Map<String, Sender> attachedEntries = new HashMap<>();
     private final Map<String, String> connectionsByEntry = new HashMap<>();
@@ -91,16 +91,16 @@
         quotas = new QuotaLedger(settings.bounds().quota());
         slotScheduler = new SlotScheduler(pools, quotas, new SchedulerListener());
         evacuationLog = new EvacuationLog(pools, events);
-        loadSharing = new LoadSharing(links, pools, quotas, self + '/' + System.currentTimeMillis());
+        loadReports = new LoadReportExchange(links, pools, quotas, self + '/' + System.currentTimeMillis());
         follower = new ControlFollower(
                 followerLoop, links, operators, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
         metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entries);
         metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::waiting);
         seeds(settings.seeds());
         traffic.scheduleAtFixedRate(
-                () -> loadSharing.publishIfDue(now()),
-                LoadSharing.MIN_ROUND_MILLIS,
-                LoadSharing.MIN_ROUND_MILLIS,
+                () -> loadReports.publishIfDue(now()),
+                LoadReportExchange.MIN_ROUND_MILLIS,
+                LoadReportExchange.MIN_ROUND_MILLIS,
                 TimeUnit.MILLISECONDS);
         traffic.scheduleAtFixedRate(
                 this::maintain, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
@@ -143,7 +143,7 @@
         } else if (message instanceof FleetMessage.Report report) {
             slotScheduler.report(sender.peer(), report.id(), report.report(), now());
         } else if (message instanceof FleetMessage.LoadReport load) {
-            if (loadSharing.onReport(load, view.organisations(), now())) {
+            if (loadReports.onReport(load, view.organisations(), now())) {
                 slotScheduler.advance(now());
             }
         } else if (message instanceof FleetMessage.Attach attach) {
@@ -192,7 +192,7 @@
                     .filter(address -> !address.equals(self))
                     .toList();
             pools.apply(newer, others.size() + 1, now());
-            loadSharing.refresh(others);
+            loadReports.refresh(others);
             evacuationLog.onView(newer.evacuated());
             slotScheduler.advance(now());
         }
@@ -242,7 +242,7 @@
         /** {@inheritDoc} */
         @Override
         public void onAnswer(UpstreamLoad upstream, boolean good) {
-            loadSharing.recordOutcome(upstream, good);
+            loadReports.recordOutcome(upstream, good);
         }
 
         /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
@@ -8,11 +8,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class LinkHealthTest {
-    private static final long ROUND_MILLIS = 300;
+    private static final long CHECK_INTERVAL_MILLIS = 300;
     private static final long SECOND_MILLIS = 1_000;
 
     /** After this time without a message a scheduler takes an entry for lost, in milliseconds. */
-    private static final long ENTRY_LOST_MILLIS = 1_200;
+    private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
     private final LinkHealth health = new LinkHealth();
 
@@ -22,8 +22,8 @@
     }
 
     /** Looks after the link until a time, and returns when it is given up, or that time. */
-    private long renewedBy(long until, boolean attended) {
-        for (long now = ROUND_MILLIS; now < until; now += ROUND_MILLIS) {
+    private long reconnectedAt(long until, boolean attended) {
+        for (long now = CHECK_INTERVAL_MILLIS; now < until; now += CHECK_INTERVAL_MILLIS) {
             if (health.nextAction(attended, now) == Action.RECONNECT) {
                 return now;
             }
@@ -31,9 +31,9 @@
         return until;
     }
 
-    private int pings(long from, long millis, boolean attended) {
+    private int countPings(long from, long millis, boolean attended) {
         int pings = 0;
-        for (long now = from; now < from + millis; now += ROUND_MILLIS) {
+        for (long now = from; now < from + millis; now += CHECK_INTERVAL_MILLIS) {
             if (health.nextAction(attended, now) == Action.PING) {
                 pings++;
                 health.onReceived(now + 1);
@@ -47,14 +47,14 @@
         /** Guards against requests that go into a connection which has fallen silent without a reset. */
         @Test
         void isGivenUpSoonAfterItHasFallenSilent() {
-            assertThat(renewedBy(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
+            assertThat(reconnectedAt(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
         }
 
         /** Guards against a scheduler that takes an entry for lost which holds slots but sends nothing for a while. */
         @Test
         void isPingedOftenEnoughForTheOtherEnd() {
-            assertThat(pings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
-                    .isGreaterThan((int) (12 * SECOND_MILLIS / ENTRY_LOST_MILLIS));
+            assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
+                    .isGreaterThan((int) (12 * SECOND_MILLIS / ENTRY_TIMEOUT_MILLIS));
         }
 
         /** Guards against a sound link that is given up because it was idle before it was used. */
@@ -65,7 +65,7 @@
             health.onSent(now);
             assertThat(health.nextAction(false, now)).isEqualTo(Action.PING);
             health.onReceived(now + 1);
-            assertThat(health.nextAction(false, now + ROUND_MILLIS)).isEqualTo(Action.PING);
+            assertThat(health.nextAction(false, now + CHECK_INTERVAL_MILLIS)).isEqualTo(Action.PING);
         }
     }
 
@@ -74,13 +74,14 @@
         /** Guards against hosts that do little else than ping the control hosts that they don't need. */
         @Test
         void isPingedEveryFewSeconds() {
-            assertThat(pings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, false)).isBetween(3, 6);
+            assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, false))
+                    .isBetween(3, 6);
         }
 
         /** Guards against a link that seems to be there until it is needed. */
         @Test
         void isGivenUpAsWellOnceItIsSilent() {
-            assertThat(renewedBy(20 * SECOND_MILLIS, false)).isLessThan(5 * SECOND_MILLIS);
+            assertThat(reconnectedAt(20 * SECOND_MILLIS, false)).isLessThan(5 * SECOND_MILLIS);
         }
     }
 }
--- a/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
+++ b/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
@@ -10,7 +10,7 @@
  */
 public final class RecordingSender implements FleetInbox.Sender {
     private final String peer;
-    private int shared;
+    private int sharedCount;
     private final List<FleetMessage> sent = new ArrayList<>();
 
     /**
@@ -40,7 +40,7 @@
     /** {@inheritDoc} */
     @Override
     public void sendShared(ByteBuf encoded) {
-        shared++;
+        sharedCount++;
     }
 
     /**
@@ -48,8 +48,8 @@
      *
      * @return the number of messages.
      */
-    public int shared() {
-        return shared;
+    public int sharedCount() {
+        return sharedCount;
     }
 
     /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/group/DocumentSenderTest.java
+++ b/node/src/test/java/org/radishspur/node/group/DocumentSenderTest.java
@@ -7,7 +7,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class DocumentSenderTest {
-    private final DocumentSender documents = new DocumentSender();
+    private final DocumentSender documentSender = new DocumentSender();
     private final RecordingSender receiver = new RecordingSender("one");
 
     private static CatalogueState.Document document(long revision) {
@@ -18,30 +18,30 @@
     @Test
     void sendsADocumentOnceOverAConnection() {
         for (long now = 0; now < 2_000; now += 200) {
-            documents.send(receiver, document(1), now);
+            documentSender.send(receiver, document(1), now);
         }
-        assertThat(receiver.shared()).isEqualTo(1);
+        assertThat(receiver.sharedCount()).isEqualTo(1);
     }
 
     @Test
     void sendsEachNewerDocument() {
-        documents.send(receiver, document(1), 0);
-        documents.send(receiver, document(2), 10);
-        assertThat(receiver.shared()).isEqualTo(2);
+        documentSender.send(receiver, document(1), 0);
+        documentSender.send(receiver, document(2), 10);
+        assertThat(receiver.sharedCount()).isEqualTo(2);
     }
 
     @Test
     void sendsItAgainOverAnotherConnection() {
-        documents.send(receiver, document(1), 0);
-        documents.forget(receiver);
-        documents.send(receiver, document(1), 10);
-        assertThat(receiver.shared()).isEqualTo(2);
+        documentSender.send(receiver, document(1), 0);
+        documentSender.remove(receiver);
+        documentSender.send(receiver, document(1), 10);
+        assertThat(receiver.sharedCount()).isEqualTo(2);
     }
 
     @Test
     void sendsItAgainWhereItHasHadNoEffectForLong() {
-        documents.send(receiver, document(1), 0);
-        documents.send(receiver, document(1), 3_000);
-        assertThat(receiver.shared()).isEqualTo(2);
+        documentSender.send(receiver, document(1), 0);
+        documentSender.send(receiver, document(1), 3_000);
+        assertThat(receiver.sharedCount()).isEqualTo(2);
     }
 }
--- a/node/src/test/java/org/radishspur/node/schedule/LoadSharingTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
@@ -26,22 +26,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LoadSharingTest {
+class LoadReportExchangeTest {
     private static final Upstream ENGINE = new Upstream("e", 1, "pool", "10.0.0.1:80", "a", "v1", 9, false, false);
-    private static final long TICK_MILLIS = LoadSharing.MIN_ROUND_MILLIS;
+    private static final long TICK_MILLIS = LoadReportExchange.MIN_ROUND_MILLIS;
 
     private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
-    private final List<FleetMessage.LoadReport> sent = new ArrayList<>();
+    private final List<FleetMessage.LoadReport> sentReports = new ArrayList<>();
     private final Map<String, Integer> toldTo = new HashMap<>();
-    private long messages;
-    private final LoadSharing sharing =
-            new LoadSharing(new Counting(), pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), "self/1");
+    private long messageCount;
+    private final LoadReportExchange exchange = new LoadReportExchange(
+            new RecordingFleetSender(), pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), "self/1");
 
     private UpstreamLoad engine() {
         return pools.dispatcher("pool").upstreams().find(ENGINE.run()).orElseThrow();
     }
 
-    private void view(int others) {
+    private void applyView(int others) {
         Catalogue catalogue = new Catalogue(
                 1, List.of(), List.of(new PoolRule("pool", 10, 9, true)), List.of(), CallerLimits.STANDARD);
         List<String> peers =
@@ -57,10 +57,10 @@
                         Moment.LONG_AGO),
                 others + 1,
                 0);
-        sharing.refresh(peers);
+        exchange.refresh(peers);
     }
 
-    private static FleetMessage.LoadReport load(boolean whole, int inProgress) {
+    private static FleetMessage.LoadReport report(boolean whole, int inProgress) {
         return new FleetMessage.LoadReport(
                 "other-0/1", whole, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
     }
@@ -71,35 +71,37 @@
         @ParameterizedTest
         @ValueSource(ints = {6, 53, 369})
         void staysWithinSoManyMessagesASecondWhateverTheNumberOfSchedulers(int others) {
-            view(others);
+            applyView(others);
             for (long now = 0; now < 10_000; now += TICK_MILLIS) {
                 engine().began(now, 0, now);
-                sharing.publishIfDue(now);
+                exchange.publishIfDue(now);
             }
-            assertThat(messages).isLessThanOrEqualTo(10 * 200 + others);
+            assertThat(messageCount).isLessThanOrEqualTo(10 * 200 + others);
         }
 
         @ParameterizedTest
         @ValueSource(ints = {6, 53, 369})
         void publishesAChangeWithinARoundOfThisManySchedulers(int others) {
-            view(others);
-            sharing.publishIfDue(0);
+            applyView(others);
+            exchange.publishIfDue(0);
             engine().began("request", 0, 1);
             long told = 0;
             for (long now = TICK_MILLIS; told == 0; now += TICK_MILLIS) {
-                sharing.publishIfDue(now);
-                told = sent.stream().anyMatch(load -> load.counts().length > 0 && load.counts()[0] == 1) ? now : 0;
+                exchange.publishIfDue(now);
+                told = sentReports.stream().anyMatch(load -> load.counts().length > 0 && load.counts()[0] == 1)
+                        ? now
+                        : 0;
             }
             assertThat(told).isLessThanOrEqualTo(2 * TICK_MILLIS + others * 1_000L / 200);
         }
 
         @Test
         void saysNothingBetweenWholeWordsWhereNothingChanges() {
-            view(6);
+            applyView(6);
             for (long now = 0; now < 4_000; now += TICK_MILLIS) {
-                sharing.publishIfDue(now);
+                exchange.publishIfDue(now);
             }
-            assertThat(sent).hasSizeLessThanOrEqualTo(14).allMatch(FleetMessage.LoadReport::full);
+            assertThat(sentReports).hasSizeLessThanOrEqualTo(14).allMatch(FleetMessage.LoadReport::full);
         }
     }
 
@@ -107,37 +109,37 @@
     class Receiving {
         @Test
         void countsWhatOthersHaveInProgress() {
-            view(6);
-            sharing.onReport(load(false, 4), Map.of(), 0);
+            applyView(6);
+            exchange.onReport(report(false, 4), Map.of(), 0);
             assertThat(engine().inProgress()).isEqualTo(4);
         }
 
         @Test
         void saysThatASlotHasBecomeFree() {
-            view(6);
-            assertThat(sharing.onReport(load(false, 4), Map.of(), 0)).isFalse();
-            assertThat(sharing.onReport(load(false, 3), Map.of(), 40)).isTrue();
+            applyView(6);
+            assertThat(exchange.onReport(report(false, 4), Map.of(), 0)).isFalse();
+            assertThat(exchange.onReport(report(false, 3), Map.of(), 40)).isTrue();
         }
 
         @Test
         void forgetsASchedulerThatHasFallenSilent() {
-            view(6);
-            sharing.onReport(load(false, 4), Map.of(), 0);
-            sharing.publishIfDue(1_000);
+            applyView(6);
+            exchange.onReport(report(false, 4), Map.of(), 0);
+            exchange.publishIfDue(1_000);
             assertThat(engine().inProgress()).isZero();
         }
 
         @Test
         void forgetsNoSchedulerThatPublishesAsSeldomAsManyDo() {
-            view(369);
-            sharing.onReport(load(false, 4), Map.of(), 0);
-            sharing.publishIfDue(2_000);
+            applyView(369);
+            exchange.onReport(report(false, 4), Map.of(), 0);
+            exchange.publishIfDue(2_000);
             assertThat(engine().inProgress()).isEqualTo(4);
         }
     }
 
     /** Counts what is sent, over connections that stand from the beginning. */
-    private final class Counting implements FleetSender {
+    private final class RecordingFleetSender implements FleetSender {
         /** {@inheritDoc} */
         @Override
         public void send(String address, FleetMessage message) {
@@ -147,9 +149,9 @@
         /** {@inheritDoc} */
         @Override
         public void send(Collection<String> addresses, FleetMessage message) {
-            messages += addresses.size();
+            messageCount += addresses.size();
             addresses.forEach(address -> toldTo.merge(address, 1, Integer::sum));
-            sent.add((FleetMessage.LoadReport) message);
+            sentReports.add((FleetMessage.LoadReport) message);
         }
 
         /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
@@ -55,13 +55,13 @@
                 .toList();
         Map<String, Integer> grants = new HashMap<>();
         for (ControlHost control : controls) {
-            granted(control, controls, cold).forEach(id -> grants.merge(id, 1, Integer::sum));
+            grantedUpstreams(control, controls, cold).forEach(id -> grants.merge(id, 1, Integer::sum));
         }
         assertThat(grants).hasSize(cold.size());
         assertThat(grants.values()).allMatch(count -> count == COLD_PER_SECOND);
     }
 
-    private static List<String> granted(ControlHost control, List<ControlHost> controls, List<Upstream> cold) {
+    private static List<String> grantedUpstreams(ControlHost control, List<ControlHost> controls, List<Upstream> cold) {
         PoolSet scheduler = new PoolSet(control.address(), control.failureDomain(), 0.1);
         PoolRule rule = new PoolRule("pool", 10, 4, true).withColdStart(new ColdStart(3_000, COLD_PER_SECOND));
         scheduler.apply(
@@ -89,7 +89,7 @@
         return granted;
     }
 
-    private void view(RolloutStage stage, String... versions) {
+    private void applyView(RolloutStage stage, String... versions) {
         List<Upstream> upstreams = java.util.Arrays.stream(versions)
                 .map(version -> new Upstream(version, 1, "pool", "10.0.0.1:80", "a", version, 4, false, false))
                 .toList();
@@ -106,7 +106,7 @@
                 0);
     }
 
-    private long allowed(String version, int requests) {
+    private long countAllowed(String version, int requests) {
         long count = 0;
         for (int index = 0; index < requests; index++) {
             VersionRule rule = pools.versions("pool", true);
@@ -117,33 +117,33 @@
 
     @Test
     void givesAVersionUnderTrialLessThanItsAllowedShare() {
-        view(RolloutStage.RUNNING, "v1", "v2");
-        assertThat(allowed("v2", 1_000)).isBetween(60L, 80L);
+        applyView(RolloutStage.RUNNING, "v1", "v2");
+        assertThat(countAllowed("v2", 1_000)).isBetween(60L, 80L);
     }
 
     @Test
     void sendsNoRetryToAVersionUnderTrial() {
-        view(RolloutStage.RUNNING, "v1", "v2");
+        applyView(RolloutStage.RUNNING, "v1", "v2");
         assertThat(pools.versions("pool", false).allows("v2")).isFalse();
     }
 
     @Test
     void sendsNothingToAVersionThatWasTakenBack() {
-        view(RolloutStage.ROLLED_BACK, "v1", "v2");
-        assertThat(allowed("v2", 100)).isZero();
-        assertThat(allowed("v1", 100)).isEqualTo(100);
+        applyView(RolloutStage.ROLLED_BACK, "v1", "v2");
+        assertThat(countAllowed("v2", 100)).isZero();
+        assertThat(countAllowed("v1", 100)).isEqualTo(100);
     }
 
     @Test
     void sendsEverythingToTheTargetOnceItIsComplete() {
-        view(RolloutStage.COMPLETED, "v1", "v2");
-        assertThat(allowed("v1", 100)).isZero();
+        applyView(RolloutStage.COMPLETED, "v1", "v2");
+        assertThat(countAllowed("v1", 100)).isZero();
     }
 
     /** The upstreams of the completed version are replaced by later ones: the pool must not stand empty. */
     @Test
     void takesWhatIsThereWhereNoUpstreamOfTheTargetIsLeft() {
-        view(RolloutStage.COMPLETED, "v3");
-        assertThat(allowed("v3", 100)).isEqualTo(100);
+        applyView(RolloutStage.COMPLETED, "v3");
+        assertThat(countAllowed("v3", 100)).isEqualTo(100);
     }
 }
--- a/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
@@ -8,9 +8,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class PublishRoundsTest {
-    private static final long STEP_MILLIS = 40;
+    private static final long TICK_MILLIS = 40;
 
-    private final PublishRounds rounds = new PublishRounds(STEP_MILLIS, 150);
+    private final PublishRounds rounds = new PublishRounds(TICK_MILLIS, 150);
 
     private void peers(int number) {
         rounds.peers(Collections.nCopies(number, "peer"));
@@ -19,7 +19,7 @@
     @Test
     void isToldInEachStepWhereItIsSmall() {
         peers(6);
-        assertThat(rounds.roundMillis()).isEqualTo(STEP_MILLIS);
+        assertThat(rounds.roundMillis()).isEqualTo(TICK_MILLIS);
     }
 
     @Test
@@ -32,7 +32,7 @@
     void hasNoRoundBeforeTheNextIsDue() {
         peers(36);
         assertThat(rounds.beginRound(0)).isTrue();
-        assertThat(rounds.beginRound(STEP_MILLIS)).isFalse();
+        assertThat(rounds.beginRound(TICK_MILLIS)).isFalse();
         assertThat(rounds.beginRound(240)).isTrue();
     }
 
