--- a/node/src/main/java/org/radishspur/node/fleet/ControlHost.java
+++ b/node/src/main/java/org/radishspur/node/fleet/ControlHost.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * Names a control host.
+ * Describes a control host.
  *
- * @param address the address at which other processes reach it.
- * @param failureDomain its failure domain, empty where that isn't known.
+ * @param address the address at which other processes connect to it.
+ * @param failureDomain its failure domain, empty if that isn't known.
  */
 public record ControlHost(String address, String failureDomain) {
 
-    /** {@inheritDoc} Written out, as the generated one is put together at run time, at each start of a process. */
+    /** {@inheritDoc} Written by hand because the generated method is linked at run time, which delays each start of a process. */
     @Override
     public boolean equals(Object other) {
         return other instanceof ControlHost host
--- a/node/src/main/java/org/radishspur/node/fleet/DeflatedText.java
+++ b/node/src/main/java/org/radishspur/node/fleet/DeflatedText.java
@@ -12,7 +12,7 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Holds a text in compressed form. A catalogue shrinks to a tenth, and goes to every process at each edit.
+ * Holds a text in compressed form. Compression reduces a catalogue, which every process receives after each edit, to a tenth.
  *
  * @param bytes the text in UTF-8, deflated.
  */
@@ -21,7 +21,7 @@
      * Compresses a text.
      *
      * @param text the text.
-     * @return its compressed form.
+     * @return the text in compressed form.
      */
     public static DeflatedText of(String text) {
         ByteArrayOutputStream compressed = new ByteArrayOutputStream();
@@ -29,7 +29,7 @@
         try (DeflaterOutputStream deflating = new DeflaterOutputStream(compressed, fast)) {
             deflating.write(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException exception) {
-            throw new RadishspurException(ErrorCode.FRAME_INVALID, "can't compress a text", exception);
+            throw new RadishspurException(ErrorCode.FRAME_INVALID, "can't compress the text", exception);
         } finally {
             fast.end();
         }
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Restores the text.
+     * Decompresses the text.
      *
      * @return the text.
-     * @throws RadishspurException if the bytes hold no compressed text, with {@link ErrorCode#FRAME_INVALID}.
+     * @throws RadishspurException if the bytes aren't a compressed text, with {@link ErrorCode#FRAME_INVALID}.
      */
     public String text() {
         try (InflaterInputStream inflating = new InflaterInputStream(new ByteArrayInputStream(bytes))) {
             return new String(inflating.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException exception) {
-            throw new RadishspurException(ErrorCode.FRAME_INVALID, "can't restore a text", exception);
+            throw new RadishspurException(ErrorCode.FRAME_INVALID, "can't decompress the text", exception);
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetInbox.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetInbox.java
@@ -3,51 +3,51 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Receives what other processes say, on a thread of the transport.
+ * Receives messages from other processes, on a transport thread.
  */
 public interface FleetInbox {
     /**
-     * Takes a message.
+     * Handles a message.
      *
-     * @param sender where an answer goes.
+     * @param sender the other end of the connection, to which an answer can be sent.
      * @param message the message.
      */
     void onMessage(Sender sender, FleetMessage message);
 
     /**
-     * Learns that a connection is gone.
+     * Handles the loss of a connection.
      *
-     * @param sender the other end, the same object as with its messages.
+     * @param sender the other end, the same object as for its messages.
      */
     default void onClosed(Sender sender) {}
 
     /**
-     * Answers over the connection that a message came on.
+     * Sends messages over the connection on which a message was received.
      */
     interface Sender {
         /**
-         * Sends a message, which is lost if the connection is gone.
+         * Sends a message, which is dropped if the connection is closed.
          *
          * @param message the message.
          */
         void send(FleetMessage message);
 
         /**
-         * Sends a message that goes to many receivers and was encoded once.
+         * Sends an encoded message that is shared between several receivers.
          *
-         * @param encoded the bytes, which stay the caller's.
+         * @param encoded the bytes of the message; the caller keeps its reference and releases it.
          */
         void sendShared(ByteBuf encoded);
 
         /**
-         * Names the other end.
+         * Returns the name of the other end.
          *
-         * @return the address that was connected to, or for an accepted connection a name that no other one has.
+         * @return the address of an outgoing connection, or a name unique to an accepted connection.
          */
         String peer();
 
         /**
-         * Returns how long nothing has come over the connection.
+         * Returns the time since something was last received over the connection.
          *
          * @return the time in milliseconds.
          */
--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -26,50 +26,50 @@
 import org.radishspur.node.settings.HostPort;
 
 /**
- * Keeps one connection to each wanted address and sends messages over it.
+ * Keeps one connection open to each of a set of addresses and sends messages over it.
  *
- * <p>A connection that has fallen silent for good is found by {@link LinkHealth} and made anew.
+ * <p>A connection over which nothing is received any more is detected by {@link LinkHealth} and replaced.
  */
 public final class FleetLinks implements FleetSender, AutoCloseable {
-    /** How long making a connection may take, in milliseconds; the longest ways take some ten. */
+    /** The connect timeout in milliseconds; connecting over the longest network path takes about ten. */
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** How long to wait before the next attempt, in milliseconds; short beside an election. */
+    /** The delay before the next attempt to connect, in milliseconds; short compared with an election. */
     private static final long RECONNECT_MILLIS = 60;
 
-    /** How often links are looked after, in milliseconds. */
+    /** The interval between health checks of the links, in milliseconds. */
     private static final long HEALTH_CHECK_INTERVAL_MILLIS = 300;
 
-    /** So many messages are written with one call at most, in the order in which they were sent in one turn of the loop. */
+    /** The greatest number of messages that are flushed together, in the order in which one turn of the event loop sent them. */
     static final int MAX_UNFLUSHED_MESSAGES = 64;
 
-    /** How many bytes may wait for a peer that does not read; beyond them the connection is made anew. */
+    /** The greatest backlog of unsent bytes for a peer that doesn't read; beyond it the connection is replaced. */
     private static final int MAX_BACKLOG_BYTES = 32 << 20;
 
     private final EventLoop loop;
     private final FleetInbox inbox;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
-    private final ScheduledFuture<?> care;
+    private final ScheduledFuture<?> healthChecks;
     private volatile String watchedAddress = "";
     private volatile boolean closed;
 
     /**
-     * Creates links to nobody.
+     * Creates links without any address.
      *
-     * @param loop the thread of the transport.
-     * @param inbox receives what comes over the links.
+     * @param loop the transport thread.
+     * @param inbox receives the messages that arrive over the links.
      */
     public FleetLinks(EventLoop loop, FleetInbox inbox) {
         this.loop = loop;
         this.inbox = inbox;
-        this.care = loop.scheduleAtFixedRate(
-                this::care, HEALTH_CHECK_INTERVAL_MILLIS, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        this.healthChecks = loop.scheduleAtFixedRate(
+                this::checkHealth, HEALTH_CHECK_INTERVAL_MILLIS, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Sets the addresses to which connections are kept.
+     * Sets the addresses to which connections are kept open.
      *
-     * @param addresses the wanted addresses; links to others are closed.
+     * @param addresses the addresses; links to all others are closed.
      */
     public void setAddresses(Set<String> addresses) {
         links.forEach((address, link) -> {
@@ -129,18 +129,18 @@
     @Override
     public void close() {
         closed = true;
-        care.cancel(false);
+        healthChecks.cancel(false);
         links.values().forEach(Link::remove);
         links.clear();
     }
 
-    private void care() {
+    private void checkHealth() {
         long now = Moment.steadyNow();
         links.values().forEach(link -> link.checkHealth(now));
     }
 
     /**
-     * Keeps one connection.
+     * Keeps the connection to one address open.
      */
     private final class Link extends SimpleChannelInboundHandler<FleetMessage> implements FleetInbox.Sender {
         private final String address;
@@ -173,10 +173,10 @@
                             new WriteBufferWaterMark(MAX_BACKLOG_BYTES / 2, MAX_BACKLOG_BYTES))
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel made) {
-                            made.pipeline().addLast(new FlushConsolidationHandler(MAX_UNFLUSHED_MESSAGES, true));
-                            PeerCodec.install(made, FleetServer.MAX_FRAME_BYTES, FleetMessage.class);
-                            made.pipeline().addLast(Link.this);
+                        protected void initChannel(SocketChannel connected) {
+                            connected.pipeline().addLast(new FlushConsolidationHandler(MAX_UNFLUSHED_MESSAGES, true));
+                            PeerCodec.install(connected, FleetServer.MAX_FRAME_BYTES, FleetMessage.class);
+                            connected.pipeline().addLast(Link.this);
                         }
                     })
                     .connect(HostPort.parse(address).toSocketAddress())
@@ -218,31 +218,31 @@
         }
 
         private void write(Object message) {
-            Channel present = channel;
-            if (present == null) {
+            Channel current = channel;
+            if (current == null) {
                 ReferenceCountUtil.release(message);
                 return;
             }
-            // Guards against filling the memory with messages for a process that has frozen but whose connection
-            // stands.
-            if (!present.isWritable()) {
+            // Guards against filling the memory with messages for a process that is frozen while its connection stays
+            // open.
+            if (!current.isWritable()) {
                 ReferenceCountUtil.release(message);
-                present.close();
+                current.close();
                 return;
             }
-            present.writeAndFlush(message, present.voidPromise());
+            current.writeAndFlush(message, current.voidPromise());
         }
 
         void checkHealth(long now) {
-            Channel present = channel;
-            if (present == null) {
+            Channel current = channel;
+            if (current == null) {
                 return;
             }
             switch (health.nextAction(address.equals(watchedAddress), now)) {
                 case PING -> write(new FleetMessage.Ping());
                 case RECONNECT -> {
-                    PartLog.PEER.info("The link to " + address + " is silent and is made anew.");
-                    present.close();
+                    PartLog.PEER.info("No answer from " + address + "; the connection is replaced.");
+                    current.close();
                 }
                 default -> {}
             }
@@ -250,9 +250,9 @@
 
         void remove() {
             removed = true;
-            Channel present = channel;
-            if (present != null) {
-                present.close();
+            Channel current = channel;
+            if (current != null) {
+                current.close();
             }
         }
 
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -13,18 +13,21 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Lists the messages between entries and control hosts.
+ * A message between two processes of the platform, entries or control hosts.
+ *
+ * <p>A message is encoded with the index of its type in the order of declaration, and as an array of its components in their
+ * order. Neither order may change.
  */
 public sealed interface FleetMessage {
 
-    /** Asks whether the other end still answers. */
+    /** Requests a {@link Pong}, to check that the other end still answers. */
     record Ping() implements FleetMessage {}
 
     /** Answers a {@link Ping}. */
     record Pong() implements FleetMessage {}
 
     /**
-     * Carries a message of the consensus core.
+     * Carries a Raft message between two replicas of the control state.
      *
      * @param from the identity of the sending replica.
      * @param to the identity of the receiving replica.
@@ -33,24 +36,24 @@
     record Raft(String from, String to, RaftMessage message) implements FleetMessage {}
 
     /**
-     * Says that a replica is there, and which other control hosts it knows.
+     * Announces a replica to the other control hosts, repeatedly; one that isn't a member yet may become one.
      *
      * @param replica the identity of the replica.
-     * @param controls the addresses of control hosts.
+     * @param controls the addresses of the members that the sender knows.
      * @param failureDomain the failure domain of the sender.
      */
     record ReplicaAnnouncement(String replica, List<String> controls, String failureDomain) implements FleetMessage {}
 
     /**
-     * Asks the control leader what is in force.
+     * Requests the current control state from the control leader.
      *
      * @param nonce a number that the answer repeats.
-     * @param entry the address of the entry; empty where a scheduler asks.
-     * @param incarnation which run of the entry's process asks.
-     * @param revision the revision of the catalogue that the entry has.
-     * @param listTerm the term of the host list that the entry has.
-     * @param listReading the reading of the host list that the entry has.
-     * @param versionCounts what the entry has seen of versions, since it started.
+     * @param entry the address of the entry, or empty if a scheduler sends the request.
+     * @param incarnation the time at which the sender started, in milliseconds since the epoch, which tells its runs apart.
+     * @param revision the revision of the sender's catalogue, 0 if it has none.
+     * @param listTerm the term of the sender's host list.
+     * @param listReading the reading of the sender's host list within that term.
+     * @param versionCounts the answers that the entry has counted since it started, by version.
      */
     record ViewRequest(
             long nonce,
@@ -65,16 +68,16 @@
     /**
      * Answers a {@link ViewRequest}.
      *
-     * @param nonce the number from the question.
-     * @param confirmed whether a majority has confirmed after the question that the sender leads; else only the leader
-     *     and the control hosts count in this answer.
-     * @param leader the address of the leader, or an empty text.
-     * @param revision the revision of the catalogue in force.
-     * @param list the host list, where the entry has an older one.
+     * @param nonce the number from the request.
+     * @param confirmed whether a majority has confirmed, after the request arrived, that the sender leads; otherwise only the
+     *     leader and the control hosts of this answer are valid.
+     * @param leader the address of the leader, or empty if it isn't known.
+     * @param revision the revision of the current catalogue.
+     * @param list the host list, if the receiver has an older one.
      * @param rollouts the latest rollout of each pool.
-     * @param entryCount how many entries have asked lately.
+     * @param entryCount the number of entries that have sent requests recently.
      * @param controls all control hosts.
-     * @param evacuated the failure domains whose upstreams are to get no new request.
+     * @param evacuated the failure domains whose upstreams must get no new requests.
      */
     record Followed(
             long nonce,
@@ -89,31 +92,31 @@
             implements FleetMessage {}
 
     /**
-     * Shares between schedulers what the entries of one have in progress and were admitted.
+     * Reports the load and the quota usage at one scheduler to another one.
      *
-     * <p>Only what has changed since the last message on the same connection is carried, as parallel arrays: between
-     * failure domains each byte counts.
+     * <p>Unless the report is full, it carries only the upstreams and organisations whose values have changed since the last
+     * report. Parallel arrays keep it small, because traffic between failure domains is limited.
      *
-     * @param scheduler the run of the sending scheduler.
-     * @param full whether everything is carried, so that what is missing is zero.
-     * @param upstreams digests of the upstreams' runs.
-     * @param counts for each upstream the requests in progress, the good answers, the bad ones, the step of its pace and
-     *     the steps of prompt tokens that it has still to read, one after the other.
-     * @param organisations what was admitted for organisations since the scheduler started.
+     * @param scheduler the incarnation of the sending scheduler.
+     * @param full whether the report carries all upstreams, so that the counts of any other upstream are zero.
+     * @param upstreams the hash codes of the runs of the upstreams.
+     * @param counts five numbers for each upstream, one upstream after the other: requests in progress, successful answers,
+     *     failed answers, the logarithmic step of the time per event, and the unread prompt tokens in units of 256.
+     * @param organisations the total usage admitted for each organisation since the scheduler started.
      */
     record LoadReport(String scheduler, boolean full, int[] upstreams, int[] counts, Map<String, Long> organisations)
             implements FleetMessage {}
 
     /**
-     * Counts what one entry has seen of one version of a pool, since it started.
+     * Counts the answers of one version of a pool on one route that an entry has received since it started.
      *
      * @param pool the pool.
      * @param version the version.
      * @param route the route.
-     * @param answers the answers, good and bad.
-     * @param failures the failed answers.
+     * @param answers the number of answers, failed ones included.
+     * @param failures the number of failed answers.
      * @param firstMillis the sum of the times to the first byte, in milliseconds.
-     * @param eventMillis the sum of the times for one event or one plain answer, in milliseconds.
+     * @param eventMillis the sum of the times per event of a stream or per whole plain answer, in milliseconds.
      */
     record VersionCounts(
             String pool,
@@ -125,21 +128,21 @@
             double eventMillis) {}
 
     /**
-     * Makes a scheduler the one of an entry.
+     * Attaches an entry to a scheduler, which from then on grants the slots of the entry.
      *
      * @param entry the address of the entry.
-     * @param held the slots that the entry holds.
+     * @param held the slots that the entry holds already.
      */
     record Attach(String entry, List<HeldSlot> held) implements FleetMessage {}
 
-    /** Takes leave of a scheduler; what was asked of it is asked elsewhere. */
+    /** Detaches an entry from a scheduler; the entry repeats its pending requests at another one. */
     record Detach() implements FleetMessage {}
 
     /**
-     * Asks a scheduler for a slot.
+     * Requests a slot from a scheduler.
      *
      * @param id the number of the request at its entry.
-     * @param request what is asked.
+     * @param request the request.
      */
     record Ask(long id, SlotRequest request) implements FleetMessage {}
 
@@ -152,7 +155,7 @@
     record Reply(long id, SlotReply reply) implements FleetMessage {}
 
     /**
-     * Reports what has become of a slot.
+     * Reports to a scheduler how the use of a slot proceeds or has ended.
      *
      * @param id the number of the request at its entry.
      * @param report the report.
@@ -160,10 +163,10 @@
     record Report(long id, SlotReport report) implements FleetMessage {}
 
     /**
-     * Brings a newer catalogue, before the {@link Followed} that confirms it on the same connection.
+     * Carries a newer catalogue, and precedes the {@link Followed} that confirms it on the same connection.
      *
      * @param revision the revision of the catalogue.
-     * @param text the catalogue.
+     * @param text the text of the catalogue.
      */
     record Document(long revision, DeflatedText text) implements FleetMessage {}
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Sends messages to other processes. A message to an address without a connection is dropped: whoever sends one repeats it
- * if it matters.
+ * Sends messages to other processes. A message to an address without a connection is dropped; the caller repeats it if that
+ * is necessary.
  */
 public interface FleetSender {
     /**
@@ -16,7 +16,7 @@
     void send(String address, FleetMessage message);
 
     /**
-     * Sends one message to many, which is encoded only once.
+     * Sends one message to several receivers and encodes it only once.
      *
      * @param addresses the addresses of the receivers.
      * @param message the message.
@@ -24,17 +24,18 @@
     void send(Collection<String> addresses, FleetMessage message);
 
     /**
-     * Watches the connection to one address closely, in place of the one before, even while nothing is sent over it.
+     * Sets the one address whose connection is checked as often as a connection in use, even while nothing is sent over it.
      *
-     * @param address the address; an empty text for none.
+     * @param address the address, or empty for none.
      */
     void attend(String address);
 
     /**
-     * Counts the connections that were made to an address, so that a sender of changes knows when to start over.
+     * Returns the number of connections that were made to an address so far. A caller that sends only changes can tell by a
+     * new number that it has to send everything again.
      *
      * @param address the address.
-     * @return the number; 0 where there is no connection now.
+     * @return the number, or 0 if there is no connection at present.
      */
     int connection(String address);
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -18,13 +18,13 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Takes connections from other processes of the system.
+ * Accepts connections from other processes of the platform.
  */
 public final class FleetServer implements Child {
-    /** The largest frame in bytes: four catalogues of the largest size that operators may send, with room to spare. */
+    /** The largest frame in bytes; four catalogues of the largest size that operators may send fit with room to spare. */
     static final int MAX_FRAME_BYTES = 32 << 20;
 
-    /** A connection that brings nothing for so long is dead; the other end sends a ping every two seconds at least. */
+    /** The time in seconds after which a silent connection is closed; the other end sends a ping at least every two seconds. */
     private static final int READ_TIMEOUT_SECONDS = 5;
 
     private final HostPort address;
@@ -35,9 +35,9 @@
     /**
      * Creates a server that doesn't listen yet.
      *
-     * @param address where to listen.
-     * @param group the threads of the transport.
-     * @param inbox receives what comes.
+     * @param address the address to listen on.
+     * @param group the transport threads.
+     * @param inbox receives the messages.
      */
     public FleetServer(HostPort address, EventLoopGroup group, FleetInbox inbox) {
         this.address = address;
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Takes the messages of one connection.
+     * Handles the messages of one connection.
      */
     private final class ConnectionHandler extends SimpleChannelInboundHandler<FleetMessage>
             implements FleetInbox.Sender {
--- a/node/src/main/java/org/radishspur/node/fleet/HostList.java
+++ b/node/src/main/java/org/radishspur/node/fleet/HostList.java
@@ -5,17 +5,17 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Holds what one whole reading of the platform's host list has shown.
+ * Holds the upstreams that one complete reading of the platform's host list has returned.
  *
- * @param term the term of the leader that has read it.
+ * @param term the term of the control leader that read the list.
  * @param reading the number of the reading within that term.
  * @param upstreams the upstreams of all pools.
  */
 public record HostList(long term, long reading, List<Upstream> upstreams) {
-    /** Stands for a list that was never read. */
+    /** The value before the list has been read. */
     public static final HostList NONE = new HostList(0, 0, List.of());
 
-    /** Copies the upstreams. */
+    /** Makes an immutable copy of the upstreams. */
     public HostList {
         upstreams = List.copyOf(upstreams);
     }
@@ -24,7 +24,7 @@
      * Returns whether this list was read later than another one.
      *
      * @param other the other list.
-     * @return whether it is newer.
+     * @return whether this list is newer.
      */
     public boolean isLaterThan(HostList other) {
         return term > other.term || term == other.term && reading > other.reading;
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -1,22 +1,22 @@
 package org.radishspur.node.fleet;
 
 /**
- * Decides when a connection is pinged, and when it is dead.
+ * Decides when a ping is sent over a connection, and when the connection is replaced.
  *
- * <p>Guards against a connection that falls silent for good without a reset. Most connections of a host are idle, kept in case
- * that another control host is lost; they are pinged seldom, as their pings would be most of what an idle host does.
+ * <p>Guards against a connection that stops delivering messages without a reset. Most connections of a host are idle and kept
+ * only in case another control host is lost. They get few pings, which would otherwise be most of the work of an idle host.
  */
 final class LinkHealth {
-    /** So long after a ping that was not answered the connection is dead, in milliseconds. */
+    /** The time after an unanswered ping at which the connection is replaced, in milliseconds. */
     static final long PING_TIMEOUT_MILLIS = 1_000;
 
-    /** A link in use is pinged after so much silence, in milliseconds. */
+    /** The time without a message after which a ping is sent over a link in use, in milliseconds. */
     static final long PING_AFTER_MILLIS = 150;
 
-    /** The same for an idle link, in milliseconds; the other end gives the link up after twice as much. */
+    /** The same for an idle link, in milliseconds; the other end closes the link after more than twice this time. */
     static final long IDLE_PING_AFTER_MILLIS = 2_000;
 
-    /** A link over which nothing was sent for so long is idle, in milliseconds. */
+    /** The time since a message other than a ping was sent after which a link is idle, in milliseconds. */
     static final long IDLE_AFTER_MILLIS = 2_000;
 
     private volatile long receivedAt;
@@ -24,20 +24,20 @@
     private volatile boolean awaitingAnswer;
     private long pingSentAt;
 
-    /** Notes that the connection was made. */
+    /** Records that the connection was opened. */
     void onOpened(long now) {
         receivedAt = now;
         sentAt = now;
         awaitingAnswer = false;
     }
 
-    /** Notes that something has come. */
+    /** Records that a message was received; any message answers a pending ping. */
     void onReceived(long now) {
         receivedAt = now;
         awaitingAnswer = false;
     }
 
-    /** Notes that something other than a ping was sent. */
+    /** Records that a message other than a ping was sent. */
     void onSent(long now) {
         sentAt = now;
     }
@@ -47,16 +47,16 @@
     }
 
     /**
-     * Says what is to be done now. A ping that it asks for is taken for sent.
+     * Returns the action that is due now. The caller must send each ping that this method asks for.
      *
-     * @param attended whether the link is needed even while nothing is sent over it.
-     * @param now the clock in milliseconds.
+     * @param watched whether the link counts as in use even while nothing is sent over it.
+     * @param now the monotonic clock in milliseconds.
      */
-    Action nextAction(boolean attended, long now) {
+    Action nextAction(boolean watched, long now) {
         if (awaitingAnswer && now - pingSentAt > PING_TIMEOUT_MILLIS) {
             return Action.RECONNECT;
         }
-        boolean inUse = attended || now - sentAt < IDLE_AFTER_MILLIS;
+        boolean inUse = watched || now - sentAt < IDLE_AFTER_MILLIS;
         if (silentMillis(now) < (inUse ? PING_AFTER_MILLIS : IDLE_PING_AFTER_MILLIS)) {
             return Action.NONE;
         }
@@ -67,13 +67,13 @@
         return Action.PING;
     }
 
-    /** Says what a link needs. */
+    /** An action for a link. */
     enum Action {
-        /** Nothing. */
+        /** Do nothing. */
         NONE,
-        /** A ping. */
+        /** Send a ping. */
         PING,
-        /** Another connection. */
+        /** Close the connection and open another one. */
         RECONNECT
     }
 }
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -3,42 +3,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds one moment on two clocks.
+ * Holds one point in time as read from two clocks.
  *
- * <p>Guards against a suspended host: the monotonic clock stands still meanwhile while the time of day goes on, and the
- * time of day may be set back while the monotonic clock goes on. An age is the larger of both differences, so that only
- * both failing at once, in opposite ways, could hide it.
+ * <p>Guards against stale data that looks fresh. While a host is suspended, its monotonic clock may stand still, but the time
+ * of day advances; the time of day may be set back, but the monotonic clock advances. The age of a moment is the larger of
+ * the two differences, so that it is too small only if both clocks fail at once.
  *
  * @param monotonicMillis the monotonic clock in milliseconds.
  * @param wallMillis the time of day in milliseconds since the epoch.
  */
 public record Moment(long monotonicMillis, long wallMillis) {
-    /** A moment so long ago that nothing from then is fresh. */
+    /** A moment so long ago that nothing from that time counts as fresh. */
     public static final Moment LONG_AGO = new Moment(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
     /**
      * Reads both clocks.
      *
-     * @return the present moment.
+     * @return the current moment.
      */
     public static Moment now() {
         return new Moment(steadyNow(), System.currentTimeMillis());
     }
 
     /**
-     * Reads the monotonic clock alone.
+     * Reads the monotonic clock only.
      *
-     * @return the present time in milliseconds.
+     * @return its value in milliseconds.
      */
     public static long steadyNow() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     /**
-     * Returns how old an earlier moment is at this one.
+     * Returns the time that has passed from an earlier moment to this one.
      *
      * @param earlier the earlier moment.
-     * @return the age in milliseconds, never negative.
+     * @return the time in milliseconds, never negative.
      */
     public long since(Moment earlier) {
         long steady = monotonicMillis - earlier.monotonicMillis;
--- a/node/src/main/java/org/radishspur/node/fleet/package-info.java
+++ b/node/src/main/java/org/radishspur/node/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What entries and control hosts say to each other where neither is told the others' names: they find each other from a
- * few addresses, follow the control leader, and share what they have in progress.
+ * Messages and connections between entries and control hosts, which find each other from a few configured addresses. The
+ * platform's programs entry and control use this package; its counterpart in the program radishspur-node is
+ * {@code org.radishspur.node.peer}, whose framing and encoding it shares.
  */
 package org.radishspur.node.fleet;
--- a/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
@@ -7,7 +7,8 @@
 import org.radishspur.replication.raft.Role;
 
 /**
- * Counts what a control host does, and holds what it believes; any thread may read it.
+ * Registers the metrics of a control host: its role, term and catalogue revision, operators' calls, readings of the host list
+ * and view requests. Any thread may read them.
  */
 final class ControlMetrics {
     private final MetricRegistry registry = new MetricRegistry();
@@ -25,14 +26,14 @@
         return registry;
     }
 
-    void recordRole(Role role, long reached) {
+    void recordRole(Role role, long newTerm) {
         leading = role == Role.LEADER;
-        term = reached;
+        term = newTerm;
         registry.counter("control.roles." + role).inc();
     }
 
-    void recordOperatorCall(int status, long known, long millis) {
-        revision = known;
+    void recordOperatorCall(int status, long currentRevision, long millis) {
+        revision = currentRevision;
         registry.counter("operators.answers." + status).inc();
         registry.timer("operators.call").update(millis, TimeUnit.MILLISECONDS);
     }
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -34,40 +34,41 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Runs a control host: one thread for control state, one for the transport, one for the disk.
+ * Runs the control program of the platform: a replica of the control state and a scheduler. One thread owns the control state,
+ * one serves the connections and owns the scheduler, and one writes to the disk.
  */
 public final class ControlProcess implements FleetInbox, AutoCloseable {
     private static final String CLUSTER_NAME = "fleet";
 
-    /** How often a leader shows that it leads, in milliseconds; a read waits for up to one such round. */
+    /** The interval between the leader's heartbeats, in milliseconds; a read waits for up to one heartbeat round. */
     private static final long HEARTBEAT_MILLIS = 60;
 
-    /** How long a follower waits at least before an election, in milliseconds; six heartbeats may be late or lost. */
+    /** The shortest election timeout of a follower, in milliseconds; up to six heartbeats may be late or lost. */
     private static final long ELECTION_TIMEOUT_MILLIS = 400;
 
-    /** Every read is confirmed by a majority, because hosts may be suspended while a lease seems to run on. */
+    /** No leases: a majority confirms every read, because on a suspended host an expired lease can still seem valid. */
     private static final long LEASE_MILLIS = 0;
 
-    /** An entry holds a whole catalogue: four of the largest ones fit into a frame. */
+    /** The greatest number of log entries in a message; each may hold a catalogue, and four of the largest fit into a frame. */
     private static final int ENTRIES_PER_MESSAGE = 4;
 
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 20;
 
-    /** How many entries stay in memory for followers a little behind; a snapshot is no larger than a few entries. */
+    /** The number of log entries kept in memory for slow followers; a snapshot is no larger than a few entries. */
     private static final int TRAILING_ENTRIES = 8;
 
     /**
-     * An entry holds a whole catalogue of up to some megabytes. Reading this many at a start takes a tenth of a second, and
-     * they stay well below the smallest disks of 128 MB.
+     * The number of log entries after which a snapshot is made. An entry may hold a catalogue of several megabytes. Reading
+     * this many at a start takes a tenth of a second, and they need far less than the smallest disks, which have 128 MB.
      */
     private static final int ENTRIES_PER_SNAPSHOT = 40;
 
     private static final int MAX_PENDING_PROPOSALS = 1_000;
 
-    /** Below so much free space nothing is proposed; room for one snapshot of the state beside the journal. */
+    /** The free disk space below which nothing is proposed, in bytes; enough for one snapshot of the state beside the log. */
     private static final long MINIMUM_FREE_BYTES = 4L << 20;
 
-    /** How long a planned stop waits for a follower to take over, in milliseconds; an election takes some ten. */
+    /** How long a planned stop waits for a follower to become leader, in milliseconds; an election takes about ten. */
     private static final long LEADERSHIP_TRANSFER_MILLIS = 150;
 
     private static final int IDENTITY_SUFFIX_BOUND = 1 << 30;
@@ -91,12 +92,12 @@
      * Starts a control host.
      *
      * @param settings the settings of the process.
-     * @param operators reads operators' calls.
-     * @param listDialect reads the platform's host list.
-     * @param events takes structured events.
+     * @param operatorDialect parses operators' calls and catalogues.
+     * @param hostListDialect parses the platform's host list.
+     * @param events receives structured events.
      */
     public ControlProcess(
-            FleetSettings settings, OperatorDialect operators, HostListDialect listDialect, EventLog events) {
+            FleetSettings settings, OperatorDialect operatorDialect, HostListDialect hostListDialect, EventLog events) {
         this.settings = settings;
         this.events = events;
         loop.onFailure(cause -> failed.countDown());
@@ -132,18 +133,24 @@
                 new ControlHost(settings.peerAddress().toString(), settings.failureDomain()),
                 settings.bounds().voters());
         hostListReader = new HostListReader(
-                loop, transportThreads.next(), replica, listDialect, settings.hostListAddress(), events, metrics);
+                loop, transportThreads.next(), replica, hostListDialect, settings.hostListAddress(), events, metrics);
         RolloutDriver rollouts = new RolloutDriver(loop, replica, events);
         viewService = new ViewService(loop, replica, membership, hostListReader, rollouts, metrics);
-        OperatorService desk =
-                new OperatorService(loop, replica, viewService, operators, settings.operatorPort(), events, metrics);
+        OperatorService operatorService = new OperatorService(
+                loop, replica, viewService, operatorDialect, settings.operatorPort(), events, metrics);
         schedulerHost = new SchedulerHost(
-                settings, cause -> failed.countDown(), transportThreads.next(), operators, events, metrics.registry());
+                settings,
+                cause -> failed.countDown(),
+                transportThreads.next(),
+                operatorDialect,
+                events,
+                metrics.registry());
         supervisor = new Supervisor("control", timers, loop::nowMillis)
                 .supervise("fleet-server", () -> new FleetServer(settings.peerAddress(), transportThreads, this))
                 .supervise(
                         "operator-server",
-                        () -> new OperatorServer(settings.operatorAddress().orElseThrow(), transportThreads, desk));
+                        () -> new OperatorServer(
+                                settings.operatorAddress().orElseThrow(), transportThreads, operatorService));
         settings.metricsAddress()
                 .ifPresent(address -> supervisor.supervise(
                         "metrics-server", () -> new MetricsServer(address, transportThreads, metrics.registry())));
@@ -167,8 +174,8 @@
                 viewService.answerPending();
             } else if (message instanceof FleetMessage.ReplicaAnnouncement candidate) {
                 membership.onAnnouncement(candidate);
-            } else if (message instanceof FleetMessage.ViewRequest question) {
-                viewService.onViewRequest(sender, question);
+            } else if (message instanceof FleetMessage.ViewRequest request) {
+                viewService.onViewRequest(sender, request);
             }
         });
     }
@@ -181,18 +188,18 @@
     }
 
     /**
-     * Takes over settings that have changed while the process runs.
+     * Applies settings that have changed while the process runs.
      *
-     * @param changed the new settings; only the seeds may differ.
+     * @param newSettings the new settings, which may differ from the old ones in the seeds only.
      */
-    public void reload(FleetSettings changed) {
-        events.emit(EventCode.RELOADED, changed.seeds());
-        loop.execute(() -> membership.seeds(addresses(changed.seeds())));
-        schedulerHost.seeds(changed.seeds());
+    public void reload(FleetSettings newSettings) {
+        events.emit(EventCode.RELOADED, newSettings.seeds());
+        loop.execute(() -> membership.seeds(addresses(newSettings.seeds())));
+        schedulerHost.seeds(newSettings.seeds());
     }
 
     /**
-     * Waits until a part of the process has failed for good.
+     * Waits until a component of the process has failed and can't be restarted.
      *
      * @throws InterruptedException if the waiting thread is interrupted.
      */
@@ -200,7 +207,7 @@
         failed.await();
     }
 
-    /** Stops as planned: hands leadership over, then ends. */
+    /** Prepares a planned stop: transfers leadership if this replica leads, waits for the election, and closes the event log. */
     public void shutDown() {
         events.emit(EventCode.STOPPING, 0);
         loop.execute(replica::transferLeadership);
@@ -225,7 +232,7 @@
         transportThreads.shutdownGracefully();
     }
 
-    /** Puts the fate of the replica into the structured log, and takes over what a leader does. */
+    /** Logs the start and the role changes of the replica, and starts reading the host list when it becomes leader. */
     private final class ReplicaObserver implements ReplicaHost.Observer {
         /** {@inheritDoc} */
         @Override
@@ -245,17 +252,18 @@
     }
 
     /**
-     * Gives a blank disk its identity. At the first start of the whole system the seeds found the group; at any other
-     * time a blank disk belongs to a host that is new or has lost its state, and joins under a new name.
+     * Returns the identity of the disk, and gives a blank disk a new one. At the first start of the whole system the seeds
+     * form the group. At any other time a blank disk belongs to a host that is new or has lost its state, and joins the group
+     * under a new name.
      */
     private Identity identityOf(DataFolder folder) {
         String node = settings.peerAddress().toString();
         if (!folder.isFormatted()) {
             Set<String> founders = addresses(settings.seeds());
-            boolean founds = settings.founding() && founders.contains(node);
+            boolean isFounder = settings.founding() && founders.contains(node);
             String suffix = Integer.toString(new Random().nextInt(IDENTITY_SUFFIX_BOUND), Character.MAX_RADIX);
             folder.format(
-                    founds
+                    isFounder
                             ? Identity.ofFounder(CLUSTER_NAME, node, founders)
                             : Identity.ofJoiner(CLUSTER_NAME, node, suffix));
         }
@@ -269,12 +277,12 @@
     }
 
     /**
-     * Names the folder of the state within the folder that the platform gives.
+     * Returns the folder of the control state within the data folder.
      *
-     * @param given the platform's folder.
-     * @return the folder of the state.
+     * @param dataFolder the data folder that the platform provides.
+     * @return the folder of the control state.
      */
-    public static Path stateFolder(Path given) {
-        return given.resolve("state");
+    public static Path stateFolder(Path dataFolder) {
+        return dataFolder.resolve("state");
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
+++ b/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
@@ -8,39 +8,39 @@
 import org.radishspur.node.fleet.FleetMessage;
 
 /**
- * Keeps the questions of entries that come while no leader is known.
+ * Holds view requests that arrive while no leader is known.
  *
- * <p>Guards against a longer outage after all replicas have restarted: the first round of messages of the new leader
- * confirms what was asked before it, instead of a round that entries ask for later; they ask every 80 ms, and a round takes
- * up to 60 ms more.
+ * <p>Shortens the outage after a restart of all replicas: the first heartbeat round of the new leader confirms the requests
+ * that arrived before it. Otherwise each entry would have to repeat its request, after up to 80 ms, and wait for another
+ * round, which takes up to 60 ms more.
  */
 final class DeferredRequests {
-    /** How long a question waits for a leader to be elected, in milliseconds; one election fits into it. */
+    /** How long a request waits for a leader to be elected, in milliseconds; long enough for one election. */
     static final long MAX_DEFERRAL_MILLIS = 400;
 
     private final Map<String, DeferredRequest> requestsByEntry = new LinkedHashMap<>();
 
-    /** Keeps a question in place of an earlier one of the same entry. */
-    void defer(DeferredRequest question) {
-        requestsByEntry.remove(question.request().entry());
-        requestsByEntry.put(question.request().entry(), question);
+    /** Defers a request, in place of an earlier one of the same entry. */
+    void defer(DeferredRequest request) {
+        requestsByEntry.remove(request.request().entry());
+        requestsByEntry.put(request.request().entry(), request);
     }
 
-    /** Takes out the questions that can be answered now, or that have waited too long, in the order of their coming. */
+    /** Removes and returns the requests that can be answered now or have waited too long, in the order of their arrival. */
     List<DeferredRequest> removeDue(boolean leaderKnown, long now) {
         List<DeferredRequest> due = requestsByEntry.values().stream()
-                .filter(question -> leaderKnown || now - question.receivedAt() > MAX_DEFERRAL_MILLIS)
+                .filter(deferred -> leaderKnown || now - deferred.receivedAt() > MAX_DEFERRAL_MILLIS)
                 .toList();
         requestsByEntry.values().removeAll(due);
         return due;
     }
 
     /**
-     * Holds one question.
+     * A request that waits for a leader.
      *
-     * @param sender where the answer goes.
-     * @param request the question.
-     * @param receivedAt when it came, by the clock of the control thread.
+     * @param sender the sender of the request, to which the answer goes.
+     * @param request the request.
+     * @param receivedAt when the request arrived, by the clock of the control thread in milliseconds.
      */
     record DeferredRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest request, long receivedAt) {}
 }
--- a/node/src/main/java/org/radishspur/node/group/DocumentSender.java
+++ b/node/src/main/java/org/radishspur/node/group/DocumentSender.java
@@ -12,24 +12,27 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Sends the catalogue to all who follow: compressed and encoded once, and once over each connection.
+ * Sends each catalogue to the entries and schedulers that poll, once over each connection. It is compressed and encoded only
+ * once.
  *
- * <p>Guards against a large catalogue that takes the leader down: followers ask several times a second and go on asking with
- * their old revision while the answer is under way, so that a hundred of them would be sent hundreds of copies, for which there is
- * neither memory nor time between two heartbeats.
+ * <p>Guards against overload of the leader by a large catalogue. Receivers poll several times a second, and with their old
+ * revision as long as the catalogue is in transit. A hundred of them would get hundreds of copies, for which there is neither
+ * enough memory nor enough time between two heartbeats.
  */
 final class DocumentSender {
-    /** After so long without effect a document is sent once more, in milliseconds; a slow link takes half a second for it. */
+    /** The time after which a document is sent again if the receiver still lacks it, in milliseconds; a slow link needs 500 ms. */
     private static final long RESEND_AFTER_MILLIS = 3_000;
 
     private final Map<String, Sent> sent = new HashMap<>();
     private ByteBuf encoded = Unpooled.EMPTY_BUFFER;
     private long encodedRevision = Long.MIN_VALUE;
 
-    /** Sends a document, unless it is under way to the receiver. */
+    /** Sends a document, unless it was sent to the receiver recently. */
     void send(FleetInbox.Sender receiver, CatalogueState.Document document, long now) {
-        Sent before = sent.get(receiver.peer());
-        if (before != null && before.revision() == document.revision() && now - before.sentAt() < RESEND_AFTER_MILLIS) {
+        Sent previous = sent.get(receiver.peer());
+        if (previous != null
+                && previous.revision() == document.revision()
+                && now - previous.sentAt() < RESEND_AFTER_MILLIS) {
             return;
         }
         if (encodedRevision != document.revision()) {
@@ -43,16 +46,16 @@
         receiver.sendShared(encoded);
     }
 
-    /** Forgets a receiver whose connection is gone. */
+    /** Removes a receiver whose connection is closed. */
     void remove(FleetInbox.Sender receiver) {
         sent.remove(receiver.peer());
     }
 
     /**
-     * Remembers what was sent over a connection.
+     * Records the latest document that was sent over a connection.
      *
      * @param revision the revision of the document.
-     * @param sentAt when, in milliseconds.
+     * @param sentAt when it was sent, by the monotonic clock in milliseconds.
      */
     private record Sent(long revision, long sentAt) {}
 }
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -31,23 +31,23 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Reads the platform's host list while this replica leads, so that all entries share one reader and the platform's limit
- * on calls is kept whatever their number. A new leader takes the reading over.
+ * Reads the platform's host list while this replica leads. All entries share one reader, so that the platform's limit on calls
+ * is kept whatever the number of entries. After a change of leadership the new leader reads the list.
  */
 final class HostListReader {
     /**
-     * The time from one reading to the next, in milliseconds: together with the entries' questions it puts a change in
-     * force within a second, a third of what is allowed, at some four calls in three seconds.
+     * The interval between readings, in milliseconds. Together with the polls of the entries it puts a change into effect
+     * within a second, a third of what is allowed, at about four calls in three seconds.
      */
     private static final long READ_INTERVAL_MILLIS = 750;
 
-    /** How long one page may take, in milliseconds. */
+    /** The timeout of the call for one page, in milliseconds. */
     private static final long PAGE_TIMEOUT_MILLIS = 1_200;
 
-    /** More pages than this are taken for a fault of the list; 50 hosts on a page make some 50,000 hosts. */
+    /** The number of pages after which a reading stops, because more are considered a fault; 50 hosts a page make 50,000 hosts. */
     private static final int MAX_PAGES = 1_000;
 
-    /** How old a list may be that was read before this replica led, in milliseconds; the period of reading it. */
+    /** The greatest age at which a list that was read before this replica led is still published, in milliseconds. */
     private static final long MAX_PREFETCHED_AGE_MILLIS = READ_INTERVAL_MILLIS;
 
     private static final long CONNECT_TIMEOUT_MILLIS = 500;
@@ -91,15 +91,15 @@
     }
 
     /**
-     * Reads the list before any leader is known, right after the start. Guards against a longer outage after all control
-     * hosts have restarted: reading the list for the first time takes a fifth of a second of a cold process, in which
-     * entries have nothing to serve with. Here it runs while the election does.
+     * Reads the list right after the start, before any leader is known. Shortens the outage after a restart of all control
+     * hosts: the first reading takes a newly started process a fifth of a second, during which entries know no upstreams.
+     * This way it overlaps with the election.
      */
     void prefetch() {
         read();
     }
 
-    /** Takes the leadership over: what was read a moment ago is told at once, and the list is read again. */
+    /** Handles the election of this replica as leader: publishes a list that was read just before, and reads the list again. */
     void onElected() {
         if (loop.nowMillis() - prefetchedAt < MAX_PREFETCHED_AGE_MILLIS) {
             publish(prefetched);
@@ -107,7 +107,7 @@
         readIfLeading();
     }
 
-    /** Reads the list if this replica leads and no reading is under way. */
+    /** Reads the list if this replica leads and no reading is in progress. */
     void readIfLeading() {
         if (replica.isLeader()) {
             read();
@@ -121,12 +121,12 @@
         }
     }
 
-    private void readPage(Optional<String> page, List<Upstream> sofar, int number) {
+    private void readPage(Optional<String> page, List<Upstream> collected, int pageNumber) {
         transport.execute(() -> new PageCall(
                         dialect.path(page),
                         body -> loop.execute(() -> {
                             try {
-                                onPage(dialect.page(body), sofar, number);
+                                onPage(dialect.page(body), collected, pageNumber);
                             } catch (RadishspurException exception) {
                                 onFailure(exception.getMessage());
                             }
@@ -134,29 +134,29 @@
                 .start());
     }
 
-    private void onPage(HostListDialect.Page page, List<Upstream> sofar, int number) {
-        sofar.addAll(page.upstreams());
-        if (page.next().isPresent() && number < MAX_PAGES) {
-            readPage(page.next(), sofar, number + 1);
+    private void onPage(HostListDialect.Page page, List<Upstream> collected, int pageNumber) {
+        collected.addAll(page.upstreams());
+        if (page.next().isPresent() && pageNumber < MAX_PAGES) {
+            readPage(page.next(), collected, pageNumber + 1);
             return;
         }
         readInProgress = false;
         metrics.recordListRead();
         if (replica.isLeader()) {
-            publish(sofar);
+            publish(collected);
         } else {
-            prefetched = sofar;
+            prefetched = collected;
             prefetchedAt = loop.nowMillis();
         }
     }
 
-    private void publish(List<Upstream> sofar) {
+    private void publish(List<Upstream> upstreams) {
         publishedReadings++;
-        boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(sofar);
+        boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(upstreams);
         if (changed) {
-            latest = new HostList(replica.term(), publishedReadings, sofar);
-            long leaving = sofar.stream().filter(Upstream::leaving).count();
-            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, sofar.size(), leaving);
+            latest = new HostList(replica.term(), publishedReadings, upstreams);
+            long leaving = upstreams.stream().filter(Upstream::leaving).count();
+            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, upstreams.size(), leaving);
         }
     }
 
@@ -167,14 +167,14 @@
     }
 
     /**
-     * Takes the body of a page, on the transport's thread.
+     * Receives the body of a page, on the transport thread.
      */
     private interface BodyListener {
         void onBody(String body);
     }
 
     /**
-     * Makes one call, on the transport's thread.
+     * Requests one page, on the transport thread.
      */
     private final class PageCall implements UpstreamListener {
         private final String path;
@@ -256,6 +256,7 @@
             }
         }
 
+        /** Marks the call as ended, and returns whether it had not ended before. */
         private boolean markEnded() {
             boolean first = !ended;
             ended = true;
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -17,20 +17,20 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Finds the other control hosts, and lets the leader put a blank replica in the place of one that is lost.
+ * Discovers the other control hosts, and at the leader replaces lost replicas by blank ones.
  *
- * <p>A replica whose disk was lost comes back under a new identity at its old address; its old identity can never come
- * back and is replaced at once. A host that has only fallen silent is replaced when a blank replica is there to take its
- * place, and not before that one holds everything that is committed.
+ * <p>A replica that has lost its disk starts again under a new identity at its old address. Its old identity can never be used
+ * again and is replaced at once. A host that merely doesn't answer is replaced only when a blank replica is available, and not
+ * before the blank replica holds everything that is committed.
  */
 final class MembershipManager {
-    /** How often replicas show themselves to each other, in milliseconds. */
+    /** The interval at which replicas announce themselves to each other, in milliseconds. */
     private static final long ANNOUNCE_INTERVAL_MILLIS = 400;
 
-    /** A candidate that has not shown itself for so long is not taken, in milliseconds. */
+    /** The time without a message after which a blank replica is no longer a candidate, in milliseconds. */
     private static final long CANDIDATE_TIMEOUT_MILLIS = 1_500;
 
-    /** A voter that was silent for so long may be replaced, in milliseconds; several elections fit into it. */
+    /** The time without a message after which a voter may be replaced, in milliseconds; long enough for several elections. */
     private static final long VOTER_TIMEOUT_MILLIS = 2_500;
 
     private final ControlLoop loop;
@@ -68,11 +68,11 @@
         announce();
     }
 
-    void onAnnouncement(FleetMessage.ReplicaAnnouncement candidate) {
-        replicasLastSeenAt.put(candidate.replica(), loop.nowMillis());
-        announcedAddresses.addAll(candidate.controls());
-        if (candidate.failureDomain() != null) {
-            failureDomains.put(ReplicaHost.nodeOf(candidate.replica()), candidate.failureDomain());
+    void onAnnouncement(FleetMessage.ReplicaAnnouncement announcement) {
+        replicasLastSeenAt.put(announcement.replica(), loop.nowMillis());
+        announcedAddresses.addAll(announcement.controls());
+        if (announcement.failureDomain() != null) {
+            failureDomains.put(ReplicaHost.nodeOf(announcement.replica()), announcement.failureDomain());
         }
     }
 
@@ -80,7 +80,7 @@
         replicasLastSeenAt.put(from, loop.nowMillis());
     }
 
-    /** Returns all control hosts that are worth asking. */
+    /** Returns the control hosts of all members, voters and learners. */
     List<ControlHost> controlHosts() {
         return memberAddresses().stream()
                 .map(address -> new ControlHost(address, failureDomains.getOrDefault(address, "")))
@@ -101,16 +101,16 @@
         if (replica.voters().isEmpty()) {
             wanted.addAll(announcedAddresses);
         }
-        replicasLastSeenAt.forEach((seen, at) -> {
-            if (now - at < CANDIDATE_TIMEOUT_MILLIS) {
-                wanted.add(ReplicaHost.nodeOf(seen));
+        replicasLastSeenAt.forEach((replicaId, lastSeenAt) -> {
+            if (now - lastSeenAt < CANDIDATE_TIMEOUT_MILLIS) {
+                wanted.add(ReplicaHost.nodeOf(replicaId));
             }
         });
         wanted.remove(self.address());
         links.setAddresses(wanted);
-        FleetMessage.ReplicaAnnouncement candidate =
+        FleetMessage.ReplicaAnnouncement announcement =
                 new FleetMessage.ReplicaAnnouncement(replica.identity(), memberAddresses(), self.failureDomain());
-        wanted.forEach(address -> links.send(address, candidate));
+        wanted.forEach(address -> links.send(address, announcement));
         replaceLost(now);
     }
 
@@ -122,21 +122,21 @@
         if (leadingSince == 0) {
             leadingSince = now;
         }
-        for (Map.Entry<String, Long> seen : replicasLastSeenAt.entrySet()) {
-            String candidate = seen.getKey();
-            if (now - seen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.knows(candidate)) {
+        for (Map.Entry<String, Long> lastSeen : replicasLastSeenAt.entrySet()) {
+            String candidate = lastSeen.getKey();
+            if (now - lastSeen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.knows(candidate)) {
                 continue;
             }
-            Optional<String> place = replaceableVoterFor(candidate, now);
-            if (place.isPresent()) {
-                boolean started = replica.replace(candidate, place.get());
-                events.emit(EventCode.MEMBER, candidate, place.get(), started);
+            Optional<String> replaced = replaceableVoterFor(candidate, now);
+            if (replaced.isPresent()) {
+                boolean started = replica.replace(candidate, replaced.get());
+                events.emit(EventCode.MEMBER, candidate, replaced.get(), started);
                 return;
             }
         }
     }
 
-    /** Returns the voter whose place a candidate may take, an empty text for a place of its own, or nothing. */
+    /** Returns the voter that a candidate may replace, an empty text if a voter may be added, or nothing if neither is allowed. */
     private Optional<String> replaceableVoterFor(String candidate, long now) {
         String node = ReplicaHost.nodeOf(candidate);
         for (String voter : replica.voters()) {
--- a/node/src/main/java/org/radishspur/node/group/OperatorServer.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorServer.java
@@ -25,10 +25,10 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Takes operators' calls over HTTP.
+ * Serves operators' calls over HTTP.
  */
 final class OperatorServer implements Child {
-    /** The largest body in bytes; a catalogue of some twenty thousand routes. */
+    /** The largest body of a call in bytes; enough for a catalogue of about twenty thousand routes. */
     private static final int MAX_BODY_BYTES = 6 << 20;
 
     private final HostPort address;
@@ -36,10 +36,10 @@
     private final OperatorService service;
     private Channel channel;
 
-    OperatorServer(HostPort address, EventLoopGroup group, OperatorService desk) {
+    OperatorServer(HostPort address, EventLoopGroup group, OperatorService service) {
         this.address = address;
         this.group = group;
-        this.service = desk;
+        this.service = service;
     }
 
     /** {@inheritDoc} */
@@ -65,32 +65,32 @@
     }
 
     /**
-     * Takes the calls of one connection.
+     * Handles the calls of one connection.
      */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            boolean keep = HttpUtil.isKeepAlive(request);
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
             String body = request.content().toString(StandardCharsets.UTF_8);
             service.handle(
                     request.method().name(),
                     request.uri(),
                     body,
-                    answer -> context.executor().execute(() -> write(context, answer, keep)));
+                    answer -> context.executor().execute(() -> write(context, answer, keepAlive)));
         }
 
-        private void write(ChannelHandlerContext context, OperatorService.Answer answer, boolean keep) {
+        private void write(ChannelHandlerContext context, OperatorService.Answer answer, boolean keepAlive) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
                     Unpooled.copiedBuffer(answer.body(), StandardCharsets.UTF_8));
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             HttpUtil.setContentLength(response, response.content().readableBytes());
-            HttpUtil.setKeepAlive(response, keep);
+            HttpUtil.setKeepAlive(response, keepAlive);
             answer.location().ifPresent(location -> response.headers().set(HttpHeaderNames.LOCATION, location));
             var written = context.writeAndFlush(response);
-            if (!keep) {
+            if (!keepAlive) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
         }
--- a/node/src/main/java/org/radishspur/node/group/OperatorService.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorService.java
@@ -18,7 +18,7 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Answers operators' calls at the leader and sends them there from other replicas.
+ * Answers operators' calls at the leader; the other replicas redirect them to the leader.
  */
 final class OperatorService {
     private static final int OK = 200;
@@ -38,7 +38,7 @@
     OperatorService(
             ControlLoop loop,
             ReplicaHost replica,
-            ViewService follow,
+            ViewService viewService,
             OperatorDialect dialect,
             int operatorPort,
             EventLog events,
@@ -46,36 +46,36 @@
         this.metrics = metrics;
         this.loop = loop;
         this.replica = replica;
-        this.viewService = follow;
+        this.viewService = viewService;
         this.dialect = dialect;
         this.operatorPort = operatorPort;
         this.events = events;
     }
 
     /**
-     * Takes a call, on any thread.
+     * Handles a call; may be used from any thread.
      *
      * @param method the HTTP method.
      * @param target the path and query.
      * @param body the body.
-     * @param listener takes the answer, on the control thread.
+     * @param listener receives the answer, on the control thread.
      */
     void handle(String method, String target, String body, AnswerListener listener) {
         loop.execute(() -> {
-            long began = loop.nowMillis();
+            long startedAt = loop.nowMillis();
             String path = target.contains("?") ? target.substring(0, target.indexOf('?')) : target;
-            AnswerListener logged = answer -> {
+            AnswerListener loggingListener = answer -> {
                 long revision = replica.state().catalogue().document().revision();
-                long millis = loop.nowMillis() - began;
+                long millis = loop.nowMillis() - startedAt;
                 events.emit(EventCode.OPERATOR, method + ' ' + path, answer.status(), revision, millis);
                 metrics.recordOperatorCall(answer.status(), revision, millis);
                 listener.onAnswer(answer);
             };
             if (!replica.isLeader()) {
-                logged.onAnswer(redirectToLeader(target));
+                loggingListener.onAnswer(redirectToLeader(target));
                 return;
             }
-            answer(dialect.read(method, path, body), target, logged);
+            answer(dialect.read(method, path, body), target, loggingListener);
         });
     }
 
@@ -170,18 +170,18 @@
     }
 
     /**
-     * Makes an answer from the latest state.
+     * Makes an answer from the current state.
      */
     private interface StateReader {
         Answer read(CatalogueState state);
     }
 
     /**
-     * Takes an answer.
+     * Receives the answer to a call.
      */
     interface AnswerListener {
         /**
-         * Takes the answer, on the control thread.
+         * Receives the answer, on the control thread.
          *
          * @param answer the answer.
          */
@@ -189,11 +189,11 @@
     }
 
     /**
-     * Holds an answer.
+     * The answer to a call.
      *
      * @param status the HTTP status.
      * @param body the body.
-     * @param location where the call is answered instead, or nothing.
+     * @param location the address of the leader that answers the call instead, or nothing.
      */
     record Answer(int status, String body, Optional<String> location) {
         static Answer of(int status, String body) {
--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -19,13 +19,13 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Moves rollouts from stage to stage at the leader, by what all entries have seen of the versions.
+ * Advances rollouts from stage to stage at the leader, according to the answers that all entries have counted by version.
  */
 final class RolloutDriver {
-    /** How often rollouts are evaluated, in milliseconds; a bad version gets at most this much longer. */
+    /** The interval between evaluations of the rollouts, in milliseconds; it delays the end of a bad trial by at most this time. */
     private static final long EVALUATION_INTERVAL_MILLIS = 200;
 
-    /** How long requests go to the target alone before the old upstreams may stop, in milliseconds. */
+    /** How long all requests go to the target version before the rollout completes and old upstreams may stop, in milliseconds. */
     private static final long MOVE_MILLIS = 600;
 
     private final ControlLoop loop;
@@ -43,9 +43,9 @@
         loop.repeat(this::evaluate, EVALUATION_INTERVAL_MILLIS);
     }
 
-    void recordCounts(String entryRun, List<VersionCounts> seen) {
-        countsByEntry.put(entryRun, seen);
-        baselinesByEntry.putIfAbsent(entryRun, seen);
+    void recordCounts(String entryRun, List<VersionCounts> counts) {
+        countsByEntry.put(entryRun, counts);
+        baselinesByEntry.putIfAbsent(entryRun, counts);
     }
 
     private void evaluate() {
@@ -63,7 +63,7 @@
     private void evaluate(Rollout rollout) {
         String name = rollout.pool() + '/' + rollout.target();
         if (!evaluatedRollout.equals(name)) {
-            // What was seen before the order says nothing of the trial.
+            // Answers that were counted before the rollout started are no evidence for the trial.
             evaluatedRollout = name;
             baselinesByEntry.clear();
             baselinesByEntry.putAll(countsByEntry);
@@ -79,14 +79,14 @@
             advance(rollout, RolloutStage.MOVING, evidence, "no evidence against the version");
         } else if (rollout.stage() == RolloutStage.MOVING
                 && loop.nowMillis() - movingSince.computeIfAbsent(name, key -> loop.nowMillis()) > MOVE_MILLIS) {
-            advance(rollout, RolloutStage.COMPLETED, evidence, "the requests have moved");
+            advance(rollout, RolloutStage.COMPLETED, evidence, "all requests go to the version");
         }
     }
 
     private void advance(Rollout rollout, RolloutStage stage, Map<String, Evidence> evidence, String cause) {
         Side trial = Side.NONE;
-        for (Evidence each : evidence.values()) {
-            trial = trial.plus(each.trial());
+        for (Evidence route : evidence.values()) {
+            trial = trial.plus(route.trial());
         }
         events.emit(
                 EventCode.ROLLOUT, rollout.pool(), rollout.target(), stage, trial.answers(), trial.failures(), cause);
@@ -96,30 +96,31 @@
     }
 
     private Map<String, Evidence> evidence(Rollout rollout) {
-        Map<String, Evidence> routes = new HashMap<>();
+        Map<String, Evidence> evidenceByRoute = new HashMap<>();
         for (Map.Entry<String, List<VersionCounts>> entry : countsByEntry.entrySet()) {
-            addCounts(rollout, entry.getValue(), 1, routes);
-            addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, routes);
+            addCounts(rollout, entry.getValue(), 1, evidenceByRoute);
+            addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, evidenceByRoute);
         }
-        return routes;
+        return evidenceByRoute;
     }
 
-    private static void addCounts(Rollout rollout, List<VersionCounts> seen, int sign, Map<String, Evidence> routes) {
-        for (VersionCounts tally : seen) {
-            if (!tally.pool().equals(rollout.pool())) {
+    private static void addCounts(
+            Rollout rollout, List<VersionCounts> counts, int sign, Map<String, Evidence> evidenceByRoute) {
+        for (VersionCounts count : counts) {
+            if (!count.pool().equals(rollout.pool())) {
                 continue;
             }
             Side side = new Side(
-                    sign * tally.answers(),
-                    sign * tally.failures(),
-                    sign * (tally.firstMillis() + tally.eventMillis()));
-            Evidence before = routes.getOrDefault(tally.route(), new Evidence(Side.NONE, Side.NONE));
-            boolean trial = tally.version().equals(rollout.target());
-            routes.put(
-                    tally.route(),
-                    trial
-                            ? new Evidence(before.trial().plus(side), before.others())
-                            : new Evidence(before.trial(), before.others().plus(side)));
+                    sign * count.answers(),
+                    sign * count.failures(),
+                    sign * (count.firstMillis() + count.eventMillis()));
+            Evidence previous = evidenceByRoute.getOrDefault(count.route(), new Evidence(Side.NONE, Side.NONE));
+            boolean isTrial = count.version().equals(rollout.target());
+            evidenceByRoute.put(
+                    count.route(),
+                    isTrial
+                            ? new Evidence(previous.trial().plus(side), previous.others())
+                            : new Evidence(previous.trial(), previous.others().plus(side)));
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/ViewService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -17,13 +17,14 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Tells entries what is in force, once a majority has confirmed after their question that this replica leads.
+ * Answers the view requests of entries and schedulers with the current control state. An answer, like any other read, waits until
+ * a majority of the replicas has confirmed, after the request arrived, that this replica is the leader.
  */
 final class ViewService {
-    /** An entry that has not asked for so long doesn't count any more, in milliseconds. */
+    /** The time without a request after which an entry is no longer counted, in milliseconds. */
     private static final long ENTRY_TIMEOUT_MILLIS = 3_000;
 
-    /** A read that a majority has not confirmed by then is given up, in milliseconds; callers ask again sooner. */
+    /** The time after which a read fails that no majority has confirmed, in milliseconds; entries repeat their requests sooner. */
     private static final long READ_TIMEOUT_MILLIS = 900;
 
     private final ControlLoop loop;
@@ -40,27 +41,27 @@
     ViewService(
             ControlLoop loop,
             ReplicaHost replica,
-            MembershipManager members,
-            HostListReader hostList,
-            RolloutDriver rollouts,
+            MembershipManager membership,
+            HostListReader hostListReader,
+            RolloutDriver rolloutDriver,
             ControlMetrics metrics) {
         this.metrics = metrics;
         this.loop = loop;
         this.replica = replica;
-        this.membership = members;
-        this.hostListReader = hostList;
-        this.rolloutDriver = rollouts;
+        this.membership = membership;
+        this.hostListReader = hostListReader;
+        this.rolloutDriver = rolloutDriver;
     }
 
-    void onViewRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest question) {
+    void onViewRequest(FleetInbox.Sender sender, FleetMessage.ViewRequest request) {
         long now = loop.nowMillis();
-        if (!question.entry().isEmpty()) {
-            entriesLastSeenAt.put(question.entry(), now);
+        if (!request.entry().isEmpty()) {
+            entriesLastSeenAt.put(request.entry(), now);
         }
         if (!replica.isLeader() && replica.leaderNode().isEmpty()) {
-            deferredRequests.defer(new DeferredRequests.DeferredRequest(sender, question, now));
+            deferredRequests.defer(new DeferredRequests.DeferredRequest(sender, request, now));
         } else {
-            answerOnceConfirmed(sender, question, now);
+            answerOnceConfirmed(sender, request, now);
         }
     }
 
@@ -68,10 +69,10 @@
         documentSender.remove(sender);
     }
 
-    private void answerOnceConfirmed(FleetInbox.Sender sender, FleetMessage.ViewRequest question, long askedAt) {
+    private void answerOnceConfirmed(FleetInbox.Sender sender, FleetMessage.ViewRequest request, long receivedAt) {
         if (!replica.isLeader()) {
             sender.send(new FleetMessage.Followed(
-                    question.nonce(),
+                    request.nonce(),
                     false,
                     replica.leaderNode(),
                     0,
@@ -82,22 +83,22 @@
                     Set.of()));
             return;
         }
-        if (!question.entry().isEmpty()) {
-            rolloutDriver.recordCounts(question.entry() + '/' + question.incarnation(), question.versionCounts());
+        if (!request.entry().isEmpty()) {
+            rolloutDriver.recordCounts(request.entry() + '/' + request.incarnation(), request.versionCounts());
         }
-        pendingReads.addLast(new PendingRead(askedAt, new ReadListener() {
+        pendingReads.addLast(new PendingRead(receivedAt, new ReadListener() {
             @Override
             public void onConfirmed(CatalogueState state) {
                 metrics.recordViewRequest(true);
-                if (state.document().revision() > question.revision()) {
+                if (state.document().revision() > request.revision()) {
                     documentSender.send(sender, state.document(), loop.nowMillis());
                 }
-                sender.send(response(question, state));
+                sender.send(response(request, state));
             }
 
             @Override
             public void onUnconfirmed() {
-                // The entry asks again, and by then perhaps another leader.
+                // The sender repeats the request, perhaps to another leader.
                 metrics.recordViewRequest(false);
             }
         }));
@@ -105,7 +106,7 @@
     }
 
     /**
-     * Reads the latest state.
+     * Reads the current state once a majority has confirmed that this replica is the leader.
      *
      * @param listener receives the outcome.
      */
@@ -114,17 +115,17 @@
         answerReads();
     }
 
-    /** Answers the questions and reads that can be answered by now, and gives up those that are too old. */
+    /** Answers the deferred requests and pending reads that can be answered now, and fails the reads that are too old. */
     void answerPending() {
         answerDeferredRequests();
         answerReads();
     }
 
     private void answerDeferredRequests() {
-        boolean known = replica.isLeader() || !replica.leaderNode().isEmpty();
+        boolean leaderKnown = replica.isLeader() || !replica.leaderNode().isEmpty();
         deferredRequests
-                .removeDue(known, loop.nowMillis())
-                .forEach(question -> answerOnceConfirmed(question.sender(), question.request(), question.receivedAt()));
+                .removeDue(leaderKnown, loop.nowMillis())
+                .forEach(deferred -> answerOnceConfirmed(deferred.sender(), deferred.request(), deferred.receivedAt()));
     }
 
     private void answerReads() {
@@ -144,11 +145,11 @@
         }
     }
 
-    private FleetMessage.Followed response(FleetMessage.ViewRequest question, CatalogueState state) {
+    private FleetMessage.Followed response(FleetMessage.ViewRequest request, CatalogueState state) {
         HostList list = hostListReader.latest();
-        boolean listNewer = list.isLaterThan(new HostList(question.listTerm(), question.listReading(), List.of()));
+        boolean listNewer = list.isLaterThan(new HostList(request.listTerm(), request.listReading(), List.of()));
         return new FleetMessage.Followed(
-                question.nonce(),
+                request.nonce(),
                 true,
                 replica.leaderNode(),
                 state.document().revision(),
@@ -161,29 +162,29 @@
 
     private int countEntries() {
         long now = loop.nowMillis();
-        entriesLastSeenAt.values().removeIf(receivedAt -> now - receivedAt > ENTRY_TIMEOUT_MILLIS);
+        entriesLastSeenAt.values().removeIf(seenAt -> now - seenAt > ENTRY_TIMEOUT_MILLIS);
         return entriesLastSeenAt.size();
     }
 
     /**
-     * Receives how a read ends, on the control thread.
+     * Receives the outcome of a read, on the control thread.
      */
     interface ReadListener {
         /**
-         * Takes the latest state.
+         * Handles a confirmed read.
          *
-         * @param state the state.
+         * @param state the current state.
          */
         void onConfirmed(CatalogueState state);
 
-        /** Learns that no majority has confirmed the read. */
+        /** Handles a read that no majority has confirmed in time, or that began before this replica lost the leadership. */
         void onUnconfirmed();
     }
 
     /**
-     * Remembers a read.
+     * A read that is not confirmed yet.
      *
-     * @param startedAt when it began, by the clock of the control thread.
+     * @param startedAt when the read began or its request arrived, by the clock of the control thread in milliseconds.
      * @param listener receives the outcome.
      */
     private record PendingRead(long startedAt, ReadListener listener) {}
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -14,15 +14,15 @@
 import org.radishspur.replication.state.CatalogueState.Rollout;
 
 /**
- * Holds what a process believes to be in force, and when a majority of the control replicas has last confirmed it.
+ * Holds the control state that an entry or a scheduler acts on, and when a majority of the control replicas last confirmed it.
  *
- * @param catalogue the catalogue, or nothing before the first one is known.
- * @param hosts the host list.
+ * @param catalogue the catalogue, empty until the first one is received.
+ * @param hosts the latest host list, {@link HostList#NONE} until the first one is received.
  * @param rollouts the latest rollout of each pool.
- * @param entries how many entries there are.
+ * @param entries the number of entries that poll the leader.
  * @param controls the control hosts, each of which runs a scheduler.
- * @param evacuated the failure domains whose upstreams are to get no new request.
- * @param confirmedAt when the question was sent whose answer has confirmed the catalogue.
+ * @param evacuated the failure domains whose upstreams must get no new requests.
+ * @param confirmedAt when the request was sent that the latest confirmation answers.
  */
 public record ConfirmedView(
         Optional<Catalogue> catalogue,
@@ -32,11 +32,11 @@
         List<ControlHost> controls,
         Set<String> evacuated,
         Moment confirmedAt) {
-    /** What a process believes when it starts. */
+    /** The view of a process that has just started; it was never confirmed. */
     public static final ConfirmedView NOTHING =
             new ConfirmedView(Optional.empty(), HostList.NONE, List.of(), 0, List.of(), Set.of(), Moment.LONG_AGO);
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the collections. */
     public ConfirmedView {
         rollouts = List.copyOf(rollouts);
         controls = List.copyOf(controls);
@@ -51,15 +51,21 @@
         return new ConfirmedView(catalogue, newer, rollouts, entries, controls, evacuated, confirmedAt);
     }
 
-    ConfirmedView withAnswer(FleetMessage.Followed answer, Moment at) {
+    ConfirmedView withAnswer(FleetMessage.Followed answer, Moment sentAt) {
         return new ConfirmedView(
-                catalogue, hosts, answer.rollouts(), answer.entryCount(), answer.controls(), answer.evacuated(), at);
+                catalogue,
+                hosts,
+                answer.rollouts(),
+                answer.entryCount(),
+                answer.controls(),
+                answer.evacuated(),
+                sentAt);
     }
 
     /**
      * Returns the revision of the catalogue.
      *
-     * @return the revision, 0 where there is no catalogue.
+     * @return the revision, or 0 if there is no catalogue.
      */
     public long revision() {
         return catalogue.map(Catalogue::revision).orElse(0L);
@@ -68,27 +74,28 @@
     /**
      * Returns the organisations of the catalogue.
      *
-     * @return the rules by name.
+     * @return the rules of the organisations by name, empty if there is no catalogue.
      */
     public Map<String, OrganisationRule> organisations() {
         return catalogue.map(Catalogue::organisations).orElse(Map.of());
     }
 
     /**
-     * Returns whether the whole view was confirmed lately.
+     * Returns whether a catalogue and a host list are present and were confirmed recently.
      *
-     * @param millis how long ago that may be.
-     * @return whether it was.
+     * @param millis the greatest allowed age of the confirmation, in milliseconds.
+     * @return whether the view is complete and younger than that.
      */
     public boolean isConfirmedWithin(double millis) {
         return catalogue.isPresent() && hosts.reading() > 0 && Moment.now().since(confirmedAt) < millis;
     }
 
     /**
-     * Returns whether another view holds the same but for the time of its confirmation.
+     * Returns whether another view has the same content, whenever the two were confirmed. Host lists are compared by
+     * identity.
      *
      * @param other the other view.
-     * @return whether it does.
+     * @return whether everything but the time of the confirmation is the same.
      */
     public boolean saysTheSame(ConfirmedView other) {
         return hosts == other.hosts
--- a/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
@@ -20,20 +20,20 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Follows the control leader for an entry or a scheduler, on the control thread: asks what is in force, several times a second, and finds
- * the leader again when it is lost.
+ * Polls the control leader for the current control state on behalf of an entry or a scheduler, and searches for the leader
+ * when it stops answering. All methods run on one control loop.
  */
 public final class ControlFollower {
-    /** How often the leader is asked, in milliseconds; an eighth of the time in which an edit must be in force. */
+    /** The interval between requests to the leader, in milliseconds; an eighth of the time in which an edit must take effect. */
     private static final long POLL_INTERVAL_MILLIS = 300;
 
-    /** How often control hosts are asked while no leader is known, in milliseconds. */
+    /** The interval between requests while no leader is known or its answer is overdue, in milliseconds. */
     private static final long SEARCH_INTERVAL_MILLIS = 80;
 
-    /** After so long without a confirmation the other control hosts are asked as well, in milliseconds. */
+    /** After this time without a confirmation the other control hosts are asked as well, in milliseconds. */
     private static final long LEADER_TIMEOUT_MILLIS = 500;
 
-    /** Questions that were not answered for so long are forgotten, in milliseconds. */
+    /** After this time an answer to a request is ignored, in milliseconds. */
     private static final long REQUEST_TIMEOUT_MILLIS = 3_000;
 
     private final ControlLoop loop;
@@ -54,15 +54,15 @@
     private long nextNonce;
 
     /**
-     * Begins to follow.
+     * Starts polling.
      *
-     * @param loop the control thread.
-     * @param links reach the control hosts.
-     * @param dialect reads catalogues.
-     * @param events takes structured events.
-     * @param entry the address of the entry that follows, empty for a scheduler.
-     * @param tallies what the entry has seen of versions.
-     * @param listener takes changed views.
+     * @param loop the thread that polls, handles answers and calls the listener.
+     * @param links the connections to the control hosts.
+     * @param dialect parses catalogues.
+     * @param events receives structured events.
+     * @param entry the address of the entry that polls, empty for a scheduler.
+     * @param versionCounts the source of the answer counts that are sent with each request.
+     * @param listener receives the view after each confirmation and each new catalogue.
      */
     public ControlFollower(
             ControlLoop loop,
@@ -70,7 +70,7 @@
             OperatorDialect dialect,
             EventLog events,
             String entry,
-            CountSource tallies,
+            CountSource versionCounts,
             ViewListener listener) {
         this.loop = loop;
         this.links = links;
@@ -78,15 +78,15 @@
         this.events = events;
         this.entry = entry;
         this.incarnation = System.currentTimeMillis();
-        this.versionCounts = tallies;
+        this.versionCounts = versionCounts;
         this.listener = listener;
         loop.schedule(this::poll, SEARCH_INTERVAL_MILLIS);
     }
 
     /**
-     * Sets the control hosts that are asked first.
+     * Sets the control hosts to ask while no leader is known.
      *
-     * @param addresses their addresses, perhaps stale.
+     * @param addresses their addresses, some of which may be stale.
      */
     public void seeds(Set<String> addresses) {
         seeds.clear();
@@ -96,7 +96,8 @@
     }
 
     /**
-     * Takes an answer.
+     * Handles the answer to a request. A confirmed answer updates the view; any other one only names the control hosts and,
+     * where it is known, the leader.
      *
      * @param answer the answer.
      */
@@ -110,8 +111,8 @@
             updateLinks();
             return;
         }
-        Moment askedAt = requestsSentAt.remove(answer.nonce());
-        if (askedAt == null) {
+        Moment sentAt = requestsSentAt.remove(answer.nonce());
+        if (sentAt == null) {
             return;
         }
         if (leaderLost) {
@@ -120,14 +121,14 @@
                     EventCode.CONTROL, "followed", answer.leader(), Moment.now().since(view.confirmedAt()));
         }
         leader = answer.leader();
-        updateView(answer, askedAt);
+        updateView(answer, sentAt);
         updateLinks();
     }
 
     /**
-     * Takes over a newer catalogue. It counts once an answer has confirmed it.
+     * Replaces the catalogue by a newer one. The time of the last confirmation changes only with the next confirmed answer.
      *
-     * @param document the catalogue.
+     * @param document the catalogue; it is ignored unless its revision is newer.
      */
     public void onDocument(FleetMessage.Document document) {
         if (document.revision() <= view.revision()) {
@@ -152,7 +153,7 @@
         }
     }
 
-    private void updateView(FleetMessage.Followed answer, Moment askedAt) {
+    private void updateView(FleetMessage.Followed answer, Moment sentAt) {
         ConfirmedView next = view;
         if (answer.list().isPresent() && answer.list().get().isLaterThan(next.hosts())) {
             HostList hosts = answer.list().get();
@@ -165,18 +166,18 @@
                     hosts.upstreams().size(),
                     leaving);
         }
-        // The answer confirms this entry's catalogue only if the entry now holds the one that the leader told of. An
-        // answer that was overtaken by a later one confirms nothing newer than that one did.
+        // The answer confirms the view only if the catalogue here is at least as new as the leader's. An answer that
+        // arrives after the answer to a later request must not set the confirmation back.
         boolean current = next.revision() >= answer.revision();
-        boolean newer = askedAt.monotonicMillis() >= next.confirmedAt().monotonicMillis();
+        boolean newer = sentAt.monotonicMillis() >= next.confirmedAt().monotonicMillis();
         if (current && newer) {
-            next = next.withAnswer(answer, askedAt);
+            next = next.withAnswer(answer, sentAt);
         }
         view = next;
         listener.onView(next);
     }
 
-    /** Asks, and asks again soon where the last answer is overdue; each round of an idle host is a wake-up that it pays for. */
+    /** Sends requests and schedules the next poll, sooner if an answer is overdue; each poll wakes up an otherwise idle host. */
     private void poll() {
         sendRequests();
         boolean overdue = Moment.now().since(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
@@ -185,22 +186,22 @@
 
     private void sendRequests() {
         Moment now = Moment.now();
-        requestsSentAt.values().removeIf(asked -> now.since(asked) > REQUEST_TIMEOUT_MILLIS);
+        requestsSentAt.values().removeIf(sentAt -> now.since(sentAt) > REQUEST_TIMEOUT_MILLIS);
         long age = now.since(view.confirmedAt());
-        boolean missing = age > LEADER_TIMEOUT_MILLIS;
-        if (missing && !leaderLost) {
+        boolean overdue = age > LEADER_TIMEOUT_MILLIS;
+        if (overdue && !leaderLost) {
             leaderLost = true;
             events.emit(EventCode.CONTROL, "lost", leader, age);
         }
-        Set<String> asked = new TreeSet<>();
+        Set<String> receivers = new TreeSet<>();
         if (!leader.isEmpty()) {
-            asked.add(leader);
+            receivers.add(leader);
         }
-        if (missing || leader.isEmpty()) {
-            asked.addAll(searchOrder.next(wantedAddresses()));
+        if (overdue || leader.isEmpty()) {
+            receivers.addAll(searchOrder.next(wantedAddresses()));
         }
-        List<FleetMessage.VersionCounts> seen = versionCounts.tallies();
-        for (String address : asked) {
+        List<FleetMessage.VersionCounts> counts = versionCounts.tallies();
+        for (String address : receivers) {
             long nonce = ++nextNonce;
             requestsSentAt.put(nonce, now);
             links.send(
@@ -212,11 +213,11 @@
                             view.revision(),
                             view.hosts().term(),
                             view.hosts().reading(),
-                            seen));
+                            counts));
         }
     }
 
-    /** Returns the control hosts to stay connected with: the seeds only as long as nothing better is known. */
+    /** Returns the control hosts to stay connected to: the seeds only while no others are known or the leader is lost. */
     private Set<String> wantedAddresses() {
         Set<String> wanted = new TreeSet<>(controls.keySet());
         if (controls.isEmpty() || leaderLost) {
@@ -233,25 +234,25 @@
     }
 
     /**
-     * Takes a changed view, on the control thread.
+     * Receives the view after each confirmation and each change, on the control loop.
      */
     public interface ViewListener {
         /**
-         * Takes the view.
+         * Receives a view.
          *
-         * @param view the view.
+         * @param view the current view.
          */
         void onView(ConfirmedView view);
     }
 
     /**
-     * Collects what the entry has seen of versions; callable from any thread.
+     * Provides the answer counts of an entry by version; may be called from any thread.
      */
     public interface CountSource {
         /**
          * Returns the counts.
          *
-         * @return one tally for each pool, version and route.
+         * @return the counts, one for each pool, version and route.
          */
         List<FleetMessage.VersionCounts> tallies();
     }
--- a/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
+++ b/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
@@ -7,7 +7,8 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Logs how far the evacuation of failure domains is at one scheduler. A failure domain is empty once all schedulers say so.
+ * Logs the progress of the evacuation of failure domains at this scheduler. A failure domain is empty once every scheduler has
+ * logged it as empty.
  */
 final class EvacuationLog {
     private final PoolSet pools;
@@ -20,11 +21,11 @@
         this.events = events;
     }
 
-    /** Takes over the failure domains that are evacuated now. */
-    void onView(Set<String> newer) {
+    /** Updates the set of evacuated failure domains and logs the changes. */
+    void onView(Set<String> current) {
         Set<String> readmitted = new TreeSet<>(evacuated);
-        readmitted.removeAll(newer);
-        Set<String> added = new TreeSet<>(newer);
+        readmitted.removeAll(current);
+        Set<String> added = new TreeSet<>(current);
         added.removeAll(evacuated);
         evacuated.removeAll(readmitted);
         draining.removeAll(readmitted);
@@ -34,7 +35,7 @@
         added.forEach(failureDomain -> emit(failureDomain, "evacuated"));
     }
 
-    /** Logs each failure domain in which the last request of this scheduler has ended. */
+    /** Logs each evacuated failure domain in which no request of this scheduler is in progress any more. */
     void logDrained() {
         draining.removeIf(failureDomain -> {
             boolean empty = pools.inProgress(failureDomain) == 0;
--- a/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -16,30 +16,31 @@
 import org.radishspur.node.fleet.FleetSender;
 
 /**
- * Publishes to the other schedulers what is in progress here and what organisations have used, and takes in their reports. The
- * traffic thread owns it.
+ * Publishes the load and the quota usage of this scheduler to the other schedulers, its peers, and applies the reports that
+ * they send. The traffic thread owns it.
  *
- * <p>Each scheduler decides by the sum, which is a few ten milliseconds old: two may grant the last slot of an upstream at once,
- * which then queues one request itself for a moment. In return no request waits for a permit from another failure domain, and
- * the loss of a scheduler takes away nothing but its own queue.
+ * <p>Each scheduler decides by the sum of its own load and the reports of its peers, which are a few tens of milliseconds old.
+ * Two schedulers can therefore grant the last slot of an upstream at the same time, and the upstream then queues one request
+ * itself for a moment. In return no request waits for a permit from another failure domain, and the loss of a scheduler
+ * affects only its own queue.
  */
 final class LoadReportExchange {
-    /** A scheduler that has reported nothing for so long is taken for lost, in milliseconds. */
+    /** The shortest time without a report after which a peer is considered lost, in milliseconds. */
     private static final long PEER_TIMEOUT_MILLIS = 900;
 
-    /** The shortest time between two rounds, in milliseconds. */
+    /** The shortest time between two rounds of publishing, in milliseconds. */
     static final long MIN_ROUND_MILLIS = 40;
 
     /**
-     * How many messages a second a scheduler sends at most, and how many it gets. Where there are more schedulers, each
-     * publishes less often, so that what it spends on them doesn't grow with their number.
+     * The greatest number of reports that a scheduler sends each second. With more peers each scheduler publishes less
+     * often, so that the cost of sending and receiving reports doesn't grow with their number.
      */
     private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-    /** How many answers reported by another scheduler are taken in one by one; more in one message say nothing more. */
+    /** The greatest number of successes or failures in one report that are recorded; more carry no further information. */
     private static final int MAX_OUTCOMES_PER_REPORT = 4;
 
-    /** How many numbers are published of each upstream. */
+    /** The number of values that a report carries for each upstream; the constants below are their positions. */
     private static final int COUNTS_PER_UPSTREAM = 5;
 
     private static final int IN_PROGRESS = 0;
@@ -48,10 +49,10 @@
     private static final int EVENT_TIME_STEPS = 3;
     private static final int UNREAD_TOKEN_STEPS = 4;
 
-    /** Tokens of prompts that are still to be read are published in this step; fewer are read in a few milliseconds. */
+    /** The unit in which unread prompt tokens are published; an upstream reads fewer tokens in a few milliseconds. */
     private static final int TOKENS_PER_STEP = 256;
 
-    /** The ratio of one step of a pace to the next. Steps this coarse rarely change, and a change costs a message. */
+    /** The ratio between neighbouring steps of the time per event; coarse steps change rarely, and a change costs a message. */
     private static final double EVENT_TIME_STEP_RATIO = 1.25;
 
     private final FleetSender links;
@@ -65,12 +66,12 @@
     private Map<Integer, UpstreamLoad> upstreams = Map.of();
 
     /**
-     * Creates the sharing of one scheduler.
+     * Creates the exchange of one scheduler, without peers.
      *
-     * @param links reach the other schedulers.
-     * @param pools what is published, and where the others' reports go.
-     * @param quotas the same for what organisations have used.
-     * @param self the run of this scheduler: its address, a slash and what sets its runs apart.
+     * @param links the connections to the peers.
+     * @param pools the load to publish, to which the load of the peers is added.
+     * @param quotas the quota usage to publish, to which the usage at the peers is added.
+     * @param self the incarnation of this scheduler: its address, a slash and the time at which it started.
      */
     LoadReportExchange(FleetSender links, PoolSet pools, QuotaLedger quotas, String self) {
         this.links = links;
@@ -79,103 +80,106 @@
         this.self = self;
     }
 
-    /** Takes over a newer view, by which the upstreams of the pools may have changed as well. */
+    /** Sets the addresses of the peers and looks up the upstreams of the pools again; called after each change of the view. */
     void refresh(List<String> others) {
         publishRounds.peers(others);
         upstreams = upstreamsByDigest();
         outcomes.keySet().retainAll(Set.copyOf(upstreams.values()));
     }
 
-    /** Counts an answer for the other schedulers. */
-    void recordOutcome(UpstreamLoad upstream, boolean good) {
-        outcomes.computeIfAbsent(upstream, key -> new long[2])[good ? 0 : 1]++;
+    /** Counts an answer of an upstream, for the next report. */
+    void recordOutcome(UpstreamLoad upstream, boolean succeeded) {
+        outcomes.computeIfAbsent(upstream, key -> new long[2])[succeeded ? 0 : 1]++;
     }
 
-    /** Publishes what has changed since the last round, where the next one is due. */
+    /** Publishes what has changed since the last round, or everything in a full report, if the next round is due. */
     void publishIfDue(long now) {
         removeLostPeers(now);
         if (!publishRounds.beginRound(now)) {
             return;
         }
-        Map<Integer, int[]> present =
+        Map<Integer, int[]> current =
                 currentCounts(publishRounds.publishedUpstreams().keySet());
-        List<String> wholeTo = new ArrayList<>();
+        List<String> fullReportTo = new ArrayList<>();
         List<String> changesTo = new ArrayList<>();
-        boolean whole = publishRounds.beginFullReport();
+        boolean full = publishRounds.beginFullReport();
         for (String other : publishRounds.peers()) {
             int connection = links.connection(other);
-            boolean fresh = connection != connectionCounts.getOrDefault(other, 0);
+            boolean reconnected = connection != connectionCounts.getOrDefault(other, 0);
             connectionCounts.put(other, connection);
-            (whole || fresh ? wholeTo : changesTo).add(other);
+            (full || reconnected ? fullReportTo : changesTo).add(other);
         }
-        if (!wholeTo.isEmpty()) {
-            links.send(wholeTo, report(present, Map.of(), quotas.usedHere(), true));
+        if (!fullReportTo.isEmpty()) {
+            links.send(fullReportTo, report(current, Map.of(), quotas.usedHere(), true));
         }
         if (!changesTo.isEmpty()) {
             FleetMessage.LoadReport changes = report(
-                    present, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.usedHere()), false);
+                    current, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.usedHere()), false);
             if (changes.upstreams().length > 0 || !changes.organisations().isEmpty()) {
                 links.send(changesTo, changes);
             }
         }
-        publishRounds.recordPublished(present, quotas.usedHere());
+        publishRounds.recordPublished(current, quotas.usedHere());
     }
 
-    /** Takes in a report of another scheduler, and returns whether a slot has become free by it. */
-    boolean onReport(FleetMessage.LoadReport load, Map<String, OrganisationRule> organisations, long now) {
-        Peer peer = peers.computeIfAbsent(load.scheduler(), key -> new Peer());
+    /** Applies a report of a peer and returns whether it shows that a slot has become free. */
+    boolean onReport(FleetMessage.LoadReport report, Map<String, OrganisationRule> organisations, long now) {
+        Peer peer = peers.computeIfAbsent(report.scheduler(), key -> new Peer());
         peer.receivedAt = now;
-        if (load.full()) {
-            removeMissingUpstreams(load, peer);
+        if (report.full()) {
+            removeMissingUpstreams(report, peer);
         }
-        boolean freed = false;
-        for (int index = 0; index < load.upstreams().length; index++) {
-            int digest = load.upstreams()[index];
+        boolean slotFreed = false;
+        for (int index = 0; index < report.upstreams().length; index++) {
+            int digest = report.upstreams()[index];
             int[] counts =
-                    Arrays.copyOfRange(load.counts(), index * COUNTS_PER_UPSTREAM, (index + 1) * COUNTS_PER_UPSTREAM);
-            int[] before = peer.counts.put(digest, counts);
+                    Arrays.copyOfRange(report.counts(), index * COUNTS_PER_UPSTREAM, (index + 1) * COUNTS_PER_UPSTREAM);
+            int[] previous = peer.counts.put(digest, counts);
             UpstreamLoad upstream = upstreams.get(digest);
             if (upstream != null) {
-                upstream.recordPeerInProgress(load.scheduler(), counts[IN_PROGRESS]);
-                upstream.recordPeerUnread(load.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
+                upstream.recordPeerInProgress(report.scheduler(), counts[IN_PROGRESS]);
+                upstream.recordPeerUnread(report.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
                 upstream.recordPeerEventTime(
                         counts[EVENT_TIME_STEPS] == 0
                                 ? 0
                                 : Math.pow(EVENT_TIME_STEP_RATIO, counts[EVENT_TIME_STEPS] - 1));
-                if (before != null) {
-                    freed |= counts[IN_PROGRESS] < before[IN_PROGRESS];
+                if (previous != null) {
+                    slotFreed |= counts[IN_PROGRESS] < previous[IN_PROGRESS];
                     recordPeerOutcomes(
-                            upstream, counts[SUCCESSES] - before[SUCCESSES], counts[FAILURES] - before[FAILURES], now);
+                            upstream,
+                            counts[SUCCESSES] - previous[SUCCESSES],
+                            counts[FAILURES] - previous[FAILURES],
+                            now);
                 }
             }
         }
-        load.organisations().forEach((name, total) -> {
+        report.organisations().forEach((name, total) -> {
             OrganisationRule organisation = organisations.get(name);
             if (organisation != null) {
-                quotas.recordPeerUse(load.scheduler(), organisation, total, now);
+                quotas.recordPeerUse(report.scheduler(), organisation, total, now);
             }
         });
-        return freed;
+        return slotFreed;
     }
 
-    private void removeMissingUpstreams(FleetMessage.LoadReport load, Peer peer) {
-        Set<Integer> carried = Arrays.stream(load.upstreams()).boxed().collect(Collectors.toSet());
+    private void removeMissingUpstreams(FleetMessage.LoadReport report, Peer peer) {
+        Set<Integer> reported = Arrays.stream(report.upstreams()).boxed().collect(Collectors.toSet());
         peer.counts.keySet().removeIf(digest -> {
-            boolean missing = !carried.contains(digest);
+            boolean missing = !reported.contains(digest);
             if (missing && upstreams.containsKey(digest)) {
-                clearPeerLoad(load.scheduler(), upstreams.get(digest));
+                clearPeerLoad(report.scheduler(), upstreams.get(digest));
             }
             return missing;
         });
     }
 
-    private void recordPeerOutcomes(UpstreamLoad upstream, int good, int bad, long now) {
-        double usual = pools.usualFailureShare(upstream);
-        for (int count = 0; count < Math.min(bad, MAX_OUTCOMES_PER_REPORT); count++) {
-            upstream.recordOutcome(false, usual, now);
+    private void recordPeerOutcomes(UpstreamLoad upstream, int successes, int failures, long now) {
+        double usualFailureShare = pools.usualFailureShare(upstream);
+        for (int count = 0; count < Math.min(failures, MAX_OUTCOMES_PER_REPORT); count++) {
+            upstream.recordOutcome(false, usualFailureShare, now);
         }
-        for (int count = 0; count < Math.min(good, MAX_OUTCOMES_PER_REPORT); count++) {
-            upstream.recordOutcome(true, usual, now);
+        for (int count = 0; count < Math.min(successes, MAX_OUTCOMES_PER_REPORT); count++) {
+            upstream.recordOutcome(true, usualFailureShare, now);
         }
     }
 
@@ -194,33 +198,38 @@
         });
     }
 
+    /**
+     * Returns the counts of all upstreams with requests or answers, and of those published before, so that a count that has
+     * fallen to zero is published as well.
+     */
     private Map<Integer, int[]> currentCounts(Set<Integer> published) {
-        Map<Integer, int[]> present = new HashMap<>();
+        Map<Integer, int[]> counts = new HashMap<>();
         upstreams.forEach((digest, upstream) -> {
-            long[] answered = outcomes.getOrDefault(upstream, new long[2]);
-            if (upstream.own() > 0 || answered[0] + answered[1] > 0 || published.contains(digest)) {
-                int[] counts = new int[COUNTS_PER_UPSTREAM];
-                counts[IN_PROGRESS] = upstream.own();
-                counts[SUCCESSES] = (int) answered[0];
-                counts[FAILURES] = (int) answered[1];
-                counts[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
-                counts[UNREAD_TOKEN_STEPS] = (int) (upstream.ownUnreadTokens() / TOKENS_PER_STEP);
-                present.put(digest, counts);
+            long[] counted = outcomes.getOrDefault(upstream, new long[2]);
+            if (upstream.own() > 0 || counted[0] + counted[1] > 0 || published.contains(digest)) {
+                int[] numbers = new int[COUNTS_PER_UPSTREAM];
+                numbers[IN_PROGRESS] = upstream.own();
+                numbers[SUCCESSES] = (int) counted[0];
+                numbers[FAILURES] = (int) counted[1];
+                numbers[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
+                numbers[UNREAD_TOKEN_STEPS] = (int) (upstream.ownUnreadTokens() / TOKENS_PER_STEP);
+                counts.put(digest, numbers);
             }
         });
-        return present;
+        return counts;
     }
 
-    /** Returns the step of a pace from 1 on, 0 for a pace that is not known. */
+    /** Returns the step of a time per event, counted from 1, or 0 if the time is not known. */
     private static int eventTimeStep(double millis) {
         return millis <= 0 ? 0 : 1 + (int) Math.max(0, Math.round(Math.log(millis) / Math.log(EVENT_TIME_STEP_RATIO)));
     }
 
+    /** Makes a report of the counts that differ from the published ones and of the given usage. */
     private FleetMessage.LoadReport report(
-            Map<Integer, int[]> present, Map<Integer, int[]> known, Map<String, Long> use, boolean whole) {
+            Map<Integer, int[]> current, Map<Integer, int[]> published, Map<String, Long> usage, boolean full) {
         List<Integer> changed = new ArrayList<>();
-        present.forEach((digest, counts) -> {
-            if (!Arrays.equals(counts, known.get(digest))) {
+        current.forEach((digest, counts) -> {
+            if (!Arrays.equals(counts, published.get(digest))) {
                 changed.add(digest);
             }
         });
@@ -228,20 +237,23 @@
         int[] counts = new int[changed.size() * COUNTS_PER_UPSTREAM];
         for (int index = 0; index < digests.length; index++) {
             digests[index] = changed.get(index);
-            System.arraycopy(present.get(digests[index]), 0, counts, index * COUNTS_PER_UPSTREAM, COUNTS_PER_UPSTREAM);
+            System.arraycopy(current.get(digests[index]), 0, counts, index * COUNTS_PER_UPSTREAM, COUNTS_PER_UPSTREAM);
         }
-        return new FleetMessage.LoadReport(self, whole, digests, counts, new HashMap<>(use));
+        return new FleetMessage.LoadReport(self, full, digests, counts, new HashMap<>(usage));
     }
 
     private Map<Integer, UpstreamLoad> upstreamsByDigest() {
-        Map<Integer, UpstreamLoad> known = new HashMap<>();
+        Map<Integer, UpstreamLoad> byDigest = new HashMap<>();
         for (PoolDispatcher dispatcher : pools.dispatchers()) {
-            dispatcher.upstreams().loads().forEach(load -> known.put(load.run().hashCode(), load));
+            dispatcher
+                    .upstreams()
+                    .loads()
+                    .forEach(load -> byDigest.put(load.run().hashCode(), load));
         }
-        return known;
+        return byDigest;
     }
 
-    /** Remembers what another scheduler has published. */
+    /** Holds the latest counts that a peer has published, by the digest of the upstream. */
     private static final class Peer {
         private final Map<Integer, int[]> counts = new HashMap<>();
         private long receivedAt;
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -25,21 +25,21 @@
 import org.radishspur.replication.state.CatalogueState.RolloutStage;
 
 /**
- * Holds the dispatchers of all pools and keeps them in step with the view. The traffic thread owns it.
+ * Holds the dispatchers of all pools and updates them with each new view. The traffic thread owns it.
  */
 public final class PoolSet implements SlotScheduler.Pools {
     /**
-     * The part of the allowed exposure that a version under trial gets; the rest covers retries, and that schedulers see the
-     * end of a trial a moment apart.
+     * The part of the greatest allowed share of requests that a version under trial gets. The rest covers retries and the
+     * time in which some schedulers have not yet seen the end of a trial.
      */
     private static final double TRIAL_SHARE_FACTOR = 0.7;
 
-    /** A slot count for upstreams of which neither the list nor the catalogue tells one. */
+    /** The number of slots of an upstream for which neither the host list nor the catalogue states one. */
     private static final int DEFAULT_SLOTS = 4;
 
     private final String self;
     private final String failureDomain;
-    private final double greatestTrialShare;
+    private final double maxTrialShare;
     private final Map<String, PoolDispatcher> dispatchers = new HashMap<>();
     private final Map<String, Rollout> rollouts = new HashMap<>();
     private final Map<String, Double> trialCredit = new HashMap<>();
@@ -50,54 +50,56 @@
     /**
      * Creates a set without pools.
      *
-     * @param self the name of this process, which sets its choices apart from those of others.
-     * @param failureDomain its failure domain.
-     * @param greatestTrialShare the greatest share of requests that a version under trial may get.
+     * @param self the address of this process, by which its choices among upstreams differ from those of others.
+     * @param failureDomain the failure domain of this process.
+     * @param maxTrialShare the greatest share of requests that a version under trial may get, between 0 and 1.
      */
-    public PoolSet(String self, String failureDomain, double greatestTrialShare) {
+    public PoolSet(String self, String failureDomain, double maxTrialShare) {
         this.self = self;
         this.failureDomain = failureDomain;
-        this.greatestTrialShare = greatestTrialShare;
+        this.maxTrialShare = maxTrialShare;
     }
 
     /**
-     * Takes over a newer view.
+     * Applies a newer view to all pools.
      *
      * @param newer the view.
-     * @param deciders how many processes grant slots of the pools without asking each other.
-     * @param now the clock in milliseconds.
+     * @param schedulers the number of processes, this one included, that grant slots of the pools independently of each other.
+     * @param now the monotonic clock in milliseconds.
      */
-    public void apply(ConfirmedView newer, int deciders, long now) {
+    public void apply(ConfirmedView newer, int schedulers, long now) {
         view = newer;
         view.rollouts().forEach(rollout -> rollouts.put(rollout.pool(), rollout));
         chooseUsableWhileCold();
-        Map<String, List<Upstream>> listed = new HashMap<>();
+        Map<String, List<Upstream>> upstreamsByPool = new HashMap<>();
         view.hosts()
                 .upstreams()
-                .forEach(upstream -> listed.computeIfAbsent(upstream.pool(), key -> new ArrayList<>())
+                .forEach(upstream -> upstreamsByPool
+                        .computeIfAbsent(upstream.pool(), key -> new ArrayList<>())
                         .add(upstream));
-        Set<String> names = new HashSet<>(listed.keySet());
-        names.addAll(dispatchers.keySet());
-        for (String name : names) {
+        Set<String> poolNames = new HashSet<>(upstreamsByPool.keySet());
+        poolNames.addAll(dispatchers.keySet());
+        for (String name : poolNames) {
             if (rule(name).isPresent() || dispatchers.containsKey(name)) {
                 UpstreamPool upstreams = dispatcher(name).upstreams();
-                upstreams.schedulers(deciders);
+                upstreams.schedulers(schedulers);
                 upstreams.coldStart(
                         rule(name).map(PoolRule::coldStart).orElse(ColdStart.NONE), usableWhileCold::contains);
-                upstreams.refresh(listed.getOrDefault(name, List.of()));
+                upstreams.refresh(upstreamsByPool.getOrDefault(name, List.of()));
                 upstreams.evacuate(view.evacuated(), now);
             }
         }
     }
 
-    /** Finds the upstreams that this process may use while they are cold: those of which it is the first scheduler. */
+    /** Finds the upstreams that this process may use while they are cold: those for which it is the preferred scheduler. */
     private void chooseUsableWhileCold() {
         usableWhileCold.clear();
-        Map<String, String> schedulers = view.controls().stream()
+        Map<String, String> failureDomains = view.controls().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one));
-        if (schedulers.containsKey(self)) {
+        if (failureDomains.containsKey(self)) {
             view.hosts().upstreams().stream()
-                    .filter(upstream -> SchedulerChoice.inOrder(upstream.run(), upstream.failureDomain(), schedulers)
+                    .filter(upstream -> SchedulerChoice.inOrder(
+                                    upstream.run(), upstream.failureDomain(), failureDomains)
                             .get(0)
                             .equals(self))
                     .forEach(upstream -> usableWhileCold.add(upstream.run()));
@@ -105,9 +107,9 @@
     }
 
     /**
-     * Sets which part of the organisations' quotas is granted here.
+     * Sets the part of each organisation's quota that is granted here.
      *
-     * @param part the part, 1 where it is shared with all others that grant.
+     * @param part the part, 1 if the usage is shared with all other processes that grant slots.
      */
     public void quotaPart(double part) {
         quotaPart = part;
@@ -121,8 +123,8 @@
     @Override
     public PoolDispatcher dispatcher(String pool) {
         return dispatchers.computeIfAbsent(pool, name -> {
-            int stated = rule(name).map(PoolRule::slots).orElse(0);
-            int slots = stated > 0 ? stated : DEFAULT_SLOTS;
+            int configured = rule(name).map(PoolRule::slots).orElse(0);
+            int slots = configured > 0 ? configured : DEFAULT_SLOTS;
             return new PoolDispatcher(new UpstreamPool(self, failureDomain, slots));
         });
     }
@@ -135,29 +137,31 @@
 
     /** {@inheritDoc} */
     @Override
-    public VersionRule versions(String pool, boolean mayTry) {
+    public VersionRule versions(String pool, boolean trialAllowed) {
         Rollout rollout = rollouts.get(pool);
         if (rollout == null) {
             return VersionRule.Any.INSTANCE;
         }
-        boolean targetThere = dispatchers.containsKey(pool)
+        boolean targetListed = dispatchers.containsKey(pool)
                 && dispatchers.get(pool).upstreams().hasVersion(rollout.target());
-        VersionRule rest = new VersionRule.Except(rollout.target());
+        VersionRule otherVersions = new VersionRule.Except(rollout.target());
         if (rollout.stage() == RolloutStage.ROLLED_BACK) {
-            return rest;
+            return otherVersions;
         }
         if (rollout.stage() == RolloutStage.RUNNING) {
-            return mayTry && targetThere && isTrialDue(pool) ? new VersionRule.Only(rollout.target()) : rest;
+            return trialAllowed && targetListed && isTrialDue(pool)
+                    ? new VersionRule.Only(rollout.target())
+                    : otherVersions;
         }
-        return targetThere ? new VersionRule.Only(rollout.target()) : VersionRule.Any.INSTANCE;
+        return targetListed ? new VersionRule.Only(rollout.target()) : VersionRule.Any.INSTANCE;
     }
 
     private boolean isTrialDue(String pool) {
-        double debt = trialCredit.merge(pool, greatestTrialShare * TRIAL_SHARE_FACTOR, Double::sum);
-        if (debt < 1) {
+        double credit = trialCredit.merge(pool, maxTrialShare * TRIAL_SHARE_FACTOR, Double::sum);
+        if (credit < 1) {
             return false;
         }
-        trialCredit.put(pool, debt - 1);
+        trialCredit.put(pool, credit - 1);
         return true;
     }
 
@@ -168,30 +172,31 @@
                 .map(rule -> quotaPart < 1 ? rule.withPart(quotaPart) : rule);
     }
 
-    /** Counts the requests that were granted here and are in progress in a failure domain. */
-    int inProgress(String evacuated) {
+    /** Returns the number of requests that were granted here and are in progress in a failure domain. */
+    int inProgress(String evacuatedDomain) {
         return dispatchers.values().stream()
                 .flatMap(dispatcher -> dispatcher.upstreams().loads().stream())
-                .filter(load -> load.upstream().failureDomain().equals(evacuated))
+                .filter(load -> load.upstream().failureDomain().equals(evacuatedDomain))
                 .mapToInt(UpstreamLoad::own)
                 .sum();
     }
 
     /**
-     * Returns whether an upstream may get a request that a scheduler has granted to it, whose view may be older than this one.
+     * Returns whether an upstream may get a request by this view, which may be newer than that of the scheduler that granted
+     * the slot.
      *
      * @param upstream the upstream.
-     * @return whether nothing is known against it.
+     * @return whether its version is not rolled back and the upstream accepts requests.
      */
     public boolean mayUse(UpstreamLoad upstream) {
         Rollout rollout = rollouts.get(upstream.upstream().pool());
-        boolean takenBack = rollout != null
+        boolean rolledBack = rollout != null
                 && rollout.stage() == RolloutStage.ROLLED_BACK
                 && rollout.target().equals(upstream.upstream().version());
-        return !takenBack && dispatcher(upstream.upstream().pool()).upstreams().takesWork(upstream);
+        return !rolledBack && dispatcher(upstream.upstream().pool()).upstreams().takesWork(upstream);
     }
 
-    /** Returns the usual share of failures in the pool of an upstream. */
+    /** Returns the usual share of failed answers in the pool of an upstream, or 0 if the pool is unknown. */
     double usualFailureShare(UpstreamLoad upstream) {
         PoolDispatcher dispatcher = dispatchers.get(upstream.upstream().pool());
         return dispatcher == null ? 0 : dispatcher.upstreams().usualFailures();
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /**
- * Keeps what was published to a group of peers, and when the next round is due.
+ * Decides when the next report to the peers is due and whether it is a full one, and keeps what was last published.
  */
 final class PublishRounds {
-    /** Everything is published again after this time, also where nothing has changed, in milliseconds. */
+    /** The interval between full reports, which carry unchanged values as well, in milliseconds. */
     private static final long FULL_REPORT_MILLIS = 320;
 
-    /** So many rounds at least bring only changes before everything is published again. */
+    /** The smallest number of rounds from one full report to the next; it stretches the interval if rounds are rare. */
     private static final int MIN_ROUNDS_PER_FULL_REPORT = 4;
 
-    /** A scheduler is not taken for lost before it has been silent for so many rounds. */
+    /** The number of rounds without a report after which a peer may be considered lost. */
     private static final int PEER_TIMEOUT_ROUNDS = 5;
 
     private final long tickMillis;
@@ -26,63 +26,63 @@
     private int roundsSinceFullReport;
 
     /**
-     * Creates rounds for no peers.
+     * Creates rounds without peers.
      *
-     * @param stepMillis the step of the timer, and the shortest time between two rounds, in milliseconds.
-     * @param messagesPerSecond how many messages a second all peers together may get.
+     * @param tickMillis the period of the caller's timer and the shortest time between two rounds, in milliseconds.
+     * @param messagesPerSecond the greatest number of messages that all peers together get each second.
      */
-    PublishRounds(long stepMillis, int messagesPerSecond) {
-        this.tickMillis = stepMillis;
+    PublishRounds(long tickMillis, int messagesPerSecond) {
+        this.tickMillis = tickMillis;
         this.messagesPerSecond = messagesPerSecond;
     }
 
-    void peers(List<String> live) {
-        peers = live;
+    void peers(List<String> addresses) {
+        peers = addresses;
     }
 
     List<String> peers() {
         return peers;
     }
 
-    /** Returns the time between two rounds, in whole steps of the timer. */
+    /** Returns the time between two rounds in milliseconds, a whole number of timer periods. */
     long roundMillis() {
-        long needed = peers.size() * 1_000L / messagesPerSecond;
-        long steps = Math.max(1, (needed + tickMillis - 1) / tickMillis);
-        return steps * tickMillis;
+        long neededMillis = peers.size() * 1_000L / messagesPerSecond;
+        long ticks = Math.max(1, (neededMillis + tickMillis - 1) / tickMillis);
+        return ticks * tickMillis;
     }
 
-    /** Returns after how long a silence a peer is taken for lost, which publishes as often as this one does. */
-    long peerTimeoutMillis(long leastMillis) {
-        return Math.max(leastMillis, PEER_TIMEOUT_ROUNDS * roundMillis());
+    /** Returns the time without a report after which a peer is considered lost, given that it publishes as often as this host. */
+    long peerTimeoutMillis(long minMillis) {
+        return Math.max(minMillis, PEER_TIMEOUT_ROUNDS * roundMillis());
     }
 
-    /** Begins a round if one is due. */
+    /** Begins a round if one is due, and returns whether it did. */
     boolean beginRound(long now) {
         if (now < nextRoundAt || peers.isEmpty()) {
             return false;
         }
-        // The timer fires a little early or late; half a step of it is no reason to leave a round out.
+        // The timer may fire a little early or late; a round is not skipped for half a timer period.
         nextRoundAt = now + roundMillis() - tickMillis / 2;
         roundsSinceFullReport++;
         return true;
     }
 
-    /** Returns whether everything is to be published in this round, and counts from here if so. */
+    /** Returns whether this round is a full report; if so, the rounds until the next full report are counted from here. */
     boolean beginFullReport() {
         long rounds = Math.max(MIN_ROUNDS_PER_FULL_REPORT, FULL_REPORT_MILLIS / roundMillis());
-        boolean whole = roundsSinceFullReport >= rounds;
-        roundsSinceFullReport = whole ? 0 : roundsSinceFullReport;
-        return whole;
+        boolean full = roundsSinceFullReport >= rounds;
+        roundsSinceFullReport = full ? 0 : roundsSinceFullReport;
+        return full;
     }
 
     Map<Integer, int[]> publishedUpstreams() {
         return publishedUpstreams;
     }
 
-    /** Returns what organisations have used that the group was not told yet. */
-    Map<String, Long> changedUsage(Map<String, Long> used) {
+    /** Returns the usage of those organisations for which it differs from what was last published. */
+    Map<String, Long> changedUsage(Map<String, Long> usage) {
         Map<String, Long> changed = new HashMap<>();
-        used.forEach((name, total) -> {
+        usage.forEach((name, total) -> {
             if (!total.equals(publishedUsage.get(name))) {
                 changed.put(name, total);
             }
@@ -90,10 +90,10 @@
         return changed;
     }
 
-    void recordPublished(Map<Integer, int[]> present, Map<String, Long> used) {
+    void recordPublished(Map<Integer, int[]> counts, Map<String, Long> usage) {
         publishedUpstreams.clear();
-        publishedUpstreams.putAll(present);
+        publishedUpstreams.putAll(counts);
         publishedUsage.clear();
-        publishedUsage.putAll(used);
+        publishedUsage.putAll(usage);
     }
 }
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -28,24 +28,25 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Runs the scheduler of a control host on its transport thread: serves the entries that are attached, follows the control
- * leader as entries do, and shares its load with the other schedulers.
+ * Runs the scheduler of a control host on the transport thread: grants slots to the entries that are attached, polls the
+ * control leader as entries do, and exchanges load reports with the other schedulers.
  */
 public final class SchedulerHost implements FleetInbox, AutoCloseable {
-    /** How often waiting requests are looked after, in milliseconds. */
+    /** The interval at which lost entries are detached and the queues are advanced, in milliseconds. */
     private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
     /**
-     * An entry that has sent nothing for so long is taken for lost, in milliseconds; its links ping more often. Guards against
-     * slots that stay taken for a frozen host, and against grants that nobody uses.
+     * The time without a message after which an entry is considered lost, in milliseconds; an idle entry sends pings more often.
+     * Guards against slots that stay occupied by a frozen host, and against grants that are never used.
      */
     private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
-    /** How long after its confirmation a view may be acted on, as a part of the time until a revoked key must not work. */
+    /** The greatest age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
     private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
     private final FleetSettings settings;
-    /** Reads catalogues aside from the replica's thread: a large one takes longer than an election timeout. */
+
+    /** The follower's own thread: parsing a large catalogue takes longer than an election timeout of the replica. */
     private final ControlLoop followerLoop = new ControlLoop();
 
     private final EventLoop traffic;
@@ -67,17 +68,17 @@
      * Starts a scheduler.
      *
      * @param settings the settings of the process.
-     * @param failure learns that the scheduler's state is in doubt.
+     * @param failure is notified if an action fails, after which the state of the scheduler can't be relied on.
      * @param traffic the transport thread, which owns the scheduler.
-     * @param operators reads catalogues.
-     * @param events takes structured events.
-     * @param metrics takes the counters.
+     * @param dialect parses catalogues.
+     * @param events receives structured events.
+     * @param metrics the registry for the scheduler's metrics.
      */
     public SchedulerHost(
             FleetSettings settings,
             Child.FailureListener failure,
             EventLoop traffic,
-            OperatorDialect operators,
+            OperatorDialect dialect,
             EventLog events,
             MetricRegistry metrics) {
         this.settings = settings;
@@ -93,7 +94,7 @@
         evacuationLog = new EvacuationLog(pools, events);
         loadReports = new LoadReportExchange(links, pools, quotas, self + '/' + System.currentTimeMillis());
         follower = new ControlFollower(
-                followerLoop, links, operators, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
+                followerLoop, links, dialect, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
         metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entries);
         metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::waiting);
         seeds(settings.seeds());
@@ -107,10 +108,10 @@
     }
 
     /**
-     * Returns whether a message is for the scheduler.
+     * Returns whether the scheduler, rather than the replica, handles a message that this host has accepted.
      *
-     * @param message a message that has come to this host.
-     * @return whether the scheduler takes it.
+     * @param message the message.
+     * @return whether it is for the scheduler.
      */
     public static boolean handles(FleetMessage message) {
         return message instanceof FleetMessage.Ask
@@ -121,13 +122,13 @@
     }
 
     /**
-     * Sets the control hosts that are asked first.
+     * Sets the control hosts to ask while no leader is known.
      *
-     * @param seeds some control hosts, perhaps stale.
+     * @param hosts some control hosts, some of which may be stale.
      */
-    public void seeds(List<HostPort> seeds) {
+    public void seeds(List<HostPort> hosts) {
         Set<String> addresses = new TreeSet<>();
-        seeds.forEach(host -> addresses.add(host.toString()));
+        hosts.forEach(host -> addresses.add(host.toString()));
         followerLoop.execute(() -> follower.seeds(addresses));
     }
 
@@ -138,8 +139,8 @@
             followerLoop.execute(() -> follower.onFollowed(answer));
         } else if (message instanceof FleetMessage.Document document) {
             followerLoop.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.Ask ask) {
-            onSlotRequest(sender, ask);
+        } else if (message instanceof FleetMessage.Ask request) {
+            onSlotRequest(sender, request);
         } else if (message instanceof FleetMessage.Report report) {
             slotScheduler.report(sender.peer(), report.id(), report.report(), now());
         } else if (message instanceof FleetMessage.LoadReport load) {
@@ -153,19 +154,19 @@
         }
     }
 
-    private void onSlotRequest(Sender sender, FleetMessage.Ask ask) {
-        double confirmedMillis = settings.bounds().revokeMillis() * MAX_VIEW_AGE_SHARE;
-        if (!attachedEntries.containsKey(sender.peer()) || !view.isConfirmedWithin(confirmedMillis)) {
-            reply(sender, ask.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
+    private void onSlotRequest(Sender sender, FleetMessage.Ask request) {
+        double maxAgeMillis = settings.bounds().revokeMillis() * MAX_VIEW_AGE_SHARE;
+        if (!attachedEntries.containsKey(sender.peer()) || !view.isConfirmedWithin(maxAgeMillis)) {
+            reply(sender, request.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
             return;
         }
-        slotScheduler.request(sender.peer(), ask.id(), ask.request(), now());
+        slotScheduler.request(sender.peer(), request.id(), request.request(), now());
     }
 
     private void onAttach(Sender sender, FleetMessage.Attach attach) {
-        String before = connectionsByEntry.put(attach.entry(), sender.peer());
-        if (before != null && !before.equals(sender.peer()) && attachedEntries.remove(before) != null) {
-            slotScheduler.detach(before, now());
+        String previous = connectionsByEntry.put(attach.entry(), sender.peer());
+        if (previous != null && !previous.equals(sender.peer()) && attachedEntries.remove(previous) != null) {
+            slotScheduler.detach(previous, now());
         }
         attachedEntries.put(sender.peer(), sender);
         slotScheduler.attach(sender.peer(), attach.held(), now());
@@ -184,9 +185,9 @@
     }
 
     private void onView(ConfirmedView newer) {
-        boolean same = view.saysTheSame(newer);
+        boolean unchanged = view.saysTheSame(newer);
         view = newer;
-        if (!same) {
+        if (!unchanged) {
             List<String> others = newer.controls().stream()
                     .map(ControlHost::address)
                     .filter(address -> !address.equals(self))
@@ -228,7 +229,7 @@
         links.close();
     }
 
-    /** Sends replies to entries, and passes on what was learnt. */
+    /** Sends replies to the entries, and passes on answers and ejections of upstreams. */
     private final class SchedulerListener implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
@@ -241,8 +242,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean good) {
-            loadReports.recordOutcome(upstream, good);
+        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {
+            loadReports.recordOutcome(upstream, succeeded);
         }
 
         /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/fleet/DeflatedTextTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/DeflatedTextTest.java
@@ -16,9 +16,9 @@
         assertThat(DeflatedText.of(wellFormed).text()).isEqualTo(wellFormed);
     }
 
-    /** Guards against a catalogue of many like routes that costs as much between failure domains as all requests. */
+    /** Guards against catalogues that cause as much traffic between failure domains as all requests together. */
     @Test
-    void shrinksACatalogueOfManyRoutesToAQuarterAtMost() {
+    void compressesACatalogueOfManyRoutesToAQuarterAtMost() {
         StringBuilder routes = new StringBuilder();
         for (int route = 0; route < 1_500; route++) {
             routes.append("{\"name\":\"r-")
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void saysThatBytesHoldNoText() {
+    void rejectsBytesThatAreNoCompressedText() {
         assertThatThrownBy(() -> new DeflatedText(new byte[] {1, 2, 3}).text()).isInstanceOf(RadishspurException.class);
     }
 }
--- a/node/src/test/java/org/radishspur/node/fleet/HandWrittenEqualityTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/HandWrittenEqualityTest.java
@@ -13,13 +13,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class HandWrittenEqualityTest {
-    static Stream<Class<? extends Record>> recordsThatCompareByWrittenCode() {
+    static Stream<Class<? extends Record>> recordsWithHandWrittenEquality() {
         return Stream.of(ControlHost.class, ColdStart.class, Upstream.class);
     }
 
-    /** Guards against a changed host list that is taken for the old one, as its comparison leaves a component out. */
+    /** Guards against a changed host list that counts as equal to the old one because equals leaves a component out. */
     @ParameterizedTest
-    @MethodSource("recordsThatCompareByWrittenCode")
+    @MethodSource("recordsWithHandWrittenEquality")
     void noComponentIsLeftOut(Class<? extends Record> type) throws ReflectiveOperationException {
         RecordComponent[] components = type.getRecordComponents();
         Class<?>[] types =
--- a/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
@@ -11,7 +11,7 @@
     private static final long CHECK_INTERVAL_MILLIS = 300;
     private static final long SECOND_MILLIS = 1_000;
 
-    /** After this time without a message a scheduler takes an entry for lost, in milliseconds. */
+    /** The time without a message after which a scheduler considers an entry lost, in milliseconds. */
     private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
     private final LinkHealth health = new LinkHealth();
@@ -21,20 +21,20 @@
         health.onOpened(0);
     }
 
-    /** Looks after the link until a time, and returns when it is given up, or that time. */
-    private long reconnectedAt(long until, boolean attended) {
+    /** Checks the link, which never answers, until the given time; returns when it is replaced, or that time. */
+    private long reconnectedAt(long until, boolean watched) {
         for (long now = CHECK_INTERVAL_MILLIS; now < until; now += CHECK_INTERVAL_MILLIS) {
-            if (health.nextAction(attended, now) == Action.RECONNECT) {
+            if (health.nextAction(watched, now) == Action.RECONNECT) {
                 return now;
             }
         }
         return until;
     }
 
-    private int countPings(long from, long millis, boolean attended) {
+    private int countPings(long from, long millis, boolean watched) {
         int pings = 0;
         for (long now = from; now < from + millis; now += CHECK_INTERVAL_MILLIS) {
-            if (health.nextAction(attended, now) == Action.PING) {
+            if (health.nextAction(watched, now) == Action.PING) {
                 pings++;
                 health.onReceived(now + 1);
             }
@@ -44,22 +44,22 @@
 
     @Nested
     class InUse {
-        /** Guards against requests that go into a connection which has fallen silent without a reset. */
+        /** Guards against requests that are sent over a connection that no longer delivers them but was never reset. */
         @Test
-        void isGivenUpSoonAfterItHasFallenSilent() {
+        void isReplacedSoonAfterItStopsAnswering() {
             assertThat(reconnectedAt(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
         }
 
-        /** Guards against a scheduler that takes an entry for lost which holds slots but sends nothing for a while. */
+        /** Guards against a scheduler that considers an entry lost while it holds slots but sends nothing for a while. */
         @Test
         void isPingedOftenEnoughForTheOtherEnd() {
             assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
                     .isGreaterThan((int) (12 * SECOND_MILLIS / ENTRY_TIMEOUT_MILLIS));
         }
 
-        /** Guards against a sound link that is given up because it was idle before it was used. */
+        /** Guards against the replacement of a working link because it was idle before it was used. */
         @Test
-        void isNotGivenUpWhenItHasBeenIdleBefore() {
+        void isNotReplacedWhenItWasIdleBefore() {
             long now = 60 * SECOND_MILLIS;
             health.onReceived(now - 1_900);
             health.onSent(now);
@@ -71,16 +71,16 @@
 
     @Nested
     class Idle {
-        /** Guards against hosts that do little else than ping the control hosts that they don't need. */
+        /** Guards against idle hosts that spend most of their work on pings to control hosts that they don't use. */
         @Test
         void isPingedEveryFewSeconds() {
             assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, false))
                     .isBetween(3, 6);
         }
 
-        /** Guards against a link that seems to be there until it is needed. */
+        /** Guards against a broken link that is detected only when it is needed. */
         @Test
-        void isGivenUpAsWellOnceItIsSilent() {
+        void isReplacedOnceItStopsAnswering() {
             assertThat(reconnectedAt(20 * SECOND_MILLIS, false)).isLessThan(5 * SECOND_MILLIS);
         }
     }
--- a/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
@@ -7,13 +7,13 @@
 class MomentTest {
     private static final Moment EARLIER = new Moment(1_000, 500_000);
 
-    /** A host is suspended for five seconds: the monotonic clock stands still, and old belief would look fresh. */
+    /** Guards against old data that looks fresh after a host was suspended and its monotonic clock stood still. */
     @Test
     void countsTimeInWhichTheHostWasSuspended() {
         assertThat(new Moment(1_010, 505_010).since(EARLIER)).isEqualTo(5_010);
     }
 
-    /** The time of day is set back by two seconds: what is old would look as if it came from the future. */
+    /** Guards against old data that seems to come from the future after the time of day was set back by two seconds. */
     @Test
     void countsTimeAlthoughTheTimeOfDayWasSetBack() {
         assertThat(new Moment(4_000, 501_000).since(EARLIER)).isEqualTo(3_000);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void findsNothingFreshFromLongAgo() {
+    void isVeryLongSinceLongAgo() {
         assertThat(EARLIER.since(Moment.LONG_AGO)).isGreaterThan(1_000_000_000);
     }
 }
--- a/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
+++ b/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
@@ -6,7 +6,7 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Stands for the other end of a connection, and keeps what is sent to it.
+ * Records the messages that are sent over a connection, for tests.
  */
 public final class RecordingSender implements FleetInbox.Sender {
     private final String peer;
@@ -14,18 +14,18 @@
     private final List<FleetMessage> sent = new ArrayList<>();
 
     /**
-     * Creates an end to which nothing was sent.
+     * Creates a sender without recorded messages.
      *
-     * @param peer its name.
+     * @param peer the name of the other end.
      */
     public RecordingSender(String peer) {
         this.peer = peer;
     }
 
     /**
-     * Returns what was sent.
+     * Returns the messages that were sent, except shared ones.
      *
-     * @return the messages in order.
+     * @return the messages in the order in which they were sent.
      */
     public List<FleetMessage> sent() {
         return sent;
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Counts what was sent as shared bytes.
+     * Returns how many shared messages were sent.
      *
      * @return the number of messages.
      */
--- a/node/src/test/java/org/radishspur/node/group/DeferredRequestsTest.java
+++ b/node/src/test/java/org/radishspur/node/group/DeferredRequestsTest.java
@@ -18,18 +18,18 @@
 
     private List<Long> removeDue(boolean leaderKnown, long now) {
         return deferredRequests.removeDue(leaderKnown, now).stream()
-                .map(question -> question.request().nonce())
+                .map(deferred -> deferred.request().nonce())
                 .toList();
     }
 
     @Test
-    void keepsQuestionsWhileNoLeaderIsKnown() {
+    void keepsRequestsWhileNoLeaderIsKnown() {
         defer("one", 1, 0);
         assertThat(removeDue(false, DeferredRequests.MAX_DEFERRAL_MILLIS)).isEmpty();
     }
 
     @Test
-    void givesThemOutInTheirOrderOnceALeaderIsKnown() {
+    void returnsRequestsInOrderOnceALeaderIsKnown() {
         defer("one", 1, 0);
         defer("two", 2, 10);
         assertThat(removeDue(true, 20)).containsExactly(1L, 2L);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void keepsTheLatestQuestionOfAnEntry() {
+    void keepsOnlyTheLatestRequestOfAnEntry() {
         defer("one", 1, 0);
         defer("two", 2, 10);
         defer("one", 3, 20);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void givesOutWhatHasWaitedTooLong() {
+    void returnsRequestsThatHaveWaitedTooLong() {
         defer("one", 1, 0);
         defer("two", 2, 300);
         assertThat(removeDue(false, DeferredRequests.MAX_DEFERRAL_MILLIS + 1)).containsExactly(1L);
--- a/node/src/test/java/org/radishspur/node/group/DocumentSenderTest.java
+++ b/node/src/test/java/org/radishspur/node/group/DocumentSenderTest.java
@@ -14,7 +14,7 @@
         return new CatalogueState.Document(revision, "{}");
     }
 
-    /** Guards against copies for each question that is asked while the document is under way. */
+    /** Guards against a further copy for each request that arrives while the document is in transit. */
     @Test
     void sendsADocumentOnceOverAConnection() {
         for (long now = 0; now < 2_000; now += 200) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void sendsItAgainOverAnotherConnection() {
+    void sendsADocumentAgainOverANewConnection() {
         documentSender.send(receiver, document(1), 0);
         documentSender.remove(receiver);
         documentSender.send(receiver, document(1), 10);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void sendsItAgainWhereItHasHadNoEffectForLong() {
+    void sendsADocumentAgainAfterTheResendTime() {
         documentSender.send(receiver, document(1), 0);
         documentSender.send(receiver, document(1), 3_000);
         assertThat(receiver.sharedCount()).isEqualTo(2);
--- a/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
@@ -21,7 +21,7 @@
 
     @Nested
     class RestartOfAllProcesses {
-        /** Guards against control hosts that are asked by all entries in every round while they elect a leader. */
+        /** Guards against an election that is slow because every entry sends requests to every control host in each round. */
         @Test
         void eachRoundAsksAFewControlHosts() {
             for (int round = 0; round < 20; round++) {
@@ -29,7 +29,7 @@
             }
         }
 
-        /** Guards against an entry that never asks the control host that leads. */
+        /** Guards against an entry that never sends a request to the leader. */
         @Test
         void everyControlHostIsAskedInTurn() {
             Set<String> asked = new HashSet<>();
@@ -43,19 +43,19 @@
     @Nested
     class FewControlHosts {
         @Test
-        void theOnlyOneIsAskedOnceARound() {
+        void theOnlyOneIsAskedOnceInEachRound() {
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
         }
 
         @Test
-        void noneIsNobodyToAsk() {
+        void noneIsAskedWithoutControlHosts() {
             assertThat(order.next(List.of())).isEmpty();
         }
 
-        /** Guards against an entry that stops asking when the host it asked last has left. */
+        /** Guards against an entry that sends no more requests once the host that it asked last has left. */
         @Test
-        void goesOnAfterTheLastAskedHasLeft() {
+        void continuesAfterTheLastAskedHostHasLeft() {
             order.next(hosts(6));
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
         }
--- a/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
@@ -32,7 +32,7 @@
 
     private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
     private final List<FleetMessage.LoadReport> sentReports = new ArrayList<>();
-    private final Map<String, Integer> toldTo = new HashMap<>();
+    private final Map<String, Integer> sentTo = new HashMap<>();
     private long messageCount;
     private final LoadReportExchange exchange = new LoadReportExchange(
             new RecordingFleetSender(), pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), "self/1");
@@ -60,17 +60,17 @@
         exchange.refresh(peers);
     }
 
-    private static FleetMessage.LoadReport report(boolean whole, int inProgress) {
+    private static FleetMessage.LoadReport report(boolean full, int inProgress) {
         return new FleetMessage.LoadReport(
-                "other-0/1", whole, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
+                "other-0/1", full, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
     }
 
     @Nested
     class Publishing {
-        /** Guards against a cost of each scheduler that grows with the number of schedulers. */
+        /** Guards against a cost of publishing that grows with the number of schedulers. */
         @ParameterizedTest
         @ValueSource(ints = {6, 53, 369})
-        void staysWithinSoManyMessagesASecondWhateverTheNumberOfSchedulers(int others) {
+        void staysWithinTheMessageLimitForAnyNumberOfPeers(int others) {
             applyView(others);
             for (long now = 0; now < 10_000; now += TICK_MILLIS) {
                 engine().began(now, 0, now);
@@ -79,24 +79,27 @@
             assertThat(messageCount).isLessThanOrEqualTo(10 * 200 + others);
         }
 
+        /** Guards against changes that reach the peers later than the message limit requires. */
         @ParameterizedTest
         @ValueSource(ints = {6, 53, 369})
-        void publishesAChangeWithinARoundOfThisManySchedulers(int others) {
+        void publishesAChangeWithinOneRound(int others) {
             applyView(others);
             exchange.publishIfDue(0);
             engine().began("request", 0, 1);
-            long told = 0;
-            for (long now = TICK_MILLIS; told == 0; now += TICK_MILLIS) {
+            long publishedAt = 0;
+            for (long now = TICK_MILLIS; publishedAt == 0; now += TICK_MILLIS) {
                 exchange.publishIfDue(now);
-                told = sentReports.stream().anyMatch(load -> load.counts().length > 0 && load.counts()[0] == 1)
-                        ? now
-                        : 0;
+                publishedAt =
+                        sentReports.stream().anyMatch(report -> report.counts().length > 0 && report.counts()[0] == 1)
+                                ? now
+                                : 0;
             }
-            assertThat(told).isLessThanOrEqualTo(2 * TICK_MILLIS + others * 1_000L / 200);
+            assertThat(publishedAt).isLessThanOrEqualTo(2 * TICK_MILLIS + others * 1_000L / 200);
         }
 
+        /** Guards against messages between idle schedulers in every round. */
         @Test
-        void saysNothingBetweenWholeWordsWhereNothingChanges() {
+        void sendsOnlyFullReportsWhileNothingChanges() {
             applyView(6);
             for (long now = 0; now < 4_000; now += TICK_MILLIS) {
                 exchange.publishIfDue(now);
@@ -108,29 +111,31 @@
     @Nested
     class Receiving {
         @Test
-        void countsWhatOthersHaveInProgress() {
+        void addsTheRequestsInProgressAtAPeer() {
             applyView(6);
             exchange.onReport(report(false, 4), Map.of(), 0);
             assertThat(engine().inProgress()).isEqualTo(4);
         }
 
         @Test
-        void saysThatASlotHasBecomeFree() {
+        void returnsWhetherASlotHasBecomeFree() {
             applyView(6);
             assertThat(exchange.onReport(report(false, 4), Map.of(), 0)).isFalse();
             assertThat(exchange.onReport(report(false, 3), Map.of(), 40)).isTrue();
         }
 
+        /** Guards against slots that stay occupied after the scheduler that granted them was lost. */
         @Test
-        void forgetsASchedulerThatHasFallenSilent() {
+        void removesTheLoadOfALostPeer() {
             applyView(6);
             exchange.onReport(report(false, 4), Map.of(), 0);
             exchange.publishIfDue(1_000);
             assertThat(engine().inProgress()).isZero();
         }
 
+        /** Guards against peers that are considered lost because they publish seldom where there are many schedulers. */
         @Test
-        void forgetsNoSchedulerThatPublishesAsSeldomAsManyDo() {
+        void keepsTheLoadOfAPeerThatPublishesSeldom() {
             applyView(369);
             exchange.onReport(report(false, 4), Map.of(), 0);
             exchange.publishIfDue(2_000);
@@ -138,7 +143,7 @@
         }
     }
 
-    /** Counts what is sent, over connections that stand from the beginning. */
+    /** Records the reports that are sent and counts their receivers; all connections are open from the start. */
     private final class RecordingFleetSender implements FleetSender {
         /** {@inheritDoc} */
         @Override
@@ -150,7 +155,7 @@
         @Override
         public void send(Collection<String> addresses, FleetMessage message) {
             messageCount += addresses.size();
-            addresses.forEach(address -> toldTo.merge(address, 1, Integer::sum));
+            addresses.forEach(address -> sentTo.merge(address, 1, Integer::sum));
             sentReports.add((FleetMessage.LoadReport) message);
         }
 
--- a/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
@@ -33,10 +33,10 @@
     private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
 
     /**
-     * Guards against a cold upstream that several schedulers use at once, each up to what it bears, or that none may use.
+     * Guards against a cold upstream that several schedulers use at once, each up to its limit, or that no scheduler uses.
      */
     @Test
-    void letsOneSchedulerAloneUseAColdUpstream() {
+    void letsExactlyOneSchedulerUseAColdUpstream() {
         List<ControlHost> controls = IntStream.range(0, 6)
                 .mapToObj(number -> new ControlHost("10.0.0." + number + ":76", "domain-" + number % 3))
                 .toList();
@@ -75,7 +75,7 @@
                         Moment.LONG_AGO),
                 controls.size(),
                 0);
-        List<String> granted = new ArrayList<>();
+        List<String> upstreamIds = new ArrayList<>();
         for (long now = 0; now < 1_000; now += 5) {
             long at = now;
             QueuedRequest queued = new QueuedRequest(
@@ -83,10 +83,10 @@
             scheduler.dispatcher("pool").upstreams().choose(queued, 0, at).ifPresent(load -> {
                 load.began(queued, 0, at);
                 load.ended(queued);
-                granted.add(load.upstream().id());
+                upstreamIds.add(load.upstream().id());
             });
         }
-        return granted;
+        return upstreamIds;
     }
 
     private void applyView(RolloutStage stage, String... versions) {
@@ -128,21 +128,21 @@
     }
 
     @Test
-    void sendsNothingToAVersionThatWasTakenBack() {
+    void sendsNothingToAVersionThatWasRolledBack() {
         applyView(RolloutStage.ROLLED_BACK, "v1", "v2");
         assertThat(countAllowed("v2", 100)).isZero();
         assertThat(countAllowed("v1", 100)).isEqualTo(100);
     }
 
     @Test
-    void sendsEverythingToTheTargetOnceItIsComplete() {
+    void sendsAllRequestsToTheTargetOfACompletedRollout() {
         applyView(RolloutStage.COMPLETED, "v1", "v2");
         assertThat(countAllowed("v1", 100)).isZero();
     }
 
-    /** The upstreams of the completed version are replaced by later ones: the pool must not stand empty. */
+    /** Guards against a pool that serves nothing after upstreams of a later version have replaced those of the target. */
     @Test
-    void takesWhatIsThereWhereNoUpstreamOfTheTargetIsLeft() {
+    void allowsOtherVersionsIfNoUpstreamOfTheTargetIsLeft() {
         applyView(RolloutStage.COMPLETED, "v3");
         assertThat(countAllowed("v3", 100)).isEqualTo(100);
     }
--- a/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
@@ -17,19 +17,19 @@
     }
 
     @Test
-    void isToldInEachStepWhereItIsSmall() {
+    void publishesOnEveryTickToFewPeers() {
         peers(6);
         assertThat(rounds.roundMillis()).isEqualTo(TICK_MILLIS);
     }
 
     @Test
-    void isToldLessOftenWhereItIsLarge() {
+    void publishesLessOftenToManyPeers() {
         peers(36);
         assertThat(rounds.roundMillis()).isEqualTo(240);
     }
 
     @Test
-    void hasNoRoundBeforeTheNextIsDue() {
+    void beginsNoRoundBeforeItIsDue() {
         peers(36);
         assertThat(rounds.beginRound(0)).isTrue();
         assertThat(rounds.beginRound(TICK_MILLIS)).isFalse();
@@ -37,22 +37,22 @@
     }
 
     @Test
-    void hasNoRoundsWhereNobodyIsThere() {
+    void beginsNoRoundWithoutPeers() {
         assertThat(rounds.beginRound(0)).isFalse();
     }
 
     @Test
-    void isToldEverythingOnceInSoManyRounds() {
+    void publishesAFullReportEveryFewRounds() {
         peers(36);
-        int wholes = 0;
+        int fullReports = 0;
         for (long now = 0; now < 40 * 240; now += 240) {
-            wholes += rounds.beginRound(now) && rounds.beginFullReport() ? 1 : 0;
+            fullReports += rounds.beginRound(now) && rounds.beginFullReport() ? 1 : 0;
         }
-        assertThat(wholes).isEqualTo(10);
+        assertThat(fullReports).isEqualTo(10);
     }
 
     @Test
-    void isToldOnlyOfUseThatHasChanged() {
+    void publishesOnlyUsageThatHasChanged() {
         rounds.recordPublished(Map.of(), Map.of("one", 5L, "two", 7L));
         assertThat(rounds.changedUsage(Map.of("one", 5L, "two", 8L))).isEqualTo(Map.of("two", 8L));
     }
