--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -39,10 +39,11 @@
      * Announces a replica to the other control hosts, repeatedly; one that isn't a member yet may become one.
      *
      * @param replica the identity of the replica.
-     * @param controls the addresses of the members that the sender knows.
+     * @param memberAddresses the addresses of the members that the sender knows.
      * @param failureDomain the failure domain of the sender.
      */
-    record ReplicaAnnouncement(String replica, List<String> controls, String failureDomain) implements FleetMessage {}
+    record ReplicaAnnouncement(String replica, List<String> memberAddresses, String failureDomain)
+            implements FleetMessage {}
 
     /**
      * Requests the current control state from the control leader.
@@ -76,7 +77,7 @@
      * @param list the host list, if the receiver has an older one.
      * @param rollouts the latest rollout of each pool.
      * @param entryCount the number of entries that have sent requests recently.
-     * @param controls all control hosts.
+     * @param controlHosts all control hosts.
      * @param evacuated the failure domains whose upstreams must get no new requests.
      */
     record Followed(
@@ -87,7 +88,7 @@
             Optional<HostList> list,
             List<CatalogueState.Rollout> rollouts,
             int entryCount,
-            List<ControlHost> controls,
+            List<ControlHost> controlHosts,
             Set<String> evacuated)
             implements FleetMessage {}
 
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -40,7 +40,7 @@
      * @param earlier the earlier moment.
      * @return the time in milliseconds, never negative.
      */
-    public long since(Moment earlier) {
+    public long millisSince(Moment earlier) {
         long steady = monotonicMillis - earlier.monotonicMillis;
         long wall = wallMillis - earlier.wallMillis;
         return Math.max(0, Math.max(steady, wall));
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -70,7 +70,7 @@
 
     void onAnnouncement(FleetMessage.ReplicaAnnouncement announcement) {
         replicasLastSeenAt.put(announcement.replica(), loop.nowMillis());
-        announcedAddresses.addAll(announcement.controls());
+        announcedAddresses.addAll(announcement.memberAddresses());
         if (announcement.failureDomain() != null) {
             failureDomains.put(ReplicaHost.nodeOf(announcement.replica()), announcement.failureDomain());
         }
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -57,7 +57,7 @@
                 hosts,
                 answer.rollouts(),
                 answer.entryCount(),
-                answer.controls(),
+                answer.controlHosts(),
                 answer.evacuated(),
                 sentAt);
     }
@@ -87,7 +87,7 @@
      * @return whether the view is complete and younger than that.
      */
     public boolean isConfirmedWithin(double millis) {
-        return catalogue.isPresent() && hosts.reading() > 0 && Moment.now().since(confirmedAt) < millis;
+        return catalogue.isPresent() && hosts.reading() > 0 && Moment.now().millisSince(confirmedAt) < millis;
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
@@ -45,7 +45,7 @@
     private final CountSource versionCounts;
     private final ViewListener listener;
     private final Set<String> seeds = new TreeSet<>();
-    private final Map<String, ControlHost> controls = new TreeMap<>();
+    private final Map<String, ControlHost> controlHosts = new TreeMap<>();
     private final Map<Long, Moment> requestsSentAt = new HashMap<>();
     private final LeaderSearchOrder searchOrder = new LeaderSearchOrder();
     private ConfirmedView view = ConfirmedView.NOTHING;
@@ -102,10 +102,10 @@
      * @param answer the answer.
      */
     public void onFollowed(FleetMessage.Followed answer) {
-        if (!answer.controls().isEmpty() && answer.confirmed()) {
-            controls.clear();
+        if (!answer.controlHosts().isEmpty() && answer.confirmed()) {
+            controlHosts.clear();
         }
-        answer.controls().forEach(host -> controls.put(host.address(), host));
+        answer.controlHosts().forEach(host -> controlHosts.put(host.address(), host));
         if (!answer.confirmed()) {
             onLeaderHint(answer.leader());
             updateLinks();
@@ -118,7 +118,7 @@
         if (leaderLost) {
             leaderLost = false;
             events.emit(
-                    EventCode.CONTROL, "followed", answer.leader(), Moment.now().since(view.confirmedAt()));
+                    EventCode.CONTROL, "followed", answer.leader(), Moment.now().millisSince(view.confirmedAt()));
         }
         leader = answer.leader();
         updateView(answer, sentAt);
@@ -147,7 +147,7 @@
     private void onLeaderHint(String hinted) {
         if (!hinted.isEmpty() && !hinted.equals(leader)) {
             leader = hinted;
-            controls.putIfAbsent(hinted, new ControlHost(hinted, ""));
+            controlHosts.putIfAbsent(hinted, new ControlHost(hinted, ""));
             updateLinks();
             sendRequests();
         }
@@ -180,14 +180,14 @@
     /** Sends requests and schedules the next poll, sooner if an answer is overdue; each poll wakes up an otherwise idle host. */
     private void poll() {
         sendRequests();
-        boolean overdue = Moment.now().since(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
+        boolean overdue = Moment.now().millisSince(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
         loop.schedule(this::poll, leaderLost || overdue ? SEARCH_INTERVAL_MILLIS : POLL_INTERVAL_MILLIS);
     }
 
     private void sendRequests() {
         Moment now = Moment.now();
-        requestsSentAt.values().removeIf(sentAt -> now.since(sentAt) > REQUEST_TIMEOUT_MILLIS);
-        long age = now.since(view.confirmedAt());
+        requestsSentAt.values().removeIf(sentAt -> now.millisSince(sentAt) > REQUEST_TIMEOUT_MILLIS);
+        long age = now.millisSince(view.confirmedAt());
         boolean overdue = age > LEADER_TIMEOUT_MILLIS;
         if (overdue && !leaderLost) {
             leaderLost = true;
@@ -219,8 +219,8 @@
 
     /** Returns the control hosts to stay connected to: the seeds only while no others are known or the leader is lost. */
     private Set<String> wantedAddresses() {
-        Set<String> wanted = new TreeSet<>(controls.keySet());
-        if (controls.isEmpty() || leaderLost) {
+        Set<String> wanted = new TreeSet<>(controlHosts.keySet());
+        if (controlHosts.isEmpty() || leaderLost) {
             wanted.addAll(seeds);
         }
         if (!leader.isEmpty()) {
--- a/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
@@ -10,22 +10,22 @@
     /** Guards against old data that looks fresh after a host was suspended and its monotonic clock stood still. */
     @Test
     void countsTimeInWhichTheHostWasSuspended() {
-        assertThat(new Moment(1_010, 505_010).since(EARLIER)).isEqualTo(5_010);
+        assertThat(new Moment(1_010, 505_010).millisSince(EARLIER)).isEqualTo(5_010);
     }
 
     /** Guards against old data that seems to come from the future after the time of day was set back by two seconds. */
     @Test
     void countsTimeAlthoughTheTimeOfDayWasSetBack() {
-        assertThat(new Moment(4_000, 501_000).since(EARLIER)).isEqualTo(3_000);
+        assertThat(new Moment(4_000, 501_000).millisSince(EARLIER)).isEqualTo(3_000);
     }
 
     @Test
     void isNeverNegative() {
-        assertThat(new Moment(900, 400_000).since(EARLIER)).isZero();
+        assertThat(new Moment(900, 400_000).millisSince(EARLIER)).isZero();
     }
 
     @Test
     void isVeryLongSinceLongAgo() {
-        assertThat(EARLIER.since(Moment.LONG_AGO)).isGreaterThan(1_000_000_000);
+        assertThat(EARLIER.millisSince(Moment.LONG_AGO)).isGreaterThan(1_000_000_000);
     }
 }
