--- a/node/src/main/java/org/radishspur/node/admin/AdminServer.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminServer.java
@@ -33,12 +33,13 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts operators' connections; all but health and metrics asks for the token.
+ * Accepts operators' connections and serves their calls. Every path except health, readiness and metrics requires the
+ * token.
  */
 public final class AdminServer implements Child {
-    private static final int GREATEST_BODY_BYTES = 16 << 20;
-    private static final int IDLE_SECONDS = 60;
-    private static final String BEARER = "Bearer ";
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int IDLE_TIMEOUT_SECONDS = 60;
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final NodeSettings settings;
     private final byte[] token;
@@ -48,14 +49,14 @@
     private Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server, which doesn't listen before its start.
      *
      * @param settings the settings of the node.
-     * @param token the token that operators must show.
-     * @param core the deciding part of the node.
-     * @param metrics the counters of the node.
-     * @param readiness whether the node serves what it is there for.
-     * @param group the threads that carry traffic.
+     * @param token the bearer token that operators must send.
+     * @param core the core of the node, which executes the calls.
+     * @param metrics the metrics of the node.
+     * @param readiness returns whether the node is ready to serve.
+     * @param group the event loops that serve the connections.
      */
     public AdminServer(
             NodeSettings settings,
@@ -81,10 +82,10 @@
                     @Override
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
-                                .addLast(new ReadTimeoutHandler(IDLE_SECONDS))
+                                .addLast(new ReadTimeoutHandler(IDLE_TIMEOUT_SECONDS))
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(GREATEST_BODY_BYTES))
-                                .addLast(new Connection());
+                                .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                                .addLast(new ConnectionHandler());
                     }
                 })
                 .bind(settings.adminAddress().toSocketAddress())
@@ -104,17 +105,17 @@
     }
 
     private boolean isAuthorised(FullHttpRequest request) {
-        String shown = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
-        byte[] value = shown.startsWith(BEARER)
-                ? shown.substring(BEARER.length()).getBytes(StandardCharsets.UTF_8)
+        String header = request.headers().get(HttpHeaderNames.AUTHORIZATION, "");
+        byte[] sentToken = header.startsWith(BEARER_PREFIX)
+                ? header.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8)
                 : new byte[0];
-        return MessageDigest.isEqual(value, token);
+        return MessageDigest.isEqual(sentToken, token);
     }
 
     /**
      * Serves one operator's connection.
      */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -125,7 +126,7 @@
                         context,
                         AdminAnswer.failure(HttpResponseStatus.BAD_REQUEST, ErrorCode.CALL_INVALID.code(), "not HTTP"),
                         false);
-            } else if (!AdminCalls.isOpen(path) && !isAuthorised(request)) {
+            } else if (!AdminCalls.isPublicPath(path) && !isAuthorised(request)) {
                 metrics.failed(ErrorCode.TOKEN_REFUSED);
                 send(
                         context,
@@ -135,7 +136,7 @@
                                 "the token is missing or wrong"),
                         keepAlive);
             } else {
-                calls.carryOut(
+                calls.handle(
                         request.method(),
                         path,
                         request.content().toString(StandardCharsets.UTF_8),
--- a/node/src/main/java/org/radishspur/node/caller/CallerServer.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServer.java
@@ -19,11 +19,11 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts callers' connections.
+ * Accepts callers' connections, up to a limit, and closes those above it at once.
  */
 public final class CallerServer implements Child {
     private static final int BACKLOG = 4_096;
-    private static final int CHUNK_BYTES = 8_192;
+    private static final int MAX_CHUNK_BYTES = 8_192;
 
     private final CallerServices services;
     private final EventLoopGroup group;
@@ -32,10 +32,10 @@
     private volatile Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server, which doesn't listen before its start.
      *
-     * @param services what the exchanges share.
-     * @param group the threads that carry traffic.
+     * @param services the services that all exchanges share.
+     * @param group the event loops that serve the connections.
      */
     public CallerServer(CallerServices services, EventLoopGroup group) {
         this.services = services;
@@ -54,7 +54,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        install(accepted);
+                        initialisePipeline(accepted);
                     }
                 })
                 .bind(services.settings().callerAddress().toSocketAddress())
@@ -79,7 +79,7 @@
         return !stopping && current != null && current.isActive();
     }
 
-    /** Takes no further connections; those that are open go on. */
+    /** Stops accepting connections; open connections stay open. */
     public void stopAccepting() {
         stopping = true;
         close();
@@ -93,7 +93,7 @@
         }
     }
 
-    private void install(SocketChannel accepted) {
+    private void initialisePipeline(SocketChannel accepted) {
         Limits limits = services.settings().limits();
         if (connections.incrementAndGet() > limits.callerConnections()) {
             connections.decrementAndGet();
@@ -104,7 +104,7 @@
         accepted.pipeline()
                 .addLast(new IdleStateHandler(
                         services.settings().timeouts().callerIdleMillis(), 0, 0, TimeUnit.MILLISECONDS))
-                .addLast(new HttpServerCodec(limits.headerBytes(), limits.headerBytes(), CHUNK_BYTES))
+                .addLast(new HttpServerCodec(limits.headerBytes(), limits.headerBytes(), MAX_CHUNK_BYTES))
                 .addLast(new CallerHandler(services));
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/CallerServices.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServices.java
@@ -13,31 +13,31 @@
 import org.radishspur.node.upstream.UpstreamConnections;
 
 /**
- * Holds what the exchanges of one node share.
+ * Holds the services and counts that all exchanges of a node share.
  */
 public final class CallerServices {
     private final NodeSettings settings;
     private final NodeCore core;
     private final NodeMetrics metrics;
-    private static final int MOST_RETRIES_AT_ONCE = 100;
+    private static final int MAX_RETRY_BURST = 100;
 
-    private final RetryBudget retries;
+    private final RetryBudget retryBudget;
     private final Map<EventLoop, UpstreamConnections> connections = new ConcurrentHashMap<>();
     private final Set<RequestKey> localClaims = ConcurrentHashMap.newKeySet();
     private final AtomicInteger inProgress = new AtomicInteger();
 
     /**
-     * Creates the shared parts.
+     * Creates the shared services.
      *
      * @param settings the settings of the node.
-     * @param core the deciding part of the node.
-     * @param metrics the counters of the node.
+     * @param core the core of the node, which grants claims and permits.
+     * @param metrics the metrics of the node.
      */
     public CallerServices(NodeSettings settings, NodeCore core, NodeMetrics metrics) {
         this.settings = settings;
         this.core = core;
         this.metrics = metrics;
-        this.retries = new RetryBudget(settings.limits().retryShare(), MOST_RETRIES_AT_ONCE);
+        this.retryBudget = new RetryBudget(settings.limits().retryShare(), MAX_RETRY_BURST);
     }
 
     NodeSettings settings() {
@@ -52,8 +52,8 @@
         return metrics;
     }
 
-    RetryBudget retries() {
-        return retries;
+    RetryBudget retryBudget() {
+        return retryBudget;
     }
 
     Set<RequestKey> localClaims() {
@@ -69,18 +69,18 @@
                         settings.timeouts().upstreamKeepMillis()));
     }
 
-    void began() {
+    void requestBegan() {
         inProgress.incrementAndGet();
     }
 
-    void ended() {
+    void requestEnded() {
         inProgress.decrementAndGet();
     }
 
     /**
-     * Returns the number of requests that have not come to their end.
+     * Returns the number of requests that have begun and not yet ended.
      *
-     * @return the number.
+     * @return the number of requests in progress.
      */
     public int inProgress() {
         return inProgress.get();
--- a/node/src/main/java/org/radishspur/node/caller/CallerRefusal.java
+++ b/node/src/main/java/org/radishspur/node/caller/RefusalException.java
@@ -3,14 +3,14 @@
 import org.radishspur.model.error.Refusal;
 
 /**
- * Ends the reading of a request head that can't be accepted.
+ * Thrown where a request head isn't valid; carries the refusal that the caller receives. It records no stack trace.
  */
-final class CallerRefusal extends RuntimeException {
+final class RefusalException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient Refusal refusal;
 
-    CallerRefusal(Refusal refusal) {
+    RefusalException(Refusal refusal) {
         super(refusal.reason().code(), null, false, false);
         this.refusal = refusal;
     }
--- a/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
+++ b/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
@@ -3,38 +3,40 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Keeps retries to a share of the requests, so that they can't multiply an overload.
+ * Limits retries to a share of the requests, so that retries can't amplify an overload.
  */
 public final class RetryBudget {
-    private static final long UNIT = 1_000;
+    /** The budget is counted in thousandths of a retry, because one request earns only a fraction of one. */
+    private static final long UNITS_PER_RETRY = 1_000;
 
-    private final long perRequest;
-    private final long greatest;
-    private final AtomicLong balance;
+    private final long unitsPerRequest;
+    private final long maxUnits;
+    private final AtomicLong availableUnits;
 
     /**
-     * Creates a budget that is a tenth full.
+     * Creates a budget that is one tenth full, but holds at least one retry.
      *
-     * @param share how many retries each request adds.
-     * @param mostAtOnce how many retries the budget holds at most.
+     * @param share the number of retries that each request adds, usually a fraction of one.
+     * @param maxRetries the number of retries that the budget holds at most.
      */
-    public RetryBudget(double share, int mostAtOnce) {
-        perRequest = (long) (share * UNIT);
-        greatest = mostAtOnce * UNIT;
-        balance = new AtomicLong(Math.max(UNIT, greatest / 10));
+    public RetryBudget(double share, int maxRetries) {
+        unitsPerRequest = (long) (share * UNITS_PER_RETRY);
+        maxUnits = maxRetries * UNITS_PER_RETRY;
+        availableUnits = new AtomicLong(Math.max(UNITS_PER_RETRY, maxUnits / 10));
     }
 
-    /** Notes one request. */
+    /** Adds the share of one request to the budget. */
     public void requested() {
-        balance.accumulateAndGet(perRequest, (present, added) -> Math.min(greatest, present + added));
+        availableUnits.accumulateAndGet(unitsPerRequest, (units, added) -> Math.min(maxUnits, units + added));
     }
 
     /**
      * Takes one retry out of the budget.
      *
-     * @return whether there was one.
+     * @return whether the budget held one.
      */
     public boolean take() {
-        return balance.getAndUpdate(present -> present >= UNIT ? present - UNIT : present) >= UNIT;
+        return availableUnits.getAndUpdate(units -> units >= UNITS_PER_RETRY ? units - UNITS_PER_RETRY : units)
+                >= UNITS_PER_RETRY;
     }
 }
--- a/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
+++ b/node/src/main/java/org/radishspur/node/caller/TokenCounter.java
@@ -4,32 +4,34 @@
 import org.radishspur.model.table.PoolKind;
 
 /**
- * Counts the tokens of an answer: the events of an event stream, or else a share of the bytes.
+ * Estimates the number of tokens of an answer: the number of events in an event stream, otherwise the number of bytes
+ * divided by {@link BodyDigest#BYTES_PER_TOKEN}. An answer of a plain service counts as 1.
  */
 final class TokenCounter {
     private final PoolKind kind;
-    private boolean events;
-    private boolean lineEnded;
+    private boolean eventStream;
+    private boolean nonEmptyLineEnded;
     private long bytes;
-    private int count;
+    private int eventCount;
 
     TokenCounter(PoolKind kind) {
         this.kind = kind;
     }
 
     void begin(String contentType) {
-        events = contentType.startsWith("text/event-stream");
+        eventStream = contentType.startsWith("text/event-stream");
     }
 
     void add(ByteBuf part) {
         bytes += part.readableBytes();
-        if (events) {
+        if (eventStream) {
             part.forEachByte(value -> {
+                // An empty line ends an event.
                 if (value == '\n') {
-                    count += lineEnded ? 1 : 0;
-                    lineEnded = !lineEnded;
+                    eventCount += nonEmptyLineEnded ? 1 : 0;
+                    nonEmptyLineEnded = !nonEmptyLineEnded;
                 } else if (value != '\r') {
-                    lineEnded = false;
+                    nonEmptyLineEnded = false;
                 }
                 return true;
             });
@@ -40,6 +42,6 @@
         if (kind == PoolKind.SERVICE) {
             return 1;
         }
-        return events ? count : (int) Math.max(1, bytes / BodyDigest.BYTES_PER_TOKEN);
+        return eventStream ? eventCount : (int) Math.max(1, bytes / BodyDigest.BYTES_PER_TOKEN);
     }
 }
--- a/node/src/main/java/org/radishspur/node/control/DiskWriter.java
+++ b/node/src/main/java/org/radishspur/node/control/DiskWriter.java
@@ -17,21 +17,22 @@
 import org.radishspur.replication.raft.WriteBatch;
 
 /**
- * Writes batches on a thread of its own, so that a slow sync holds up neither heartbeats nor permits.
+ * Writes the batches and snapshots of a control replica on threads of its own, so that a slow sync delays neither
+ * heartbeats nor permits.
  */
 final class DiskWriter implements ControlReplica.Writer, AutoCloseable {
-    private static final long RETRY_MILLIS = 500;
-    private static final long SPACE_CHECK_MILLIS = 1_000;
+    private static final long DISK_FULL_RETRY_MILLIS = 500;
+    private static final long SPACE_CHECK_INTERVAL_MILLIS = 1_000;
 
     private final ControlLoop loop;
     private final Disk disk;
     private final DataFolder folder;
     private final long minimumFreeBytes;
-    private final ExecutorService thread =
+    private final ExecutorService batchExecutor =
             Executors.newSingleThreadExecutor(action -> new Thread(action, "control-disk"));
-    private final ExecutorService snapshots =
+    private final ExecutorService snapshotExecutor =
             Executors.newSingleThreadExecutor(action -> new Thread(action, "control-snapshot"));
-    private final AtomicBoolean space = new AtomicBoolean(true);
+    private final AtomicBoolean spaceAvailable = new AtomicBoolean(true);
     private final AtomicBoolean closed = new AtomicBoolean();
     private final Runnable afterWrite;
 
@@ -41,13 +42,13 @@
         this.folder = folder;
         this.minimumFreeBytes = minimumFreeBytes;
         this.afterWrite = afterWrite;
-        loop.repeat(() -> thread.execute(this::checkSpace), SPACE_CHECK_MILLIS);
+        loop.repeat(() -> batchExecutor.execute(this::checkSpace), SPACE_CHECK_INTERVAL_MILLIS);
     }
 
     /** {@inheritDoc} */
     @Override
     public void write(WriteBatch batch, LongConsumer written) {
-        thread.execute(() -> {
+        batchExecutor.execute(() -> {
             if (!batch.isEmpty()) {
                 writeWithRetries(batch);
             }
@@ -62,15 +63,15 @@
 
     /** {@inheritDoc} */
     @Override
-    public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
-        snapshots.execute(() -> {
-            Snapshot snapshot = making.get();
+    public void stage(Supplier<Snapshot> source, Consumer<Snapshot> staged) {
+        snapshotExecutor.execute(() -> {
+            Snapshot snapshot = source.get();
             try {
                 disk.stage(snapshot);
             } catch (RadishspurException exception) {
-                // Nothing depends on this file yet: the batch that makes it count will write it again, and will end the
-                // process if the disk really fails.
-                PartLog.CONTROL.error("A snapshot could not be stored aside.", exception);
+                // The batch that puts the snapshot into effect writes it again, and ends the process if the disk has
+                // failed.
+                PartLog.CONTROL.error("A snapshot could not be written ahead of its batch.", exception);
             }
             if (!closed.get()) {
                 loop.execute(() -> {
@@ -84,19 +85,19 @@
     /** {@inheritDoc} */
     @Override
     public boolean hasSpace() {
-        return space.get();
+        return spaceAvailable.get();
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         closed.set(true);
-        thread.shutdownNow();
-        snapshots.shutdownNow();
+        batchExecutor.shutdownNow();
+        snapshotExecutor.shutdownNow();
         disk.close();
     }
 
-    /** Waits while the disk is full; any other failure leaves the disk in doubt and ends the process. */
+    /** Retries while the disk is full; after any other failure the disk state is unknown, and the process ends. */
     private void writeWithRetries(WriteBatch batch) {
         while (!closed.get()) {
             try {
@@ -110,16 +111,16 @@
                     closed.set(true);
                     return;
                 }
-                space.set(false);
+                spaceAvailable.set(false);
                 PartLog.CONTROL.warn("The disk is full; edits and claims are refused.");
-                pause();
+                waitBeforeRetry();
             }
         }
     }
 
-    private void pause() {
+    private void waitBeforeRetry() {
         try {
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(DISK_FULL_RETRY_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             closed.set(true);
@@ -127,10 +128,12 @@
     }
 
     private void checkSpace() {
-        boolean enough = folder.usableBytes() >= minimumFreeBytes;
-        if (space.getAndSet(enough) != enough) {
+        boolean sufficient = folder.usableBytes() >= minimumFreeBytes;
+        if (spaceAvailable.getAndSet(sufficient) != sufficient) {
             PartLog.CONTROL.warn(
-                    enough ? "The disk has space again." : "The disk is nearly full; edits and claims are refused.");
+                    sufficient
+                            ? "The disk has space again."
+                            : "The disk is nearly full; edits and claims are refused.");
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -14,9 +14,9 @@
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.node.peer.PeerMessage.ControlRequest;
 import org.radishspur.node.peer.PeerMessage.ControlResult;
-import org.radishspur.node.peer.PeerMessage.NodeLine;
 import org.radishspur.node.peer.PeerMessage.NodeState;
 import org.radishspur.node.peer.PeerMessage.NodeStatus;
+import org.radishspur.node.peer.PeerMessage.NodeSummary;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.replication.control.Proposal;
 import org.radishspur.replication.state.ClaimAnswer;
@@ -25,31 +25,32 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Answers the other nodes while this one leads the control replicas: heartbeats, calls, and fresh tables.
+ * Serves the nodes of the cluster while this one is the control leader: answers heartbeats and calls, and sends changed
+ * tables.
  */
 final class LeaderService {
     private final NodeSettings settings;
     private final ControlLoop loop;
-    private final ReplicaHost host;
+    private final ReplicaHost replica;
     private final Sender sender;
     private final NodeRegistry registry;
-    private final Map<String, Long> pushed = new HashMap<>();
+    private final Map<String, Long> sentRevisions = new HashMap<>();
     private long registryTerm;
-    private long termStartedAt;
+    private long termStartedAtMillis;
     private long auxiliaryRevision;
 
-    LeaderService(NodeSettings settings, ControlLoop loop, ReplicaHost host, Sender sender) {
+    LeaderService(NodeSettings settings, ControlLoop loop, ReplicaHost replica, Sender sender) {
         this.settings = settings;
         this.loop = loop;
-        this.host = host;
+        this.replica = replica;
         this.sender = sender;
         this.registry = new NodeRegistry(settings.timeouts().nodeLostMillis());
     }
 
     void onHeartbeat(NodeStatus status) {
-        startTermIfNew();
-        registry.received(status, loop.nowMillis());
-        Optional<ControlState> state = host.readable();
+        resetOnNewTerm();
+        registry.onStatus(status, loop.nowMillis());
+        Optional<ControlState> state = replica.readableState();
         if (state.isEmpty()) {
             sender.send(
                     status.node(),
@@ -57,7 +58,7 @@
                             false, Optional.empty(), Optional.empty(), 0, Map.of(), Map.of(), Set.of()));
             return;
         }
-        Optional<ClusterView> view = viewIfSettled();
+        Optional<ClusterView> view = viewOnceSettled();
         boolean viewKnown = view.isEmpty()
                 || status.viewTerm() == view.get().term()
                         && status.viewNumber() == view.get().number();
@@ -65,7 +66,7 @@
         boolean tablesKnown = status.revisionInForce() == current;
         boolean auxiliaryKnown = tablesKnown && status.auxiliaryRevision() == auxiliaryRevision;
         if (!tablesKnown) {
-            pushed.put(status.node(), current);
+            sentRevisions.put(status.node(), current);
         }
         sender.send(
                 status.node(),
@@ -81,20 +82,20 @@
                         auxiliaryKnown ? Set.of() : state.get().catalogue().evacuated()));
     }
 
-    /** Sends fresh tables to every living node at once, rather than with the next heartbeat. */
+    /** Sends changed tables to every live node immediately rather than with the reply to its next heartbeat. */
     void onApplied(ControlState state, boolean auxiliaryChanged) {
         if (auxiliaryChanged) {
             auxiliaryRevision = Math.max(auxiliaryRevision + 1, System.currentTimeMillis());
         }
-        if (!host.isLeader()) {
+        if (!replica.isLeader()) {
             return;
         }
         long current = state.tables().tables().revision();
-        for (NodeStatus status : registry.living(loop.nowMillis())) {
-            long known = Math.max(status.revisionInForce(), pushed.getOrDefault(status.node(), 0L));
-            if (known < current && status.revisionInForce() >= 0) {
-                pushed.put(status.node(), current);
-                TablesDelta delta = state.tables().since(known);
+        for (NodeStatus status : registry.liveNodes(loop.nowMillis())) {
+            long knownRevision = Math.max(status.revisionInForce(), sentRevisions.getOrDefault(status.node(), 0L));
+            if (knownRevision < current && status.revisionInForce() >= 0) {
+                sentRevisions.put(status.node(), current);
+                TablesDelta delta = state.tables().since(knownRevision);
                 sender.send(
                         status.node(),
                         new PeerMessage.TablesPush(delta, state.moves().latest()));
@@ -103,9 +104,9 @@
     }
 
     void onCall(String node, PeerMessage.ControlCall call) {
-        startTermIfNew();
+        resetOnNewTerm();
         if (call.request() instanceof ControlRequest.Commit commit) {
-            host.propose(
+            replica.propose(
                     commit.command(),
                     end -> sender.send(node, new PeerMessage.ControlReply(call.call(), resultOf(end))));
         } else if (call.request() instanceof ControlRequest.Status) {
@@ -117,65 +118,65 @@
 
     private ControlResult resultOf(Proposal end) {
         if (end instanceof Proposal.Committed committed) {
-            return new ControlResult.Committed(committed.answer(), holderLives(committed.answer()));
+            return new ControlResult.Committed(committed.answer(), isHolderLive(committed.answer()));
         } else if (end instanceof Proposal.Busy) {
             return new ControlResult.Busy();
         }
-        return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+        return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
     }
 
-    private boolean holderLives(ControlAnswer answer) {
+    private boolean isHolderLive(ControlAnswer answer) {
         return answer instanceof ControlAnswer.OfClaim claim
                 && claim.answer() instanceof ClaimAnswer.Held held
-                && registry.lives(held.holder().node(), held.holder().incarnation(), loop.nowMillis());
+                && registry.isLive(held.holder().node(), held.holder().incarnation(), loop.nowMillis());
     }
 
     private ControlResult status() {
-        Optional<ControlState> state = host.readable();
+        Optional<ControlState> state = replica.readableState();
         if (state.isEmpty()) {
-            return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+            return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        List<NodeLine> lines = new ArrayList<>(registry.lines(loop.nowMillis()));
+        List<NodeSummary> summaries = new ArrayList<>(registry.summaries(loop.nowMillis()));
         Set<String> missing = new TreeSet<>(Set.of(settings.node()));
         settings.peers().forEach(peer -> missing.add(peer.node()));
-        lines.forEach(line -> missing.remove(line.node()));
-        missing.forEach(node -> lines.add(new NodeLine(node, NodeState.LOST, "", -1, "")));
+        summaries.forEach(line -> missing.remove(line.node()));
+        missing.forEach(node -> summaries.add(new NodeSummary(node, NodeState.LOST, "", -1, "")));
         return new ControlResult.Report(new PeerMessage.ClusterStatus(
                 settings.node(),
-                host.term(),
+                replica.term(),
                 state.get().tables().tables().revision(),
-                host.commitIndex(),
-                host.voters(),
-                host.learners(),
-                lines,
+                replica.commitIndex(),
+                replica.voters(),
+                replica.learners(),
+                summaries,
                 state.get().claims().counts(),
                 moves(state.get()),
                 state.get().catalogue().evacuated()));
     }
 
     private ControlResult replace(String node) {
-        if (host.readable().isEmpty()) {
-            return new ControlResult.NotLeader(host.isLeader() ? "" : host.leaderNode());
+        if (replica.readableState().isEmpty()) {
+            return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
         }
-        String fresh = registry.living(loop.nowMillis()).stream()
+        String replacement = registry.liveNodes(loop.nowMillis()).stream()
                 .filter(status -> status.node().equals(node))
                 .map(NodeStatus::replica)
                 .findFirst()
                 .orElse("");
-        if (fresh.isEmpty()) {
+        if (replacement.isEmpty()) {
             return new ControlResult.Refused("node " + node + " is not live or has no replica");
         }
-        if (host.voters().contains(fresh)) {
-            return new ControlResult.Refused("replica " + fresh + " votes already");
+        if (replica.voters().contains(replacement)) {
+            return new ControlResult.Refused("replica " + replacement + " votes already");
         }
-        String lost = host.voters().stream()
+        String lost = replica.voters().stream()
                 .filter(voter -> ReplicaHost.nodeOf(voter).equals(node))
                 .findFirst()
                 .orElse("");
-        if (!host.replace(fresh, lost)) {
+        if (!replica.replace(replacement, lost)) {
             return new ControlResult.Refused("another change of the replicas is under way");
         }
-        PartLog.CONTROL.info("Replica " + fresh + " is to replace " + (lost.isEmpty() ? "none" : lost) + '.');
+        PartLog.CONTROL.info("Replica " + replacement + " is to replace " + (lost.isEmpty() ? "none" : lost) + '.');
         return new ControlResult.Committed(new ControlAnswer.Done(), false);
     }
 
@@ -194,36 +195,37 @@
     }
 
     /**
-     * Returns the view, unless this leader is so new that nodes may live of which it has not heard yet: a view without
-     * them would move the ownership of queues to and fro.
+     * Returns the view, or nothing early in a term while live nodes may not have sent their first heartbeat: a view without
+     * them would change the owners of queues only to change them back.
      */
-    private Optional<ClusterView> viewIfSettled() {
+    private Optional<ClusterView> viewOnceSettled() {
         long now = loop.nowMillis();
-        long settling = 3 * settings.timeouts().heartbeatMillis();
-        boolean everybody = registry.living(now).size() == settings.peers().size() + 1;
-        if (!everybody && now - termStartedAt < settling) {
+        long settleMillis = 3 * settings.timeouts().heartbeatMillis();
+        boolean allNodesLive =
+                registry.liveNodes(now).size() == settings.peers().size() + 1;
+        if (!allNodesLive && now - termStartedAtMillis < settleMillis) {
             return Optional.empty();
         }
-        return Optional.of(registry.view(host.term(), now));
+        return Optional.of(registry.view(replica.term(), now));
     }
 
-    private void startTermIfNew() {
-        if (host.term() != registryTerm) {
-            registryTerm = host.term();
-            termStartedAt = loop.nowMillis();
+    private void resetOnNewTerm() {
+        if (replica.term() != registryTerm) {
+            registryTerm = replica.term();
+            termStartedAtMillis = loop.nowMillis();
             registry.reset();
-            pushed.clear();
+            sentRevisions.clear();
         }
     }
 
     /**
-     * Sends messages to nodes, this one included.
+     * Sends messages to nodes, including this one.
      */
     interface Sender {
         /**
          * Sends a message, which may be lost.
          *
-         * @param node the receiver.
+         * @param node the name of the receiver.
          * @param message the message.
          */
         void send(String node, PeerMessage message);
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -13,8 +13,8 @@
 import org.radishspur.model.table.Tables;
 import org.radishspur.node.log.PartLog;
 import org.radishspur.node.peer.ClusterView;
-import org.radishspur.node.peer.PeerInbox;
 import org.radishspur.node.peer.PeerLinks;
+import org.radishspur.node.peer.PeerListener;
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.replication.state.ControlCommand;
@@ -22,45 +22,47 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Ties the deciding parts of a node together on the control thread, and gives traffic threads a way in.
+ * Connects the control replica, the leader service, the pools' queues and the requests for permits of a node. All of them
+ * run on the control thread; the public methods may be called from any thread.
  */
-public final class NodeCore implements PeerInbox, AutoCloseable {
-    private static final long REPORT_CALL_MILLIS = 10_000;
+public final class NodeCore implements PeerListener, AutoCloseable {
+    private static final long COMMIT_TIMEOUT_MILLIS = 10_000;
 
     private final NodeSettings settings;
     private final long incarnation;
     private final ControlLoop loop;
     private final PeerLinks links;
-    private final ControlLink controlLink;
-    private final PermitService permitDesk;
-    private final OwnerService ownerDesk;
+    private final ControlClient controlClient;
+    private final PermitService permitService;
+    private final OwnerService ownerService;
     private final Optional<ReplicaHost> replicaHost;
-    private final Optional<LeaderService> leaderDesk;
+    private final Optional<LeaderService> leaderService;
     private final AtomicLong nextAttempt = new AtomicLong();
     private volatile Tables tables = Tables.EMPTY;
     private volatile boolean tablesKnown;
     private volatile boolean shuttingDown;
-    private volatile long leaderHeardAt;
+    private volatile long leaderSeenAtMillis;
     private ClusterView view = ClusterView.NONE;
     private long auxiliaryRevision;
-    private long seenAuxiliaryChanges;
+    private long lastAuxiliaryChanges;
 
     /**
-     * Creates the core of a node; it starts to work at once.
+     * Creates the core of a node; its timers and its control replica start at once.
      *
      * @param settings the settings of the node.
-     * @param incarnation which run of the process it is.
+     * @param incarnation the run of the process.
      * @param loop the control thread.
-     * @param linksFactory makes the links to other nodes, given who is notified of them.
+     * @param linksFactory creates the connections to other nodes.
      */
     public NodeCore(NodeSettings settings, long incarnation, ControlLoop loop, LinksFactory linksFactory) {
         this.settings = settings;
         this.incarnation = incarnation;
         this.loop = loop;
         this.links = linksFactory.create(this);
-        this.controlLink = new ControlLink(settings, loop, this::send);
-        this.permitDesk = new PermitService(loop, settings.node(), incarnation, this::send, links::isConnected);
-        this.ownerDesk = new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new Reporter());
+        this.controlClient = new ControlClient(settings, loop, this::send);
+        this.permitService = new PermitService(loop, settings.node(), incarnation, this::send, links::isConnected);
+        this.ownerService =
+                new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
         this.replicaHost = settings.isControl()
                 ? Optional.of(new ReplicaHost(
                         ReplicaHost.setupOf(settings),
@@ -69,7 +71,7 @@
                                 links.send(ReplicaHost.nodeOf(to), new PeerMessage.Raft(from, to, message)),
                         this::onApplied))
                 : Optional.empty();
-        this.leaderDesk = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
+        this.leaderService = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
         loop.repeat(this::heartbeat, settings.timeouts().heartbeatMillis());
     }
 
@@ -87,9 +89,9 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onLink(String node, boolean connected) {
+    public void onConnectionChanged(String node, boolean connected) {
         loop.execute(() -> {
-            permitDesk.onLink(node, connected);
+            permitService.onConnectionChanged(node, connected);
             if (connected) {
                 heartbeat();
             }
@@ -97,80 +99,80 @@
     }
 
     /**
-     * Asks the control leader to commit a command.
+     * Commits a command by a call to the control leader.
      *
      * @param command the command.
-     * @param timeoutMillis how long the call may take.
-     * @param listener receives the outcome, on the control thread.
+     * @param timeoutMillis the timeout of the call in milliseconds.
+     * @param listener receives the result, on the control thread.
      */
     public void commit(ControlCommand command, long timeoutMillis, CallListener listener) {
         call(new PeerMessage.ControlRequest.Commit(command), timeoutMillis, listener);
     }
 
     /**
-     * Makes a call to the control leader.
+     * Calls the control leader.
      *
-     * @param request what is asked.
-     * @param timeoutMillis how long the call may take.
-     * @param listener receives the outcome, on the control thread.
+     * @param request the request.
+     * @param timeoutMillis the timeout of the call in milliseconds.
+     * @param listener receives the result, on the control thread.
      */
     public void call(PeerMessage.ControlRequest request, long timeoutMillis, CallListener listener) {
-        loop.execute(() -> controlLink.call(request, timeoutMillis, listener::onEnd));
+        loop.execute(() -> controlClient.call(request, timeoutMillis, listener::onResult));
     }
 
     /**
-     * Asks for a permit.
+     * Requests a permit from the owner of the pool's queue.
      *
-     * @param ask the request.
-     * @param listener receives the outcome, on the control thread.
+     * @param request the request.
+     * @param listener receives the result, on the control thread.
      */
-    public void ask(PeerMessage.PermitAsk ask, PermitListener listener) {
-        loop.execute(() -> permitDesk.ask(ask, listener));
+    public void ask(PeerMessage.PermitAsk request, PermitListener listener) {
+        loop.execute(() -> permitService.request(request, listener));
     }
 
     /**
-     * Withdraws a request for a permit; if the permit was granted meanwhile, it is given back unused.
+     * Withdraws a request for a permit; if the permit has been granted already, it is released unused.
      *
-     * @param id the attempt.
+     * @param id the identity of the attempt.
      */
     public void cancel(PermitId id) {
         loop.execute(() -> {
-            if (!permitDesk.cancel(id)) {
-                permitDesk.finish(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED));
+            if (!permitService.cancel(id)) {
+                permitService.release(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED));
             }
         });
     }
 
     /**
-     * Says that the first token of an answer has come.
+     * Reports the first token of an answer to the owner of the pool's queue.
      *
-     * @param id the attempt.
+     * @param id the identity of the attempt.
      */
     public void firstToken(PermitId id) {
-        loop.execute(() -> permitDesk.firstToken(id));
+        loop.execute(() -> permitService.reportFirstToken(id));
     }
 
     /**
-     * Passes on to the owner of a pool's queue what an upstream said of itself.
+     * Passes the status that an upstream has reported on to the owner of the pool's queue.
      *
-     * @param word what it said.
+     * @param status the status.
      */
-    public void pass(PeerMessage.UpstreamWord word) {
-        loop.execute(() -> permitDesk.pass(word));
+    public void pass(PeerMessage.UpstreamWord status) {
+        loop.execute(() -> permitService.reportUpstreamStatus(status));
     }
 
     /**
-     * Gives a permit back.
+     * Releases a permit.
      *
-     * @param id the attempt.
-     * @param outcome how it was used.
+     * @param id the identity of the attempt.
+     * @param outcome how the attempt ended.
      */
     public void finish(PermitId id, PermitOutcome outcome) {
-        loop.execute(() -> permitDesk.finish(id, outcome));
+        loop.execute(() -> permitService.release(id, outcome));
     }
 
     /**
-     * Draws the identity of a fresh attempt.
+     * Returns a new identity for an attempt, unique within the cluster.
      *
      * @return the identity.
      */
@@ -188,26 +190,26 @@
     }
 
     /**
-     * Returns whether the node may take callers' requests: it has the tables, isn't being stopped, and has heard the
-     * control leader lately or is connected to most of the cluster.
+     * Returns whether the node may accept callers' requests: it has the tables, isn't shutting down, and either received a
+     * reply from the control leader recently or is connected to a majority of the cluster.
      *
      * @return whether it may.
      */
     public boolean isReady() {
-        return tablesKnown && !shuttingDown && (hearsLeader() || seesMostPeers());
+        return tablesKnown && !shuttingDown && (hasRecentLeaderReply() || isConnectedToMajority());
     }
 
     /**
-     * Returns whether the node is being stopped as planned.
+     * Returns whether a planned stop of the node has begun.
      *
-     * @return whether it is.
+     * @return whether it has.
      */
     public boolean isShuttingDown() {
         return shuttingDown;
     }
 
     /**
-     * Hands over whatever this node owns, as the first step of a planned stop.
+     * Begins a planned stop: hands over the queues and the control leadership that this node holds.
      */
     public void beginShutdown() {
         shuttingDown = true;
@@ -218,15 +220,15 @@
     }
 
     /**
-     * Collects what operators may want to see of this node's part in the pools' queues.
+     * Reports the state of the pools' queues, as this node knows it, for operators.
      *
-     * @param listener gets one line a pool, on the control thread.
+     * @param listener receives the report, on the control thread.
      */
     public void poolReport(ReportListener listener) {
         loop.execute(() -> {
             Map<String, PoolReport> report = new TreeMap<>();
-            permitDesk.owners().forEach((pool, owner) -> {
-                var scheduler = ownerDesk.schedulers().get(pool);
+            permitService.owners().forEach((pool, owner) -> {
+                var scheduler = ownerService.schedulers().get(pool);
                 boolean own = owner.equals(settings.node()) && scheduler != null;
                 report.put(pool, PoolReport.of(owner, own ? Optional.of(scheduler) : Optional.empty(), loop));
             });
@@ -241,12 +243,12 @@
         replicaHost.ifPresent(ReplicaHost::close);
     }
 
-    private boolean hearsLeader() {
-        return leaderHeardAt > 0
-                && loop.nowMillis() - leaderHeardAt < settings.timeouts().nodeLostMillis();
+    private boolean hasRecentLeaderReply() {
+        return leaderSeenAtMillis > 0
+                && loop.nowMillis() - leaderSeenAtMillis < settings.timeouts().nodeLostMillis();
     }
 
-    private boolean seesMostPeers() {
+    private boolean isConnectedToMajority() {
         long connected = settings.peers().stream()
                 .filter(peer -> links.isConnected(peer.node()))
                 .count();
@@ -281,37 +283,37 @@
         if (message instanceof PeerMessage.Raft raft) {
             replicaHost.ifPresent(host -> host.receive(raft.from(), raft.to(), raft.message()));
         } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
-            leaderDesk.ifPresent(desk -> desk.onHeartbeat(heartbeat.status()));
+            leaderService.ifPresent(service -> service.onHeartbeat(heartbeat.status()));
         } else if (message instanceof PeerMessage.HeartbeatReply reply) {
             onHeartbeatReply(node, reply);
         } else if (message instanceof PeerMessage.TablesPush push) {
             onDelta(push.delta(), push.moves());
         } else if (message instanceof PeerMessage.ControlCall call) {
-            leaderDesk.ifPresent(desk -> desk.onCall(node, call));
+            leaderService.ifPresent(service -> service.onCall(node, call));
         } else if (message instanceof PeerMessage.ControlReply reply) {
-            controlLink.onReply(reply);
+            controlClient.onReply(reply);
         } else {
             dispatchPermit(node, message);
         }
     }
 
     private void dispatchPermit(String node, PeerMessage message) {
-        if (message instanceof PeerMessage.PermitAsk ask) {
-            ownerDesk.onAsk(node, ask);
+        if (message instanceof PeerMessage.PermitAsk request) {
+            ownerService.onPermitRequest(node, request);
         } else if (message instanceof PeerMessage.PermitGranted granted) {
-            permitDesk.onGranted(granted);
+            permitService.onGranted(granted);
         } else if (message instanceof PeerMessage.PermitRefused refused) {
-            permitDesk.onRefused(refused);
+            permitService.onRefused(refused);
         } else if (message instanceof PeerMessage.PermitCancel cancel) {
-            ownerDesk.onCancel(cancel);
+            ownerService.onCancel(cancel);
         } else if (message instanceof PeerMessage.PermitFirstToken first) {
-            ownerDesk.onFirstToken(first);
+            ownerService.onFirstToken(first);
         } else if (message instanceof PeerMessage.PermitFinish finish) {
-            ownerDesk.onFinish(finish);
-        } else if (message instanceof PeerMessage.UpstreamWord word) {
-            ownerDesk.onWord(word);
+            ownerService.onFinish(finish);
+        } else if (message instanceof PeerMessage.UpstreamWord status) {
+            ownerService.onUpstreamStatus(status);
         } else if (message instanceof PeerMessage.PermitRegister register) {
-            ownerDesk.onRegister(node, register);
+            ownerService.onRegister(node, register);
         }
     }
 
@@ -319,38 +321,38 @@
         if (!reply.leader()) {
             return;
         }
-        leaderHeardAt = loop.nowMillis();
-        controlLink.onLeader(node);
+        leaderSeenAtMillis = loop.nowMillis();
+        controlClient.onLeader(node);
         reply.delta().ifPresent(delta -> onDelta(delta, reply.moves()));
         if (!tablesKnown && reply.delta().isPresent()) {
             tablesKnown = true;
             onTables();
             heartbeat();
         }
-        reply.view().filter(fresh -> fresh.isLaterThan(view)).ifPresent(fresh -> {
-            view = fresh;
-            ownerDesk.onView(fresh);
-            permitDesk.onView(fresh);
+        reply.view().filter(newer -> newer.isLaterThan(view)).ifPresent(newer -> {
+            view = newer;
+            ownerService.onView(newer);
+            permitService.onView(newer);
         });
         if (reply.auxiliaryRevision() != auxiliaryRevision) {
             auxiliaryRevision = reply.auxiliaryRevision();
-            ownerDesk.onSuspects(reply.suspects());
-            ownerDesk.onMoves(reply.moves());
-            ownerDesk.onEvacuated(reply.evacuated());
+            ownerService.onSuspects(reply.suspects());
+            ownerService.onMoves(reply.moves());
+            ownerService.onEvacuated(reply.evacuated());
         }
     }
 
     /**
-     * Takes over changed tables; a delta that leads backwards or leaves a gap changes nothing.
+     * Applies changed tables; a delta to an older revision or with a gap before it is ignored.
      *
-     * <p>Guards against a new version that gets every request for a moment: a row that names it comes together with the
-     * move that keeps it to its share, so that the one is never in force without the other.
+     * <p>The moves are replaced together with the tables: a row that names a new version must not be in force without the
+     * move that limits the version to its share, or the version would briefly receive every request.
      */
     private void onDelta(TablesDelta delta, Map<String, Move> moves) {
         Tables changed = delta.applyTo(tables);
         if (changed.revision() > tables.revision()) {
             tables = changed;
-            ownerDesk.onMovesWithTables(moves);
+            ownerService.onMovesWithTables(moves);
             if (tablesKnown) {
                 onTables();
                 heartbeat();
@@ -359,90 +361,90 @@
     }
 
     private void onTables() {
-        ownerDesk.onTables(tables);
-        permitDesk.onTables(tables);
+        ownerService.onTables(tables);
+        permitService.onTables(tables);
         PartLog.NODE.info("Tables of revision " + tables.revision() + " are in force.");
     }
 
     private void onApplied(ControlState state) {
-        boolean changed = state.auxiliaryChanges() != seenAuxiliaryChanges;
-        seenAuxiliaryChanges = state.auxiliaryChanges();
-        leaderDesk.ifPresent(desk -> desk.onApplied(state, changed));
+        boolean changed = state.auxiliaryChanges() != lastAuxiliaryChanges;
+        lastAuxiliaryChanges = state.auxiliaryChanges();
+        leaderService.ifPresent(service -> service.onApplied(state, changed));
     }
 
     /**
-     * Makes the links to other nodes.
+     * Creates the connections to other nodes.
      */
     public interface LinksFactory {
         /**
-         * Makes the links; they may call the inbox at once.
+         * Creates the connections; they may call the listener at once.
          *
-         * @param inbox is notified of connections made and lost.
-         * @return the links.
+         * @param listener is notified when a connection is established or lost.
+         * @return the connections.
          */
-        PeerLinks create(PeerInbox inbox);
+        PeerLinks create(PeerListener listener);
     }
 
     /**
-     * Receives how a call to the control leader ends.
+     * Receives the result of a call to the control leader.
      */
     public interface CallListener {
         /**
-         * Takes the end, on the control thread.
+         * Receives the result, exactly once and on the control thread.
          *
-         * @param result how the call ended.
+         * @param result the result.
          */
-        void onEnd(PeerMessage.ControlResult result);
+        void onResult(PeerMessage.ControlResult result);
     }
 
     /**
-     * Takes a report on the pools.
+     * Receives a report on the pools' queues.
      */
     public interface ReportListener {
         /**
-         * Takes the report, on the control thread.
+         * Receives the report, on the control thread.
          *
-         * @param report one line a pool.
+         * @param report the report on each pool's queue, by the name of the pool.
          */
         void onReport(Map<String, PoolReport> report);
     }
 
     /**
-     * Commits what the owners of queues find out.
+     * Reports the findings of a queue's owner by committing commands.
      */
-    private final class Reporter implements OwnerService.Reporter {
+    private final class LeaderReporter implements OwnerService.Reporter {
         /** {@inheritDoc} */
         @Override
-        public boolean owns(String pool) {
-            return settings.node().equals(permitDesk.owners().get(pool));
+        public boolean isOwner(String pool) {
+            return settings.node().equals(permitService.owners().get(pool));
         }
 
         /** {@inheritDoc} */
         @Override
         public void propose(MoveDriver.Proposal proposal) {
-            PartLog.OWNER.info("Move " + proposal.moveId() + " of route " + proposal.route() + " is to be "
+            PartLog.OWNER.info("Move " + proposal.moveId() + " of route " + proposal.route() + " is proposed to become "
                     + proposal.state() + " at " + proposal.stage() + ", reason " + proposal.reason() + '.');
             commit(
                     new ControlCommand.ChangeMove(proposal, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> heartbeat());
         }
 
         /** {@inheritDoc} */
         @Override
-        public void crashed(String pool, String fingerprint, String crashId) {
+        public void reportCrash(String pool, String fingerprint, String crashId) {
             commit(
                     new ControlCommand.ReportCrash(pool, fingerprint, crashId, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> {});
         }
 
         /** {@inheritDoc} */
         @Override
-        public void cleared(String pool, String fingerprint) {
+        public void clearSuspect(String pool, String fingerprint) {
             commit(
                     new ControlCommand.ClearSuspect(pool, fingerprint, System.currentTimeMillis()),
-                    REPORT_CALL_MILLIS,
+                    COMMIT_TIMEOUT_MILLIS,
                     result -> {});
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -29,93 +29,99 @@
 import org.radishspur.replication.state.MoveTable;
 
 /**
- * Runs the schedulers of the pools whose queues this node owns, and answers the entries that ask for permits.
+ * Runs the schedulers of the pools whose queues this node owns, and answers requests for permits from entry nodes.
  */
 final class OwnerService {
-    private static final long HOLD_MICROS = 400_000;
-    private static final long GRACE_MICROS = 2_500_000;
-    private static final long TICK_MILLIS = 25;
-    private static final long DRIVE_MILLIS = 200;
-    private static final long PROPOSAL_MILLIS = 3_000;
+    /** How long a new owner grants nothing, unless all entry nodes have registered their permits earlier. */
+    private static final long REGISTRATION_WAIT_MICROS = 400_000;
+    /** How long a permit may be in transit before it counts as lost if its entry node doesn't list it. */
+    private static final long RECONCILE_GRACE_MICROS = 2_500_000;
+
+    /** How often the schedulers are checked for due timers. */
+    private static final long TIMER_INTERVAL_MILLIS = 25;
+    /** How often the moves of the owned pools are checked for their next step. */
+    private static final long MOVE_INTERVAL_MILLIS = 200;
+    /** How long a proposed change of a move has to take effect before it is proposed again. */
+    private static final long PROPOSAL_RETRY_MILLIS = 3_000;
 
     private final ControlLoop loop;
-    private final String identity;
+    private final String ownerIdentity;
     private final LeaderService.Sender sender;
     private final Reporter reporter;
-    private final Map<String, Owned> pools = new TreeMap<>();
-    private final Set<ClusterView.Member> members = new HashSet<>();
+    private final Map<String, OwnedPool> ownedPools = new TreeMap<>();
+    private final Set<ClusterView.Member> entryMembers = new HashSet<>();
     private Tables tables = Tables.EMPTY;
-    private final Set<Move> proposed = new HashSet<>();
+    private final Set<Move> pendingProposals = new HashSet<>();
     private Map<String, Move> moves = Map.of();
-    private Set<String> evacuated = Set.of();
-    private boolean decideScheduled;
+    private Set<String> evacuatedDomains = Set.of();
+    private boolean decisionScheduled;
 
-    OwnerService(ControlLoop loop, String identity, LeaderService.Sender sender, Reporter reporter) {
+    OwnerService(ControlLoop loop, String ownerIdentity, LeaderService.Sender sender, Reporter reporter) {
         this.loop = loop;
-        this.identity = identity;
+        this.ownerIdentity = ownerIdentity;
         this.sender = sender;
         this.reporter = reporter;
-        loop.repeat(this::tick, TICK_MILLIS);
-        loop.repeat(this::driveMoves, DRIVE_MILLIS);
+        loop.repeat(this::runDueTimers, TIMER_INTERVAL_MILLIS);
+        loop.repeat(this::advanceMoves, MOVE_INTERVAL_MILLIS);
     }
 
     void onTables(Tables changed) {
         tables = changed;
-        pools.forEach((name, owned) -> {
+        ownedPools.forEach((name, owned) -> {
             PoolRow row = changed.pool(name).orElse(null);
             if (row != null) {
                 owned.scheduler.configure(row);
             }
         });
-        applyVersions();
+        applyVersionSplits();
     }
 
     void onView(ClusterView view) {
-        for (ClusterView.Member member : members) {
+        for (ClusterView.Member member : entryMembers) {
             if (!view.entries().contains(member)) {
-                pools.values().forEach(owned -> owned.scheduler.entryLost(member.node(), member.incarnation()));
+                ownedPools.values().forEach(owned -> owned.scheduler.entryLost(member.node(), member.incarnation()));
             }
         }
-        members.clear();
-        members.addAll(view.entries());
-        requestDecisions();
+        entryMembers.clear();
+        entryMembers.addAll(view.entries());
+        requestDecision();
     }
 
     void onSuspects(Map<String, Map<String, Integer>> suspects) {
         suspects.forEach((pool, crashes) -> {
-            Owned owned = pools.get(pool);
+            OwnedPool owned = ownedPools.get(pool);
             if (owned != null) {
                 owned.scheduler.suspects(crashes);
             }
         });
-        requestDecisions();
+        requestDecision();
     }
 
-    /** Takes over the failure domains whose upstreams get no new request. */
+    /** Replaces the set of failure domains whose upstreams get no new requests. */
     void onEvacuated(Set<String> failureDomains) {
-        evacuated = Set.copyOf(failureDomains);
-        pools.values().forEach(owned -> owned.scheduler.evacuate(evacuated));
-        requestDecisions();
+        evacuatedDomains = Set.copyOf(failureDomains);
+        ownedPools.values().forEach(owned -> owned.scheduler.evacuate(evacuatedDomains));
+        requestDecision();
     }
 
-    /** Takes over the moves that belong to tables which follow at once. */
+    /** Replaces the moves; their version splits take effect with the tables, which the caller passes in next. */
     void onMovesWithTables(Map<String, Move> changed) {
         moves = Map.copyOf(changed);
     }
 
     void onMoves(Map<String, Move> changed) {
         moves = Map.copyOf(changed);
-        applyVersions();
+        applyVersionSplits();
     }
 
-    private void applyVersions() {
-        Map<String, VersionSplit> all = MoveTable.splits(tables, moves);
-        pools.forEach((pool, owned) -> {
-            Map<String, VersionSplit> own = new HashMap<>(all);
-            own.keySet().removeIf(route -> !pool.equals(poolOf(route)));
-            owned.scheduler.versions(own);
+    private void applyVersionSplits() {
+        Map<String, VersionSplit> splits = MoveTable.splits(tables, moves);
+        ownedPools.forEach((pool, owned) -> {
+            Map<String, VersionSplit> poolSplits = new HashMap<>(splits);
+            poolSplits.keySet().removeIf(route -> !pool.equals(poolOf(route)));
+            owned.scheduler.versions(poolSplits);
         });
-        requestDecisions();
+        requestDecision();
     }
 
     private String poolOf(String route) {
@@ -123,11 +129,11 @@
         return row == null ? "" : row.row().pool();
     }
 
-    /** Drives the moves of the pools that this node owns; a version with a fault gets nothing from here on. */
-    private void driveMoves() {
+    /** Proposes the next steps of the moves in owned pools, and sends no more requests to a version found faulty. */
+    private void advanceMoves() {
         for (Move move : moves.values()) {
-            Owned owned = pools.get(poolOf(move.route()));
-            if (owned == null || !reporter.owns(poolOf(move.route())) || proposed.contains(move)) {
+            OwnedPool owned = ownedPools.get(poolOf(move.route()));
+            if (owned == null || !reporter.isOwner(poolOf(move.route())) || pendingProposals.contains(move)) {
                 continue;
             }
             VersionWatch watch = owned.scheduler.watch(move.route());
@@ -135,143 +141,144 @@
                 owned.scheduler.halt(move.route());
             }
             MoveDriver.INSTANCE.decide(move, watch, System.currentTimeMillis()).ifPresent(proposal -> {
-                proposed.add(move);
-                loop.schedule(() -> proposed.remove(move), PROPOSAL_MILLIS);
+                pendingProposals.add(move);
+                loop.schedule(() -> pendingProposals.remove(move), PROPOSAL_RETRY_MILLIS);
                 reporter.propose(proposal);
             });
         }
     }
 
-    void onAsk(String node, PeerMessage.PermitAsk ask) {
-        Owned owned = owned(ask.pool());
+    void onPermitRequest(String node, PeerMessage.PermitAsk request) {
+        OwnedPool owned = findOrCreatePool(request.pool());
         if (owned == null) {
             sender.send(
                     node,
                     new PeerMessage.PermitRefused(
-                            ask.pool(),
-                            ask.id(),
+                            request.pool(),
+                            request.id(),
                             Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool is not in the tables.", 1_000)));
             return;
         }
-        owned.scheduler.arrive(requestOf(ask), loop.nowMicros());
-        requestDecisions();
+        owned.scheduler.arrive(requestOf(request), loop.nowMicros());
+        requestDecision();
     }
 
     void onCancel(PeerMessage.PermitCancel cancel) {
-        Owned owned = pools.get(cancel.pool());
+        OwnedPool owned = ownedPools.get(cancel.pool());
         if (owned != null) {
             owned.scheduler.cancel(cancel.id(), loop.nowMicros());
-            requestDecisions();
+            requestDecision();
         }
     }
 
     void onFirstToken(PeerMessage.PermitFirstToken first) {
-        Owned owned = pools.get(first.pool());
+        OwnedPool owned = ownedPools.get(first.pool());
         if (owned != null) {
             owned.scheduler.firstToken(first.id(), loop.nowMicros());
         }
     }
 
-    void onWord(PeerMessage.UpstreamWord word) {
-        Owned owned = pools.get(word.pool());
+    void onUpstreamStatus(PeerMessage.UpstreamWord status) {
+        OwnedPool owned = ownedPools.get(status.pool());
         if (owned == null) {
             return;
         }
-        owned.scheduler.seen(word.upstream(), word.incarnation());
-        if (word.leaving()) {
-            owned.scheduler.leaving(word.upstream());
+        owned.scheduler.seen(status.upstream(), status.incarnation());
+        if (status.leaving()) {
+            owned.scheduler.leaving(status.upstream());
         }
-        if (word.running() >= 0) {
-            owned.scheduler.loadReported(word.upstream(), word.running(), word.waiting(), loop.nowMicros());
+        if (status.running() >= 0) {
+            owned.scheduler.loadReported(status.upstream(), status.running(), status.waiting(), loop.nowMicros());
         }
     }
 
     void onFinish(PeerMessage.PermitFinish finish) {
-        Owned owned = pools.get(finish.pool());
+        OwnedPool owned = ownedPools.get(finish.pool());
         if (owned != null) {
             owned.scheduler.finish(finish.id(), finish.outcome(), loop.nowMicros());
-            driveMoves();
-            requestDecisions();
+            advanceMoves();
+            requestDecision();
         }
     }
 
     void onRegister(String node, PeerMessage.PermitRegister register) {
-        Owned owned = owned(register.pool());
+        OwnedPool owned = findOrCreatePool(register.pool());
         if (owned == null) {
             return;
         }
-        Set<PermitId> known = new HashSet<>(register.waiting());
-        for (PeerMessage.InUse use : register.inUse()) {
-            known.add(use.ask().id());
-            owned.scheduler.register(requestOf(use.ask()), use.upstream(), loop.nowMicros());
+        Set<PermitId> listed = new HashSet<>(register.waiting());
+        for (PeerMessage.PermitInUse permit : register.inUse()) {
+            listed.add(permit.request().id());
+            owned.scheduler.register(requestOf(permit.request()), permit.upstream(), loop.nowMicros());
         }
-        owned.scheduler.reconcile(node, register.incarnation(), known, GRACE_MICROS, loop.nowMicros());
-        owned.registered.add(node);
-        boolean all = members.stream().allMatch(member -> owned.registered.contains(member.node()));
-        if (all) {
+        owned.scheduler.reconcile(node, register.incarnation(), listed, RECONCILE_GRACE_MICROS, loop.nowMicros());
+        owned.registeredNodes.add(node);
+        boolean allRegistered = entryMembers.stream().allMatch(member -> owned.registeredNodes.contains(member.node()));
+        if (allRegistered) {
             owned.scheduler.holdUntil(0);
         }
-        requestDecisions();
+        requestDecision();
     }
 
     Map<String, PoolScheduler> schedulers() {
         Map<String, PoolScheduler> schedulers = new TreeMap<>();
-        pools.forEach((name, owned) -> schedulers.put(name, owned.scheduler));
+        ownedPools.forEach((name, owned) -> schedulers.put(name, owned.scheduler));
         return schedulers;
     }
 
-    private Owned owned(String pool) {
-        Owned owned = pools.get(pool);
+    private OwnedPool findOrCreatePool(String pool) {
+        OwnedPool owned = ownedPools.get(pool);
         PoolRow row = tables.pool(pool).orElse(null);
         if (owned == null && row != null) {
-            // Guards against two owners giving out the same slots: the entries first tell the new owner what runs.
-            owned = new Owned(new PoolScheduler(row, SchedulerOptions.STANDARD, identity));
-            owned.scheduler.holdUntil(loop.nowMicros() + HOLD_MICROS);
-            owned.scheduler.evacuate(evacuated);
-            pools.put(pool, owned);
-            applyVersions();
-            PartLog.OWNER.info("This node takes over the queue of pool " + pool + '.');
+            // Grants nothing until the entry nodes have registered their permits in use, or two owners could grant the
+            // same slots.
+            owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.STANDARD, ownerIdentity));
+            owned.scheduler.holdUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
+            owned.scheduler.evacuate(evacuatedDomains);
+            ownedPools.put(pool, owned);
+            applyVersionSplits();
+            PartLog.OWNER.info("This node now owns the queue of pool " + pool + '.');
         }
         return owned;
     }
 
-    private PermitRequest requestOf(PeerMessage.PermitAsk ask) {
+    private PermitRequest requestOf(PeerMessage.PermitAsk request) {
         return new PermitRequest(
-                ask.id(),
-                ask.tier(),
-                ask.organisation(),
-                ask.route(),
-                loop.nowMicros() + ask.remainingMicros(),
-                ask.work(),
-                ask.fingerprint());
+                request.id(),
+                request.tier(),
+                request.organisation(),
+                request.route(),
+                loop.nowMicros() + request.remainingMicros(),
+                request.work(),
+                request.fingerprint());
     }
 
-    private void tick() {
+    private void runDueTimers() {
         long now = loop.nowMicros();
-        if (pools.values().stream().anyMatch(owned -> owned.scheduler.nextWakeAt() <= now)) {
+        if (ownedPools.values().stream().anyMatch(owned -> owned.scheduler.nextWakeAt() <= now)) {
             decide();
         }
     }
 
-    private void requestDecisions() {
-        if (!decideScheduled) {
-            decideScheduled = true;
+    private void requestDecision() {
+        if (!decisionScheduled) {
+            decisionScheduled = true;
             loop.execute(() -> {
-                decideScheduled = false;
+                decisionScheduled = false;
                 decide();
             });
         }
     }
 
     private void decide() {
-        for (Map.Entry<String, Owned> entry : pools.entrySet()) {
+        for (Map.Entry<String, OwnedPool> entry : ownedPools.entrySet()) {
             for (PermitAction action : entry.getValue().scheduler.decide(loop.nowMicros())) {
-                carryOut(entry.getKey(), action);
+                execute(entry.getKey(), action);
             }
         }
     }
 
-    private void carryOut(String pool, PermitAction action) {
+    private void execute(String pool, PermitAction action) {
         if (action instanceof PermitAction.Grant grant) {
             sender.send(
                     grant.id().node(),
@@ -280,17 +287,17 @@
         } else if (action instanceof PermitAction.Refuse refuse) {
             sender.send(refuse.id().node(), new PeerMessage.PermitRefused(pool, refuse.id(), refuse.refusal()));
         } else if (action instanceof PermitAction.Suspect suspect) {
-            reporter.crashed(pool, suspect.fingerprint(), suspect.crashId());
+            reporter.reportCrash(pool, suspect.fingerprint(), suspect.crashId());
         } else if (action instanceof PermitAction.Cleared cleared) {
-            reporter.cleared(pool, cleared.fingerprint());
+            reporter.clearSuspect(pool, cleared.fingerprint());
         } else if (action instanceof PermitAction.Ejected ejected) {
-            PartLog.OWNER.warn(
-                    "Upstream " + ejected.upstream() + " of pool " + pool + " is ejected as " + ejected.cause() + '.');
+            PartLog.OWNER.warn("Upstream " + ejected.upstream() + " of pool " + pool + " is ejected, cause "
+                    + ejected.cause() + '.');
         }
     }
 
     private String addressOf(String pool, String upstream) {
-        Owned owned = pools.get(pool);
+        OwnedPool owned = ownedPools.get(pool);
         return owned.scheduler.upstreams().stream()
                 .map(state -> state.row())
                 .filter(row -> row.name().equals(upstream))
@@ -300,16 +307,16 @@
     }
 
     /**
-     * Tells the control leader what owners of queues find out.
+     * Reports the findings of a queue's owner to the control leader.
      */
     interface Reporter {
         /**
-         * Returns whether this node owns a pool's queue now, so that it alone drives the moves there.
+         * Returns whether this node currently owns a pool's queue. Only the owner proposes changes of the moves there.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @return whether it does.
          */
-        boolean owns(String pool);
+        boolean isOwner(String pool);
 
         /**
          * Proposes a change of a move.
@@ -319,31 +326,31 @@
         void propose(MoveDriver.Proposal proposal);
 
         /**
-         * Reports that a request was in flight at a crash.
+         * Reports a request that was in flight at an upstream when it crashed.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @param fingerprint the digest of the request's content.
-         * @param crashId what tells this crash from others.
+         * @param crashId identifies the crash.
          */
-        void crashed(String pool, String fingerprint, String crashId);
+        void reportCrash(String pool, String fingerprint, String crashId);
 
         /**
-         * Reports that a suspect ran to its end.
+         * Reports that a request suspected of causing crashes has completed without one.
          *
-         * @param pool the pool.
+         * @param pool the name of the pool.
          * @param fingerprint the digest of the request's content.
          */
-        void cleared(String pool, String fingerprint);
+        void clearSuspect(String pool, String fingerprint);
     }
 
     /**
-     * Holds the scheduler of one pool and who has registered with it.
+     * Holds the scheduler of one pool and the entry nodes that have registered their permits with it.
      */
-    private static final class Owned {
+    private static final class OwnedPool {
         private final PoolScheduler scheduler;
-        private final Set<String> registered = new HashSet<>();
+        private final Set<String> registeredNodes = new HashSet<>();
 
-        Owned(PoolScheduler scheduler) {
+        OwnedPool(PoolScheduler scheduler) {
             this.scheduler = scheduler;
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -17,32 +17,37 @@
 import org.radishspur.node.peer.PeerMessage;
 
 /**
- * Gets permits for this entry's requests from the owners of the pools' queues, whoever they are at the moment.
+ * Requests permits for this entry node's requests from the owners of the pools' queues, and follows changes of the owners.
  */
 final class PermitService {
-    private static final long REGISTER_MILLIS = 1_000;
-    private static final long UNREACHABLE_MILLIS = 1_500;
+    private static final long REGISTRATION_INTERVAL_MILLIS = 1_000;
+    /** How long an owner may be without a connection before another node is chosen. */
+    private static final long OWNER_LOST_MILLIS = 1_500;
 
     private final ControlLoop loop;
-    private final String self;
+    private final String localNode;
     private final long incarnation;
     private final LeaderService.Sender sender;
     private final Reachability reachability;
-    private final Map<PermitId, Asked> waiting = new LinkedHashMap<>();
-    private final Map<PermitId, PeerMessage.InUse> inUse = new HashMap<>();
+    private final Map<PermitId, PendingRequest> pendingRequests = new LinkedHashMap<>();
+    private final Map<PermitId, PeerMessage.PermitInUse> permitsInUse = new HashMap<>();
     private final Map<String, String> owners = new HashMap<>();
-    private final Map<String, Long> lostSince = new HashMap<>();
+    private final Map<String, Long> disconnectedSinceMillis = new HashMap<>();
     private ClusterView view = ClusterView.NONE;
     private Tables tables = Tables.EMPTY;
 
     PermitService(
-            ControlLoop loop, String self, long incarnation, LeaderService.Sender sender, Reachability reachability) {
+            ControlLoop loop,
+            String localNode,
+            long incarnation,
+            LeaderService.Sender sender,
+            Reachability reachability) {
         this.loop = loop;
-        this.self = self;
+        this.localNode = localNode;
         this.incarnation = incarnation;
         this.sender = sender;
         this.reachability = reachability;
-        loop.repeat(this::refresh, REGISTER_MILLIS);
+        loop.repeat(this::refresh, REGISTRATION_INTERVAL_MILLIS);
     }
 
     void onTables(Tables changed) {
@@ -55,63 +60,66 @@
         chooseOwners();
     }
 
-    void onLink(String node, boolean connected) {
+    void onConnectionChanged(String node, boolean connected) {
         if (connected) {
-            lostSince.remove(node);
+            disconnectedSinceMillis.remove(node);
         } else {
-            lostSince.put(node, loop.nowMillis());
+            disconnectedSinceMillis.put(node, loop.nowMillis());
         }
         chooseOwners();
         if (connected) {
             owners.forEach((pool, owner) -> {
                 if (owner.equals(node)) {
-                    introduce(pool, owner);
+                    register(pool, owner);
                 }
             });
         }
     }
 
-    void ask(PeerMessage.PermitAsk ask, PermitListener listener) {
-        waiting.put(ask.id(), new Asked(ask, loop.nowMicros(), listener));
-        String owner = owners.get(ask.pool());
+    void request(PeerMessage.PermitAsk request, PermitListener listener) {
+        pendingRequests.put(request.id(), new PendingRequest(request, loop.nowMicros(), listener));
+        String owner = owners.get(request.pool());
         if (owner != null) {
-            sender.send(owner, ask);
+            sender.send(owner, request);
         }
     }
 
-    /** Withdraws an attempt that waits; returns whether it did, so that a grant can't come any more. */
+    /** Withdraws a pending request; returns whether it was pending, in which case no grant will be passed on. */
     boolean cancel(PermitId id) {
-        Asked asked = waiting.remove(id);
-        if (asked != null) {
-            sendToOwner(asked.ask.pool(), new PeerMessage.PermitCancel(asked.ask.pool(), id));
+        PendingRequest pending = pendingRequests.remove(id);
+        if (pending != null) {
+            sendToOwner(pending.request.pool(), new PeerMessage.PermitCancel(pending.request.pool(), id));
         }
-        return asked != null;
+        return pending != null;
     }
 
-    void firstToken(PermitId id) {
-        PeerMessage.InUse use = inUse.get(id);
-        if (use != null) {
+    void reportFirstToken(PermitId id) {
+        PeerMessage.PermitInUse permit = permitsInUse.get(id);
+        if (permit != null) {
             sendToOwner(
-                    use.ask().pool(), new PeerMessage.PermitFirstToken(use.ask().pool(), id));
+                    permit.request().pool(),
+                    new PeerMessage.PermitFirstToken(permit.request().pool(), id));
         }
     }
 
-    void pass(PeerMessage.UpstreamWord word) {
-        sendToOwner(word.pool(), word);
+    void reportUpstreamStatus(PeerMessage.UpstreamWord status) {
+        sendToOwner(status.pool(), status);
     }
 
-    void finish(PermitId id, PermitOutcome outcome) {
-        PeerMessage.InUse use = inUse.remove(id);
-        if (use != null) {
-            sendToOwner(use.ask().pool(), new PeerMessage.PermitFinish(use.ask().pool(), id, outcome));
+    void release(PermitId id, PermitOutcome outcome) {
+        PeerMessage.PermitInUse permit = permitsInUse.remove(id);
+        if (permit != null) {
+            sendToOwner(
+                    permit.request().pool(),
+                    new PeerMessage.PermitFinish(permit.request().pool(), id, outcome));
         }
     }
 
     void onGranted(PeerMessage.PermitGranted granted) {
-        Asked asked = waiting.remove(granted.id());
-        if (asked == null) {
-            // The request was given up meanwhile, or this is a second grant by another owner: the slot goes back.
-            if (!inUse.containsKey(granted.id())) {
+        PendingRequest pending = pendingRequests.remove(granted.id());
+        if (pending == null) {
+            // The request was withdrawn meanwhile, or another owner has granted a second permit: the slot is released.
+            if (!permitsInUse.containsKey(granted.id())) {
                 sendToOwner(
                         granted.pool(),
                         new PeerMessage.PermitFinish(
@@ -119,19 +127,19 @@
             }
             return;
         }
-        inUse.put(granted.id(), new PeerMessage.InUse(asked.ask, granted.upstream()));
-        asked.listener.onGranted(granted.upstream(), granted.address());
+        permitsInUse.put(granted.id(), new PeerMessage.PermitInUse(pending.request, granted.upstream()));
+        pending.listener.onGranted(granted.upstream(), granted.address());
     }
 
     void onRefused(PeerMessage.PermitRefused refused) {
-        Asked asked = waiting.remove(refused.id());
-        if (asked != null) {
-            asked.listener.onRefused(refused.refusal());
+        PendingRequest pending = pendingRequests.remove(refused.id());
+        if (pending != null) {
+            pending.listener.onRefused(refused.refusal());
         }
     }
 
-    int inUse() {
-        return inUse.size();
+    int permitsInUse() {
+        return permitsInUse.size();
     }
 
     Map<String, String> owners() {
@@ -148,71 +156,72 @@
     private void chooseOwners() {
         TreeSet<String> candidates = new TreeSet<>();
         for (ClusterView.Member member : view.entries()) {
-            if (member.node().equals(self) || !isUnreachable(member.node())) {
+            if (member.node().equals(localNode) || !isUnreachable(member.node())) {
                 candidates.add(member.node());
             }
         }
         owners.keySet().retainAll(tables.pools().keySet());
         for (String pool : tables.pools().keySet()) {
-            Optional<String> owner = Rendezvous.INSTANCE.owner(pool, candidates);
+            Optional<String> owner = RendezvousHash.INSTANCE.owner(pool, candidates);
             if (owner.isPresent() && !owner.get().equals(owners.get(pool))) {
                 owners.put(pool, owner.get());
-                introduce(pool, owner.get());
+                register(pool, owner.get());
             }
         }
     }
 
-    /** Tells an owner all that goes on here, then asks again for what waits. Both may be repeated without harm. */
-    private void introduce(String pool, String owner) {
-        List<PeerMessage.InUse> used = inUse.values().stream()
-                .filter(use -> use.ask().pool().equals(pool))
-                .map(use -> new PeerMessage.InUse(remaining(use.ask(), 0), use.upstream()))
+    /** Registers the permits in use with an owner, then requests the pending ones again. Both are idempotent. */
+    private void register(String pool, String owner) {
+        List<PeerMessage.PermitInUse> registered = permitsInUse.values().stream()
+                .filter(permit -> permit.request().pool().equals(pool))
+                .map(permit -> new PeerMessage.PermitInUse(remaining(permit.request(), 0), permit.upstream()))
                 .toList();
-        List<Asked> asked = waiting.values().stream()
-                .filter(each -> each.ask.pool().equals(pool))
+        List<PendingRequest> pending = pendingRequests.values().stream()
+                .filter(request -> request.request.pool().equals(pool))
                 .toList();
         List<PermitId> ids = new ArrayList<>();
-        asked.forEach(each -> ids.add(each.ask.id()));
-        sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, used, ids));
-        asked.forEach(each -> sender.send(owner, remaining(each.ask, loop.nowMicros() - each.askedAt)));
+        pending.forEach(request -> ids.add(request.request.id()));
+        sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, registered, ids));
+        pending.forEach(request ->
+                sender.send(owner, remaining(request.request, loop.nowMicros() - request.requestedAtMicros)));
     }
 
-    private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk ask, long elapsedMicros) {
+    private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk request, long elapsedMicros) {
         return new PeerMessage.PermitAsk(
-                ask.pool(),
-                ask.id(),
-                ask.tier(),
-                ask.organisation(),
-                ask.route(),
-                ask.remainingMicros() - elapsedMicros,
-                ask.work(),
-                ask.fingerprint());
+                request.pool(),
+                request.id(),
+                request.tier(),
+                request.organisation(),
+                request.route(),
+                request.remainingMicros() - elapsedMicros,
+                request.work(),
+                request.fingerprint());
     }
 
     private boolean isUnreachable(String node) {
         if (reachability.isConnected(node)) {
             return false;
         }
-        long since = lostSince.computeIfAbsent(node, key -> loop.nowMillis());
-        return loop.nowMillis() - since > UNREACHABLE_MILLIS;
+        long since = disconnectedSinceMillis.computeIfAbsent(node, key -> loop.nowMillis());
+        return loop.nowMillis() - since > OWNER_LOST_MILLIS;
     }
 
     private void refresh() {
         chooseOwners();
-        owners.forEach(this::introduce);
+        owners.forEach(this::register);
         long now = loop.nowMicros();
-        List<Asked> late = waiting.values().stream()
-                .filter(asked -> now - asked.askedAt > asked.ask.remainingMicros())
+        List<PendingRequest> expired = pendingRequests.values().stream()
+                .filter(pending -> now - pending.requestedAtMicros > pending.request.remainingMicros())
                 .toList();
-        for (Asked asked : late) {
-            cancel(asked.ask.id());
-            asked.listener.onRefused(Refusal.notRun(
+        for (PendingRequest pending : expired) {
+            cancel(pending.request.id());
+            pending.listener.onRefused(Refusal.notRun(
                     RefusalReason.OWNER_UNREACHABLE, "The owner of the pool's queue did not answer.", 1_000));
         }
     }
 
     /**
-     * Tells which nodes can be reached.
+     * Checks the connections to other nodes.
      */
     interface Reachability {
         /**
@@ -225,11 +234,11 @@
     }
 
     /**
-     * Remembers a request for a permit.
+     * Holds a pending request for a permit.
      *
-     * @param ask the request.
-     * @param askedAt when it was made, by the monotonic clock in microseconds.
+     * @param request the request.
+     * @param requestedAtMicros when it was made, by the control thread's clock in microseconds.
      * @param listener receives the outcome.
      */
-    private record Asked(PeerMessage.PermitAsk ask, long askedAt, PermitListener listener) {}
+    private record PendingRequest(PeerMessage.PermitAsk request, long requestedAtMicros, PermitListener listener) {}
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -26,55 +26,56 @@
 import org.radishspur.node.settings.HostPort;
 
 /**
- * Keeps one connection to each wanted address and sends messages over it.
+ * Keeps one connection open to each of a set of addresses and sends messages over it.
  *
- * <p>A connection that has fallen silent for good is found by {@link LinkHealth} and made anew.
+ * <p>A connection over which nothing is received any more is detected by {@link LinkHealth} and replaced.
  */
 public final class FleetLinks implements FleetSender, AutoCloseable {
-    /** How long making a connection may take, in milliseconds; the longest ways take some ten. */
-    private static final int CONNECT_MILLIS = 500;
+    /** The connect timeout in milliseconds; connecting over the longest network path takes about ten. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** How long to wait before the next attempt, in milliseconds; short beside an election. */
+    /** The delay before the next attempt to connect, in milliseconds; short compared with an election. */
     private static final long RECONNECT_MILLIS = 60;
 
-    /** How often links are looked after, in milliseconds. */
-    private static final long CARE_MILLIS = 300;
+    /** The interval between health checks of the links, in milliseconds. */
+    private static final long HEALTH_CHECK_INTERVAL_MILLIS = 300;
 
-    /** So many messages are written with one call at most, in the order in which they were sent in one turn of the loop. */
-    static final int MOST_UNFLUSHED = 64;
+    /** The greatest number of messages that are flushed together, in the order in which one turn of the event loop sent them. */
+    static final int MAX_UNFLUSHED_MESSAGES = 64;
 
-    /** How many bytes may wait for a peer that does not read; beyond them the connection is made anew. */
-    private static final int BACKLOG_BYTES = 32 << 20;
+    /** The greatest backlog of unsent bytes for a peer that doesn't read; beyond it the connection is replaced. */
+    private static final int MAX_BACKLOG_BYTES = 32 << 20;
 
     private final EventLoop loop;
     private final FleetInbox inbox;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
-    private final ScheduledFuture<?> care;
-    private volatile String attended = "";
+    private final ScheduledFuture<?> healthChecks;
+    private volatile String watchedAddress = "";
     private volatile boolean closed;
 
     /**
-     * Creates links to nobody.
+     * Creates links without any address.
      *
-     * @param loop the thread of the transport.
-     * @param inbox receives what comes over the links.
+     * @param loop the transport thread.
+     * @param inbox receives the messages that arrive over the links.
      */
     public FleetLinks(EventLoop loop, FleetInbox inbox) {
         this.loop = loop;
         this.inbox = inbox;
-        this.care = loop.scheduleAtFixedRate(this::care, CARE_MILLIS, CARE_MILLIS, TimeUnit.MILLISECONDS);
+        this.healthChecks = loop.scheduleAtFixedRate(
+                this::checkHealth, HEALTH_CHECK_INTERVAL_MILLIS, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Sets the addresses to which connections are kept.
+     * Sets the addresses to which connections are kept open.
      *
-     * @param addresses the wanted addresses; links to others are closed.
+     * @param addresses the addresses; links to all others are closed.
      */
-    public void want(Set<String> addresses) {
+    public void setAddresses(Set<String> addresses) {
         links.forEach((address, link) -> {
             if (!addresses.contains(address)) {
                 links.remove(address);
-                link.drop();
+                link.remove();
             }
         });
         for (String address : addresses) {
@@ -114,38 +115,38 @@
     /** {@inheritDoc} */
     @Override
     public void attend(String address) {
-        attended = address;
+        watchedAddress = address;
     }
 
     /** {@inheritDoc} */
     @Override
     public int connection(String address) {
         Link link = links.get(address);
-        return link == null || link.channel == null ? 0 : link.connections;
+        return link == null || link.channel == null ? 0 : link.connectionCount;
     }
 
     /** {@inheritDoc} */
     @Override
     public void close() {
         closed = true;
-        care.cancel(false);
-        links.values().forEach(Link::drop);
+        healthChecks.cancel(false);
+        links.values().forEach(Link::remove);
         links.clear();
     }
 
-    private void care() {
+    private void checkHealth() {
         long now = Moment.steadyNow();
-        links.values().forEach(link -> link.care(now));
+        links.values().forEach(link -> link.checkHealth(now));
     }
 
     /**
-     * Keeps one connection.
+     * Keeps the connection to one address open.
      */
     private final class Link extends SimpleChannelInboundHandler<FleetMessage> implements FleetInbox.Sender {
         private final String address;
         private volatile Channel channel;
-        private volatile int connections;
-        private volatile boolean dropped;
+        private volatile int connectionCount;
+        private volatile boolean removed;
         private final LinkHealth health = new LinkHealth();
 
         Link(String address) {
@@ -159,29 +160,29 @@
         }
 
         void connect() {
-            if (dropped || closed) {
+            if (removed || closed) {
                 return;
             }
             new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(
                             ChannelOption.WRITE_BUFFER_WATER_MARK,
-                            new WriteBufferWaterMark(BACKLOG_BYTES / 2, BACKLOG_BYTES))
+                            new WriteBufferWaterMark(MAX_BACKLOG_BYTES / 2, MAX_BACKLOG_BYTES))
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel made) {
-                            made.pipeline().addLast(new FlushConsolidationHandler(MOST_UNFLUSHED, true));
-                            PeerCodec.install(made, FleetServer.FRAME_BYTES, FleetMessage.class);
-                            made.pipeline().addLast(Link.this);
+                        protected void initChannel(SocketChannel connected) {
+                            connected.pipeline().addLast(new FlushConsolidationHandler(MAX_UNFLUSHED_MESSAGES, true));
+                            PeerCodec.install(connected, FleetServer.MAX_FRAME_BYTES, FleetMessage.class);
+                            connected.pipeline().addLast(Link.this);
                         }
                     })
                     .connect(HostPort.parse(address).toSocketAddress())
                     .addListener((ChannelFuture future) -> {
                         if (!future.isSuccess()) {
-                            again();
+                            scheduleReconnect();
                         }
                     });
         }
@@ -212,51 +213,51 @@
 
         /** Sends a message, or the bytes of an encoded one. */
         void sendEncoded(Object message) {
-            health.used(Moment.steadyNow());
+            health.onSent(Moment.steadyNow());
             write(message);
         }
 
         private void write(Object message) {
-            Channel present = channel;
-            if (present == null) {
+            Channel current = channel;
+            if (current == null) {
                 ReferenceCountUtil.release(message);
                 return;
             }
-            // Guards against filling the memory with messages for a process that has frozen but whose connection
-            // stands.
-            if (!present.isWritable()) {
+            // Guards against filling the memory with messages for a process that is frozen while its connection stays
+            // open.
+            if (!current.isWritable()) {
                 ReferenceCountUtil.release(message);
-                present.close();
+                current.close();
                 return;
             }
-            present.writeAndFlush(message, present.voidPromise());
+            current.writeAndFlush(message, current.voidPromise());
         }
 
-        void care(long now) {
-            Channel present = channel;
-            if (present == null) {
+        void checkHealth(long now) {
+            Channel current = channel;
+            if (current == null) {
                 return;
             }
-            switch (health.due(address.equals(attended), now)) {
+            switch (health.nextAction(address.equals(watchedAddress), now)) {
                 case PING -> write(new FleetMessage.Ping());
-                case RENEW -> {
-                    PartLog.PEER.info("The link to " + address + " is silent and is made anew.");
-                    present.close();
+                case RECONNECT -> {
+                    PartLog.PEER.info("No answer from " + address + "; the connection is replaced.");
+                    current.close();
                 }
                 default -> {}
             }
         }
 
-        void drop() {
-            dropped = true;
-            Channel present = channel;
-            if (present != null) {
-                present.close();
+        void remove() {
+            removed = true;
+            Channel current = channel;
+            if (current != null) {
+                current.close();
             }
         }
 
-        private void again() {
-            if (!dropped && !closed && !loop.isShuttingDown()) {
+        private void scheduleReconnect() {
+            if (!removed && !closed && !loop.isShuttingDown()) {
                 loop.schedule(this::connect, RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
@@ -264,10 +265,10 @@
         /** {@inheritDoc} */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            health.opened(Moment.steadyNow());
-            connections++;
+            health.onOpened(Moment.steadyNow());
+            connectionCount++;
             channel = context.channel();
-            if (dropped) {
+            if (removed) {
                 context.close();
             }
         }
@@ -276,14 +277,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             channel = null;
-            again();
+            scheduleReconnect();
             inbox.onClosed(this);
         }
 
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FleetMessage message) {
-            health.received(Moment.steadyNow());
+            health.onReceived(Moment.steadyNow());
             if (!(message instanceof FleetMessage.Pong)) {
                 inbox.onMessage(this, message);
             }
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -1,45 +1,45 @@
 package org.radishspur.node.fleet;
 
 /**
- * Decides when a connection is pinged, and when it is dead.
+ * Decides when a ping is sent over a connection, and when the connection is replaced.
  *
- * <p>Guards against a connection that falls silent for good without a reset. Most connections of a host are idle, kept in case
- * that another control host is lost; they are pinged seldom, as their pings would be most of what an idle host does.
+ * <p>Guards against a connection that stops delivering messages without a reset. Most connections of a host are idle and kept
+ * only in case another control host is lost. They get few pings, which would otherwise be most of the work of an idle host.
  */
 final class LinkHealth {
-    /** So long after a ping that was not answered the connection is dead, in milliseconds. */
-    static final long ANSWER_MILLIS = 1_000;
+    /** The time after an unanswered ping at which the connection is replaced, in milliseconds. */
+    static final long PING_TIMEOUT_MILLIS = 1_000;
 
-    /** A link in use is pinged after so much silence, in milliseconds. */
-    static final long SILENCE_MILLIS = 150;
+    /** The time without a message after which a ping is sent over a link in use, in milliseconds. */
+    static final long PING_AFTER_MILLIS = 150;
 
-    /** The same for an idle link, in milliseconds; the other end gives the link up after twice as much. */
-    static final long IDLE_SILENCE_MILLIS = 2_000;
+    /** The same for an idle link, in milliseconds; the other end closes the link after more than twice this time. */
+    static final long IDLE_PING_AFTER_MILLIS = 2_000;
 
-    /** A link over which nothing was sent for so long is idle, in milliseconds. */
-    static final long USE_MILLIS = 2_000;
+    /** The time since a message other than a ping was sent after which a link is idle, in milliseconds. */
+    static final long IDLE_AFTER_MILLIS = 2_000;
 
     private volatile long receivedAt;
-    private volatile long usedAt;
-    private volatile boolean pinged;
-    private long pingedAt;
+    private volatile long sentAt;
+    private volatile boolean awaitingAnswer;
+    private long pingSentAt;
 
-    /** Notes that the connection was made. */
-    void opened(long now) {
+    /** Records that the connection was opened. */
+    void onOpened(long now) {
         receivedAt = now;
-        usedAt = now;
-        pinged = false;
+        sentAt = now;
+        awaitingAnswer = false;
     }
 
-    /** Notes that something has come. */
-    void received(long now) {
+    /** Records that a message was received; any message answers a pending ping. */
+    void onReceived(long now) {
         receivedAt = now;
-        pinged = false;
+        awaitingAnswer = false;
     }
 
-    /** Notes that something other than a ping was sent. */
-    void used(long now) {
-        usedAt = now;
+    /** Records that a message other than a ping was sent. */
+    void onSent(long now) {
+        sentAt = now;
     }
 
     long silentMillis(long now) {
@@ -47,33 +47,33 @@
     }
 
     /**
-     * Says what is to be done now. A ping that it asks for is taken for sent.
+     * Returns the action that is due now. The caller must send each ping that this method asks for.
      *
-     * @param attended whether the link is needed even while nothing is sent over it.
-     * @param now the clock in milliseconds.
+     * @param watched whether the link counts as in use even while nothing is sent over it.
+     * @param now the monotonic clock in milliseconds.
      */
-    Care due(boolean attended, long now) {
-        if (pinged && now - pingedAt > ANSWER_MILLIS) {
-            return Care.RENEW;
+    Action nextAction(boolean watched, long now) {
+        if (awaitingAnswer && now - pingSentAt > PING_TIMEOUT_MILLIS) {
+            return Action.RECONNECT;
         }
-        boolean inUse = attended || now - usedAt < USE_MILLIS;
-        if (silentMillis(now) < (inUse ? SILENCE_MILLIS : IDLE_SILENCE_MILLIS)) {
-            return Care.NONE;
+        boolean inUse = watched || now - sentAt < IDLE_AFTER_MILLIS;
+        if (silentMillis(now) < (inUse ? PING_AFTER_MILLIS : IDLE_PING_AFTER_MILLIS)) {
+            return Action.NONE;
         }
-        if (!pinged) {
-            pinged = true;
-            pingedAt = now;
+        if (!awaitingAnswer) {
+            awaitingAnswer = true;
+            pingSentAt = now;
         }
-        return Care.PING;
+        return Action.PING;
     }
 
-    /** Says what a link needs. */
-    enum Care {
-        /** Nothing. */
+    /** An action for a link. */
+    enum Action {
+        /** Do nothing. */
         NONE,
-        /** A ping. */
+        /** Send a ping. */
         PING,
-        /** Another connection. */
-        RENEW
+        /** Close the connection and open another one. */
+        RECONNECT
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -31,27 +31,27 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Reads the platform's host list while this replica leads, so that all entries share one reader and the platform's limit
- * on calls is kept whatever their number. A new leader takes the reading over.
+ * Reads the platform's host list while this replica leads. All entries share one reader, so that the platform's limit on calls
+ * is kept whatever the number of entries. After a change of leadership the new leader reads the list.
  */
 final class HostListReader {
     /**
-     * The time from one reading to the next, in milliseconds: together with the entries' questions it puts a change in
-     * force within a second, a third of what is allowed, at some four calls in three seconds.
+     * The interval between readings, in milliseconds. Together with the polls of the entries it puts a change into effect
+     * within a second, a third of what is allowed, at about four calls in three seconds.
      */
-    private static final long PERIOD_MILLIS = 750;
+    private static final long READ_INTERVAL_MILLIS = 750;
 
-    /** How long one page may take, in milliseconds. */
-    private static final long PAGE_MILLIS = 1_200;
+    /** The timeout of the call for one page, in milliseconds. */
+    private static final long PAGE_TIMEOUT_MILLIS = 1_200;
 
-    /** More pages than this are taken for a fault of the list; 50 hosts on a page make some 50,000 hosts. */
-    private static final int MOST_PAGES = 1_000;
+    /** The number of pages after which a reading stops, because more are considered a fault; 50 hosts a page make 50,000 hosts. */
+    private static final int MAX_PAGES = 1_000;
 
-    /** How old a list may be that was read before this replica led, in milliseconds; the period of reading it. */
-    private static final long PREFETCHED_MILLIS = PERIOD_MILLIS;
+    /** The greatest age at which a list that was read before this replica led is still published, in milliseconds. */
+    private static final long MAX_PREFETCHED_AGE_MILLIS = READ_INTERVAL_MILLIS;
 
-    private static final long CONNECT_MILLIS = 500;
-    private static final long KEEP_MILLIS = 10_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 500;
+    private static final long KEEP_ALIVE_MILLIS = 10_000;
 
     private final ControlLoop loop;
     private final EventLoop transport;
@@ -64,8 +64,8 @@
     private HostList latest = HostList.NONE;
     private List<Upstream> prefetched = List.of();
     private long prefetchedAt = Long.MIN_VALUE / 2;
-    private long readings;
-    private boolean reading;
+    private long publishedReadings;
+    private boolean readInProgress;
 
     HostListReader(
             ControlLoop loop,
@@ -82,8 +82,8 @@
         this.dialect = dialect;
         this.address = address;
         this.events = events;
-        this.connections = new UpstreamConnections(transport, CONNECT_MILLIS, KEEP_MILLIS);
-        loop.repeat(this::readIfLeading, PERIOD_MILLIS);
+        this.connections = new UpstreamConnections(transport, CONNECT_TIMEOUT_MILLIS, KEEP_ALIVE_MILLIS);
+        loop.repeat(this::readIfLeading, READ_INTERVAL_MILLIS);
     }
 
     HostList latest() {
@@ -91,23 +91,23 @@
     }
 
     /**
-     * Reads the list before any leader is known, right after the start. Guards against a longer outage after all control
-     * hosts have restarted: reading the list for the first time takes a fifth of a second of a cold process, in which
-     * entries have nothing to serve with. Here it runs while the election does.
+     * Reads the list right after the start, before any leader is known. Shortens the outage after a restart of all control
+     * hosts: the first reading takes a newly started process a fifth of a second, during which entries know no upstreams.
+     * This way it overlaps with the election.
      */
     void prefetch() {
         read();
     }
 
-    /** Takes the leadership over: what was read a moment ago is told at once, and the list is read again. */
-    void lead() {
-        if (loop.nowMillis() - prefetchedAt < PREFETCHED_MILLIS) {
+    /** Handles the election of this replica as leader: publishes a list that was read just before, and reads the list again. */
+    void onElected() {
+        if (loop.nowMillis() - prefetchedAt < MAX_PREFETCHED_AGE_MILLIS) {
             publish(prefetched);
         }
         readIfLeading();
     }
 
-    /** Reads the list if this replica leads and no reading is under way. */
+    /** Reads the list if this replica leads and no reading is in progress. */
     void readIfLeading() {
         if (replica.isLeader()) {
             read();
@@ -115,18 +115,18 @@
     }
 
     private void read() {
-        if (!reading) {
-            reading = true;
+        if (!readInProgress) {
+            readInProgress = true;
             readPage(Optional.empty(), new ArrayList<>(), 1);
         }
     }
 
-    private void readPage(Optional<String> page, List<Upstream> sofar, int number) {
+    private void readPage(Optional<String> page, List<Upstream> collected, int pageNumber) {
         transport.execute(() -> new PageCall(
                         dialect.path(page),
                         body -> loop.execute(() -> {
                             try {
-                                onPage(dialect.page(body), sofar, number);
+                                onPage(dialect.page(body), collected, pageNumber);
                             } catch (RadishspurException exception) {
                                 onFailure(exception.getMessage());
                             }
@@ -134,47 +134,47 @@
                 .start());
     }
 
-    private void onPage(HostListDialect.Page page, List<Upstream> sofar, int number) {
-        sofar.addAll(page.upstreams());
-        if (page.next().isPresent() && number < MOST_PAGES) {
-            readPage(page.next(), sofar, number + 1);
+    private void onPage(HostListDialect.Page page, List<Upstream> collected, int pageNumber) {
+        collected.addAll(page.upstreams());
+        if (page.next().isPresent() && pageNumber < MAX_PAGES) {
+            readPage(page.next(), collected, pageNumber + 1);
             return;
         }
-        reading = false;
-        metrics.listRead();
+        readInProgress = false;
+        metrics.recordListRead();
         if (replica.isLeader()) {
-            publish(sofar);
+            publish(collected);
         } else {
-            prefetched = sofar;
+            prefetched = collected;
             prefetchedAt = loop.nowMillis();
         }
     }
 
-    private void publish(List<Upstream> sofar) {
-        readings++;
-        boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(sofar);
+    private void publish(List<Upstream> upstreams) {
+        publishedReadings++;
+        boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(upstreams);
         if (changed) {
-            latest = new HostList(replica.term(), readings, sofar);
-            long leaving = sofar.stream().filter(Upstream::leaving).count();
-            events.emit(EventCode.HOST_LIST, latest.term(), readings, sofar.size(), leaving);
+            latest = new HostList(replica.term(), publishedReadings, upstreams);
+            long leaving = upstreams.stream().filter(Upstream::leaving).count();
+            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, upstreams.size(), leaving);
         }
     }
 
     private void onFailure(String cause) {
-        reading = false;
-        metrics.listFailed();
+        readInProgress = false;
+        metrics.recordListFailure();
         events.emit(EventCode.LIST_FAILED, cause);
     }
 
     /**
-     * Takes the body of a page, on the transport's thread.
+     * Receives the body of a page, on the transport thread.
      */
     private interface BodyListener {
         void onBody(String body);
     }
 
     /**
-     * Makes one call, on the transport's thread.
+     * Requests one page, on the transport thread.
      */
     private final class PageCall implements UpstreamListener {
         private final String path;
@@ -191,7 +191,7 @@
         }
 
         void start() {
-            timeout = transport.schedule(() -> fail("no answer in time"), PAGE_MILLIS, TimeUnit.MILLISECONDS);
+            timeout = transport.schedule(() -> fail("no answer in time"), PAGE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             exchange = connections.open(address.toString(), this);
         }
 
@@ -238,7 +238,7 @@
         public void onEnd() {
             if (!HttpResponseStatus.OK.equals(status)) {
                 fail("status " + status);
-            } else if (end()) {
+            } else if (markEnded()) {
                 listener.onBody(body.toString(StandardCharsets.UTF_8));
             }
         }
@@ -250,13 +250,14 @@
         }
 
         private void fail(String cause) {
-            if (end()) {
+            if (markEnded()) {
                 exchange.abort();
                 loop.execute(() -> onFailure(cause));
             }
         }
 
-        private boolean end() {
+        /** Marks the call as ended, and returns whether it had not ended before. */
+        private boolean markEnded() {
             boolean first = !ended;
             ended = true;
             timeout.cancel(false);
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -17,21 +17,21 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Finds the other control hosts, and lets the leader put a blank replica in the place of one that is lost.
+ * Discovers the other control hosts, and at the leader replaces lost replicas by blank ones.
  *
- * <p>A replica whose disk was lost comes back under a new identity at its old address; its old identity can never come
- * back and is replaced at once. A host that has only fallen silent is replaced when a blank replica is there to take its
- * place, and not before that one holds everything that is committed.
+ * <p>A replica that has lost its disk starts again under a new identity at its old address. Its old identity can never be used
+ * again and is replaced at once. A host that merely doesn't answer is replaced only when a blank replica is available, and not
+ * before the blank replica holds everything that is committed.
  */
 final class MembershipManager {
-    /** How often replicas show themselves to each other, in milliseconds. */
-    private static final long SHOW_MILLIS = 400;
+    /** The interval at which replicas announce themselves to each other, in milliseconds. */
+    private static final long ANNOUNCE_INTERVAL_MILLIS = 400;
 
-    /** A candidate that has not shown itself for so long is not taken, in milliseconds. */
-    private static final long CANDIDATE_LOST_MILLIS = 1_500;
+    /** The time without a message after which a blank replica is no longer a candidate, in milliseconds. */
+    private static final long CANDIDATE_TIMEOUT_MILLIS = 1_500;
 
-    /** A voter that was silent for so long may be replaced, in milliseconds; several elections fit into it. */
-    private static final long VOTER_LOST_MILLIS = 2_500;
+    /** The time without a message after which a voter may be replaced, in milliseconds; long enough for several elections. */
+    private static final long VOTER_TIMEOUT_MILLIS = 2_500;
 
     private final ControlLoop loop;
     private final ReplicaHost replica;
@@ -40,8 +40,8 @@
     private final ControlHost self;
     private final int wantedVoters;
     private final Set<String> seeds = new TreeSet<>();
-    private final Map<String, Long> replicasSeen = new HashMap<>();
-    private final Set<String> learnt = new TreeSet<>();
+    private final Map<String, Long> replicasLastSeenAt = new HashMap<>();
+    private final Set<String> announcedAddresses = new TreeSet<>();
     private final Map<String, String> failureDomains = new HashMap<>();
     private long leadingSince;
 
@@ -59,58 +59,58 @@
         this.events = events;
         this.self = self;
         failureDomains.put(self.address(), self.failureDomain());
-        loop.repeat(this::show, SHOW_MILLIS);
+        loop.repeat(this::announce, ANNOUNCE_INTERVAL_MILLIS);
     }
 
     void seeds(Set<String> addresses) {
         seeds.clear();
         seeds.addAll(addresses);
-        show();
+        announce();
     }
 
-    void onCandidate(FleetMessage.Candidate candidate) {
-        replicasSeen.put(candidate.replica(), loop.nowMillis());
-        learnt.addAll(candidate.controls());
-        if (candidate.failureDomain() != null) {
-            failureDomains.put(ReplicaHost.nodeOf(candidate.replica()), candidate.failureDomain());
+    void onAnnouncement(FleetMessage.ReplicaAnnouncement announcement) {
+        replicasLastSeenAt.put(announcement.replica(), loop.nowMillis());
+        announcedAddresses.addAll(announcement.memberAddresses());
+        if (announcement.failureDomain() != null) {
+            failureDomains.put(ReplicaHost.nodeOf(announcement.replica()), announcement.failureDomain());
         }
     }
 
-    void onRaft(String from) {
-        replicasSeen.put(from, loop.nowMillis());
+    void onRaftMessage(String from) {
+        replicasLastSeenAt.put(from, loop.nowMillis());
     }
 
-    /** Returns all control hosts that are worth asking. */
-    List<ControlHost> controls() {
-        return addresses().stream()
+    /** Returns the control hosts of all members, voters and learners. */
+    List<ControlHost> controlHosts() {
+        return memberAddresses().stream()
                 .map(address -> new ControlHost(address, failureDomains.getOrDefault(address, "")))
                 .toList();
     }
 
-    private List<String> addresses() {
+    private List<String> memberAddresses() {
         Set<String> addresses = new TreeSet<>();
         replica.voters().forEach(voter -> addresses.add(ReplicaHost.nodeOf(voter)));
         replica.learners().forEach(learner -> addresses.add(ReplicaHost.nodeOf(learner)));
         return new ArrayList<>(addresses);
     }
 
-    private void show() {
+    private void announce() {
         long now = loop.nowMillis();
         Set<String> wanted = new TreeSet<>(seeds);
-        wanted.addAll(addresses());
+        wanted.addAll(memberAddresses());
         if (replica.voters().isEmpty()) {
-            wanted.addAll(learnt);
+            wanted.addAll(announcedAddresses);
         }
-        replicasSeen.forEach((seen, at) -> {
-            if (now - at < CANDIDATE_LOST_MILLIS) {
-                wanted.add(ReplicaHost.nodeOf(seen));
+        replicasLastSeenAt.forEach((replicaId, lastSeenAt) -> {
+            if (now - lastSeenAt < CANDIDATE_TIMEOUT_MILLIS) {
+                wanted.add(ReplicaHost.nodeOf(replicaId));
             }
         });
         wanted.remove(self.address());
-        links.want(wanted);
-        FleetMessage.Candidate candidate =
-                new FleetMessage.Candidate(replica.identity(), addresses(), self.failureDomain());
-        wanted.forEach(address -> links.send(address, candidate));
+        links.setAddresses(wanted);
+        FleetMessage.ReplicaAnnouncement announcement =
+                new FleetMessage.ReplicaAnnouncement(replica.identity(), memberAddresses(), self.failureDomain());
+        wanted.forEach(address -> links.send(address, announcement));
         replaceLost(now);
     }
 
@@ -122,22 +122,22 @@
         if (leadingSince == 0) {
             leadingSince = now;
         }
-        for (Map.Entry<String, Long> seen : replicasSeen.entrySet()) {
-            String candidate = seen.getKey();
-            if (now - seen.getValue() > CANDIDATE_LOST_MILLIS || replica.knows(candidate)) {
+        for (Map.Entry<String, Long> lastSeen : replicasLastSeenAt.entrySet()) {
+            String candidate = lastSeen.getKey();
+            if (now - lastSeen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.knows(candidate)) {
                 continue;
             }
-            Optional<String> place = placeFor(candidate, now);
-            if (place.isPresent()) {
-                boolean started = replica.replace(candidate, place.get());
-                events.emit(EventCode.MEMBER, candidate, place.get(), started);
+            Optional<String> replaced = replaceableVoterFor(candidate, now);
+            if (replaced.isPresent()) {
+                boolean started = replica.replace(candidate, replaced.get());
+                events.emit(EventCode.MEMBER, candidate, replaced.get(), started);
                 return;
             }
         }
     }
 
-    /** Returns the voter whose place a candidate may take, an empty text for a place of its own, or nothing. */
-    private Optional<String> placeFor(String candidate, long now) {
+    /** Returns the voter that a candidate may replace, an empty text if a voter may be added, or nothing if neither is allowed. */
+    private Optional<String> replaceableVoterFor(String candidate, long now) {
         String node = ReplicaHost.nodeOf(candidate);
         for (String voter : replica.voters()) {
             if (ReplicaHost.nodeOf(voter).equals(node)) {
@@ -148,8 +148,8 @@
             return Optional.of("");
         }
         for (String voter : replica.voters()) {
-            long receivedAt = Math.max(leadingSince, replicasSeen.getOrDefault(voter, 0L));
-            if (!voter.equals(replica.identity()) && now - receivedAt > VOTER_LOST_MILLIS) {
+            long receivedAt = Math.max(leadingSince, replicasLastSeenAt.getOrDefault(voter, 0L));
+            if (!voter.equals(replica.identity()) && now - receivedAt > VOTER_TIMEOUT_MILLIS) {
                 return Optional.of(voter);
             }
         }
--- a/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
@@ -23,44 +23,44 @@
 
 /**
  * Keeps one connection to each other node and sends messages over it. A message to a node without a connection is
- * dropped: whoever sends one repeats it if it matters.
+ * dropped; the sender repeats a message that must arrive.
  */
 public final class PeerLinks implements Child {
-    private static final int CONNECT_MILLIS = 1_000;
-    private static final long RECONNECT_MILLIS = 150;
-    private static final int LARGEST_BACKLOG_BYTES = 32 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final long RECONNECT_DELAY_MILLIS = 150;
+    private static final int MAXIMUM_BACKLOG_BYTES = 32 << 20;
 
     private final NodeSettings settings;
     private final PeerKey key;
     private final long incarnation;
     private final EventLoopGroup group;
-    private final PeerInbox inbox;
+    private final PeerListener peerListener;
     private final NodeMetrics metrics;
     private final Map<String, Channel> channels = new ConcurrentHashMap<>();
     private volatile boolean closed;
 
     /**
-     * Creates links that are not connected yet.
+     * Creates the links; {@link #start} opens the connections.
      *
      * @param settings the settings of the node.
      * @param key the shared key.
-     * @param incarnation which run of this node's process it is.
-     * @param group the threads that carry traffic.
-     * @param inbox is notified of connections made and lost.
-     * @param metrics counts what is refused.
+     * @param incarnation the run of this node's process.
+     * @param group the traffic threads.
+     * @param peerListener is notified when a connection is established or lost.
+     * @param metrics counts refused peers.
      */
     public PeerLinks(
             NodeSettings settings,
             PeerKey key,
             long incarnation,
             EventLoopGroup group,
-            PeerInbox inbox,
+            PeerListener peerListener,
             NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.incarnation = incarnation;
         this.group = group;
-        this.inbox = inbox;
+        this.peerListener = peerListener;
         this.metrics = metrics;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Sends a message.
+     * Sends a message, or drops it where there is no connection to the receiver.
      *
      * @param node the name of the receiver.
      * @param message the message.
@@ -81,7 +81,7 @@
         if (channel == null) {
             return;
         }
-        // Guards against filling the memory with messages for a node that has frozen but whose connection stands.
+        // Bounds the memory for messages to a node that no longer reads but whose connection is still open.
         if (!channel.isWritable()) {
             channel.close();
             return;
@@ -93,7 +93,7 @@
      * Returns whether there is a connection to a node.
      *
      * @param node the name of the node.
-     * @return whether messages can be sent.
+     * @return whether messages can be sent to it.
      */
     public boolean isConnected(String node) {
         return channels.containsKey(node);
@@ -113,16 +113,16 @@
         new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(LARGEST_BACKLOG_BYTES / 2, LARGEST_BACKLOG_BYTES))
+                        new WriteBufferWaterMark(MAXIMUM_BACKLOG_BYTES / 2, MAXIMUM_BACKLOG_BYTES))
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         PeerCodec.install(channel, settings.limits().frameBytes(), PeerMessage.class);
-                        channel.pipeline().addLast(new Introduction(peer));
+                        channel.pipeline().addLast(new ClientHandshake(peer));
                     }
                 })
                 .connect(peer.address().toSocketAddress())
@@ -135,18 +135,18 @@
 
     private void reconnect(PeerSettings peer) {
         if (!closed && !group.isShuttingDown()) {
-            group.schedule(() -> connect(peer), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
+            group.schedule(() -> connect(peer), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * Introduces this node to another one.
+     * Authenticates this node and its peer after connecting, and connects again once the connection is closed.
      */
-    private final class Introduction extends SimpleChannelInboundHandler<PeerMessage> {
+    private final class ClientHandshake extends SimpleChannelInboundHandler<PeerMessage> {
         private final PeerSettings peer;
         private final byte[] nonce = key.nonce();
 
-        Introduction(PeerSettings peer) {
+        ClientHandshake(PeerSettings peer) {
             this.peer = peer;
         }
 
@@ -167,10 +167,11 @@
             } else if (message instanceof PeerMessage.Welcome welcome
                     && key.matches(key.signWelcome(nonce), welcome.signature())) {
                 channels.put(peer.node(), context.channel());
-                inbox.onLink(peer.node(), true);
+                peerListener.onConnectionChanged(peer.node(), true);
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn("Node " + peer.node() + " did not prove that it holds the shared key.");
+                PartLog.PEER.warn(
+                        "Node " + peer.node() + " failed the handshake: its protocol version or shared key differs.");
                 context.close();
             }
         }
@@ -179,7 +180,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (channels.remove(peer.node(), context.channel())) {
-                inbox.onLink(peer.node(), false);
+                peerListener.onConnectionChanged(peer.node(), false);
             }
             reconnect(peer);
         }
--- a/node/src/main/java/org/radishspur/node/peer/PeerServer.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerServer.java
@@ -18,33 +18,34 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts connections from other nodes, each of which must prove that it holds the shared key.
+ * Accepts connections from other nodes, which must authenticate with the shared key before they send messages.
  */
 public final class PeerServer implements Child {
-    private static final int HANDSHAKE_SECONDS = 5;
-    private static final String HANDSHAKE_TIMEOUT = "handshake-timeout";
+    private static final int HANDSHAKE_TIMEOUT_SECONDS = 5;
+    private static final String HANDSHAKE_TIMEOUT_HANDLER = "handshake-timeout";
 
     private final NodeSettings settings;
     private final PeerKey key;
     private final EventLoopGroup group;
-    private final PeerInbox inbox;
+    private final PeerListener peerListener;
     private final NodeMetrics metrics;
     private Channel channel;
 
     /**
-     * Creates a server that doesn't listen yet.
+     * Creates a server; {@link #start} opens its port.
      *
      * @param settings the settings of the node.
      * @param key the shared key.
-     * @param group the threads that carry traffic.
-     * @param inbox receives what comes.
-     * @param metrics counts what is refused.
+     * @param group the traffic threads.
+     * @param peerListener receives the messages of authenticated peers.
+     * @param metrics counts refused peers and malformed frames.
      */
-    public PeerServer(NodeSettings settings, PeerKey key, EventLoopGroup group, PeerInbox inbox, NodeMetrics metrics) {
+    public PeerServer(
+            NodeSettings settings, PeerKey key, EventLoopGroup group, PeerListener peerListener, NodeMetrics metrics) {
         this.settings = settings;
         this.key = key;
         this.group = group;
-        this.inbox = inbox;
+        this.peerListener = peerListener;
         this.metrics = metrics;
     }
 
@@ -57,9 +58,10 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline().addLast(HANDSHAKE_TIMEOUT, new ReadTimeoutHandler(HANDSHAKE_SECONDS));
+                        accepted.pipeline()
+                                .addLast(HANDSHAKE_TIMEOUT_HANDLER, new ReadTimeoutHandler(HANDSHAKE_TIMEOUT_SECONDS));
                         PeerCodec.install(accepted, settings.limits().frameBytes(), PeerMessage.class);
-                        accepted.pipeline().addLast(new Reception());
+                        accepted.pipeline().addLast(new ConnectionHandler());
                     }
                 })
                 .bind(settings.peerAddress().toSocketAddress())
@@ -67,7 +69,7 @@
                 .channel();
         channel.closeFuture()
                 .addListener(future -> listener.onFailure(
-                        new RadishspurException(ErrorCode.FRAME_INVALID, "the peer address stopped listening")));
+                        new RadishspurException(ErrorCode.FRAME_INVALID, "the socket at the peer address was closed")));
     }
 
     /** {@inheritDoc} */
@@ -79,9 +81,9 @@
     }
 
     /**
-     * Checks one connection and then passes its messages on.
+     * Authenticates the peer of one connection and then passes its messages to the listener.
      */
-    private final class Reception extends SimpleChannelInboundHandler<PeerMessage> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<PeerMessage> {
         private final byte[] nonce = key.nonce();
         private String node = "";
         private long incarnation;
@@ -96,15 +98,16 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerMessage message) {
             if (!node.isEmpty()) {
-                inbox.onMessage(node, incarnation, message);
+                peerListener.onMessage(node, incarnation, message);
             } else if (message instanceof PeerMessage.Hello hello && isValid(hello)) {
                 node = hello.node();
                 incarnation = hello.incarnation();
-                context.pipeline().remove(HANDSHAKE_TIMEOUT);
+                context.pipeline().remove(HANDSHAKE_TIMEOUT_HANDLER);
                 context.writeAndFlush(new PeerMessage.Welcome(key.signWelcome(hello.nonce())));
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn("Refused a peer at " + context.channel().remoteAddress() + '.');
+                PartLog.PEER.warn("Refused the connection of a peer at "
+                        + context.channel().remoteAddress() + '.');
                 context.close();
             }
         }
--- a/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
+++ b/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
@@ -7,36 +7,37 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Logs how far the evacuation of failure domains is at one scheduler. A failure domain is empty once all schedulers say so.
+ * Logs the progress of the evacuation of failure domains at this scheduler. A failure domain is empty once every scheduler has
+ * logged it as empty.
  */
 final class EvacuationLog {
     private final PoolSet pools;
     private final EventLog events;
     private final Set<String> evacuated = new TreeSet<>();
-    private final Set<String> emptying = new TreeSet<>();
+    private final Set<String> draining = new TreeSet<>();
 
     EvacuationLog(PoolSet pools, EventLog events) {
         this.pools = pools;
         this.events = events;
     }
 
-    /** Takes over the failure domains that are evacuated now. */
-    void onView(Set<String> newer) {
+    /** Updates the set of evacuated failure domains and logs the changes. */
+    void onView(Set<String> current) {
         Set<String> readmitted = new TreeSet<>(evacuated);
-        readmitted.removeAll(newer);
-        Set<String> added = new TreeSet<>(newer);
+        readmitted.removeAll(current);
+        Set<String> added = new TreeSet<>(current);
         added.removeAll(evacuated);
         evacuated.removeAll(readmitted);
-        emptying.removeAll(readmitted);
+        draining.removeAll(readmitted);
         readmitted.forEach(failureDomain -> emit(failureDomain, "readmitted"));
         evacuated.addAll(added);
-        emptying.addAll(added);
+        draining.addAll(added);
         added.forEach(failureDomain -> emit(failureDomain, "evacuated"));
     }
 
-    /** Logs each failure domain in which the last request of this scheduler has ended. */
-    void look() {
-        emptying.removeIf(failureDomain -> {
+    /** Logs each evacuated failure domain in which no request of this scheduler is in progress any more. */
+    void logDrained() {
+        draining.removeIf(failureDomain -> {
             boolean empty = pools.inProgress(failureDomain) == 0;
             if (empty) {
                 emit(failureDomain, "empty");
--- /dev/null
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -0,0 +1,261 @@
+package org.radishspur.node.schedule;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+
+import org.radishspur.decision.dispatch.PoolDispatcher;
+import org.radishspur.decision.dispatch.QuotaLedger;
+import org.radishspur.decision.dispatch.UpstreamLoad;
+import org.radishspur.model.catalogue.OrganisationRule;
+import org.radishspur.node.fleet.FleetMessage;
+import org.radishspur.node.fleet.FleetSender;
+
+/**
+ * Publishes the load and the quota usage of this scheduler to the other schedulers, its peers, and applies the reports that
+ * they send. The traffic thread owns it.
+ *
+ * <p>Each scheduler decides by the sum of its own load and the reports of its peers, which are a few tens of milliseconds old.
+ * Two schedulers can therefore grant the last slot of an upstream at the same time, and the upstream then queues one request
+ * itself for a moment. In return no request waits for a permit from another failure domain, and the loss of a scheduler
+ * affects only its own queue.
+ */
+final class LoadReportExchange {
+    /** The shortest time without a report after which a peer is considered lost, in milliseconds. */
+    private static final long PEER_TIMEOUT_MILLIS = 900;
+
+    /** The shortest time between two rounds of publishing, in milliseconds. */
+    static final long MIN_ROUND_MILLIS = 40;
+
+    /**
+     * The greatest number of reports that a scheduler sends each second. With more peers each scheduler publishes less
+     * often, so that the cost of sending and receiving reports doesn't grow with their number.
+     */
+    private static final int MAX_MESSAGES_PER_SECOND = 200;
+
+    /** The greatest number of successes or failures in one report that are recorded; more carry no further information. */
+    private static final int MAX_OUTCOMES_PER_REPORT = 4;
+
+    /** The number of values that a report carries for each upstream; the constants below are their positions. */
+    private static final int COUNTS_PER_UPSTREAM = 5;
+
+    private static final int IN_PROGRESS = 0;
+    private static final int SUCCESSES = 1;
+    private static final int FAILURES = 2;
+    private static final int EVENT_TIME_STEPS = 3;
+    private static final int UNREAD_TOKEN_STEPS = 4;
+
+    /** The unit in which unread prompt tokens are published; an upstream reads fewer tokens in a few milliseconds. */
+    private static final int TOKENS_PER_STEP = 256;
+
+    /** The ratio between neighbouring steps of the time per event; coarse steps change rarely, and a change costs a message. */
+    private static final double EVENT_TIME_STEP_RATIO = 1.25;
+
+    private final FleetSender links;
+    private final PoolSet pools;
+    private final QuotaLedger quotas;
+    private final String self;
+    private final Map<UpstreamLoad, long[]> outcomes = new HashMap<>();
+    private final PublishRounds publishRounds = new PublishRounds(MIN_ROUND_MILLIS, MAX_MESSAGES_PER_SECOND);
+    private final Map<String, Integer> connectionCounts = new HashMap<>();
+    private final Map<String, Peer> peers = new HashMap<>();
+    private Map<Integer, UpstreamLoad> upstreams = Map.of();
+
+    /**
+     * Creates the exchange of one scheduler, without peers.
+     *
+     * @param links the connections to the peers.
+     * @param pools the load to publish, to which the load of the peers is added.
+     * @param quotas the quota usage to publish, to which the usage at the peers is added.
+     * @param self the incarnation of this scheduler: its address, a slash and the time at which it started.
+     */
+    LoadReportExchange(FleetSender links, PoolSet pools, QuotaLedger quotas, String self) {
+        this.links = links;
+        this.pools = pools;
+        this.quotas = quotas;
+        this.self = self;
+    }
+
+    /** Sets the addresses of the peers and looks up the upstreams of the pools again; called after each change of the view. */
+    void refresh(List<String> others) {
+        publishRounds.peers(others);
+        upstreams = upstreamsByDigest();
+        outcomes.keySet().retainAll(Set.copyOf(upstreams.values()));
+    }
+
+    /** Counts an answer of an upstream, for the next report. */
+    void recordOutcome(UpstreamLoad upstream, boolean succeeded) {
+        outcomes.computeIfAbsent(upstream, key -> new long[2])[succeeded ? 0 : 1]++;
+    }
+
+    /** Publishes what has changed since the last round, or everything in a full report, if the next round is due. */
+    void publishIfDue(long now) {
+        removeLostPeers(now);
+        if (!publishRounds.beginRound(now)) {
+            return;
+        }
+        Map<Integer, int[]> current =
+                currentCounts(publishRounds.publishedUpstreams().keySet());
+        List<String> fullReportTo = new ArrayList<>();
+        List<String> changesTo = new ArrayList<>();
+        boolean full = publishRounds.beginFullReport();
+        for (String other : publishRounds.peers()) {
+            int connection = links.connection(other);
+            boolean reconnected = connection != connectionCounts.getOrDefault(other, 0);
+            connectionCounts.put(other, connection);
+            (full || reconnected ? fullReportTo : changesTo).add(other);
+        }
+        if (!fullReportTo.isEmpty()) {
+            links.send(fullReportTo, report(current, Map.of(), quotas.usedHere(), true));
+        }
+        if (!changesTo.isEmpty()) {
+            FleetMessage.LoadReport changes = report(
+                    current, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.usedHere()), false);
+            if (changes.upstreams().length > 0 || !changes.organisations().isEmpty()) {
+                links.send(changesTo, changes);
+            }
+        }
+        publishRounds.recordPublished(current, quotas.usedHere());
+    }
+
+    /** Applies a report of a peer and returns whether it shows that a slot has become free. */
+    boolean onReport(FleetMessage.LoadReport report, Map<String, OrganisationRule> organisations, long now) {
+        Peer peer = peers.computeIfAbsent(report.scheduler(), key -> new Peer());
+        peer.receivedAt = now;
+        if (report.full()) {
+            removeMissingUpstreams(report, peer);
+        }
+        boolean slotFreed = false;
+        for (int index = 0; index < report.upstreams().length; index++) {
+            int digest = report.upstreams()[index];
+            int[] counts =
+                    Arrays.copyOfRange(report.counts(), index * COUNTS_PER_UPSTREAM, (index + 1) * COUNTS_PER_UPSTREAM);
+            int[] previous = peer.counts.put(digest, counts);
+            UpstreamLoad upstream = upstreams.get(digest);
+            if (upstream != null) {
+                upstream.recordPeerInProgress(report.scheduler(), counts[IN_PROGRESS]);
+                upstream.recordPeerUnread(report.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
+                upstream.recordPeerEventTime(
+                        counts[EVENT_TIME_STEPS] == 0
+                                ? 0
+                                : Math.pow(EVENT_TIME_STEP_RATIO, counts[EVENT_TIME_STEPS] - 1));
+                if (previous != null) {
+                    slotFreed |= counts[IN_PROGRESS] < previous[IN_PROGRESS];
+                    recordPeerOutcomes(
+                            upstream,
+                            counts[SUCCESSES] - previous[SUCCESSES],
+                            counts[FAILURES] - previous[FAILURES],
+                            now);
+                }
+            }
+        }
+        report.organisations().forEach((name, total) -> {
+            OrganisationRule organisation = organisations.get(name);
+            if (organisation != null) {
+                quotas.recordPeerUse(report.scheduler(), organisation, total, now);
+            }
+        });
+        return slotFreed;
+    }
+
+    private void removeMissingUpstreams(FleetMessage.LoadReport report, Peer peer) {
+        Set<Integer> reported = Arrays.stream(report.upstreams()).boxed().collect(Collectors.toSet());
+        peer.counts.keySet().removeIf(digest -> {
+            boolean missing = !reported.contains(digest);
+            if (missing && upstreams.containsKey(digest)) {
+                clearPeerLoad(report.scheduler(), upstreams.get(digest));
+            }
+            return missing;
+        });
+    }
+
+    private void recordPeerOutcomes(UpstreamLoad upstream, int successes, int failures, long now) {
+        double usualFailureShare = pools.usualFailureShare(upstream);
+        for (int count = 0; count < Math.min(failures, MAX_OUTCOMES_PER_REPORT); count++) {
+            upstream.recordOutcome(false, usualFailureShare, now);
+        }
+        for (int count = 0; count < Math.min(successes, MAX_OUTCOMES_PER_REPORT); count++) {
+            upstream.recordOutcome(true, usualFailureShare, now);
+        }
+    }
+
+    private static void clearPeerLoad(String scheduler, UpstreamLoad upstream) {
+        upstream.recordPeerInProgress(scheduler, 0);
+        upstream.recordPeerUnread(scheduler, 0);
+    }
+
+    private void removeLostPeers(long now) {
+        peers.entrySet().removeIf(peer -> {
+            boolean lost = now - peer.getValue().receivedAt > publishRounds.peerTimeoutMillis(PEER_TIMEOUT_MILLIS);
+            if (lost) {
+                upstreams.values().forEach(upstream -> clearPeerLoad(peer.getKey(), upstream));
+            }
+            return lost;
+        });
+    }
+
+    /**
+     * Returns the counts of all upstreams with requests or answers, and of those published before, so that a count that has
+     * fallen to zero is published as well.
+     */
+    private Map<Integer, int[]> currentCounts(Set<Integer> published) {
+        Map<Integer, int[]> counts = new HashMap<>();
+        upstreams.forEach((digest, upstream) -> {
+            long[] counted = outcomes.getOrDefault(upstream, new long[2]);
+            if (upstream.own() > 0 || counted[0] + counted[1] > 0 || published.contains(digest)) {
+                int[] numbers = new int[COUNTS_PER_UPSTREAM];
+                numbers[IN_PROGRESS] = upstream.own();
+                numbers[SUCCESSES] = (int) counted[0];
+                numbers[FAILURES] = (int) counted[1];
+                numbers[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
+                numbers[UNREAD_TOKEN_STEPS] = (int) (upstream.ownUnreadTokens() / TOKENS_PER_STEP);
+                counts.put(digest, numbers);
+            }
+        });
+        return counts;
+    }
+
+    /** Returns the step of a time per event, counted from 1, or 0 if the time is not known. */
+    private static int eventTimeStep(double millis) {
+        return millis <= 0 ? 0 : 1 + (int) Math.max(0, Math.round(Math.log(millis) / Math.log(EVENT_TIME_STEP_RATIO)));
+    }
+
+    /** Makes a report of the counts that differ from the published ones and of the given usage. */
+    private FleetMessage.LoadReport report(
+            Map<Integer, int[]> current, Map<Integer, int[]> published, Map<String, Long> usage, boolean full) {
+        List<Integer> changed = new ArrayList<>();
+        current.forEach((digest, counts) -> {
+            if (!Arrays.equals(counts, published.get(digest))) {
+                changed.add(digest);
+            }
+        });
+        int[] digests = new int[changed.size()];
+        int[] counts = new int[changed.size() * COUNTS_PER_UPSTREAM];
+        for (int index = 0; index < digests.length; index++) {
+            digests[index] = changed.get(index);
+            System.arraycopy(current.get(digests[index]), 0, counts, index * COUNTS_PER_UPSTREAM, COUNTS_PER_UPSTREAM);
+        }
+        return new FleetMessage.LoadReport(self, full, digests, counts, new HashMap<>(usage));
+    }
+
+    private Map<Integer, UpstreamLoad> upstreamsByDigest() {
+        Map<Integer, UpstreamLoad> byDigest = new HashMap<>();
+        for (PoolDispatcher dispatcher : pools.dispatchers()) {
+            dispatcher
+                    .upstreams()
+                    .loads()
+                    .forEach(load -> byDigest.put(load.run().hashCode(), load));
+        }
+        return byDigest;
+    }
+
+    /** Holds the latest counts that a peer has published, by the digest of the upstream. */
+    private static final class Peer {
+        private final Map<Integer, int[]> counts = new HashMap<>();
+        private long receivedAt;
+    }
+}
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -28,25 +28,26 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Runs the scheduler of a control host on its transport thread: serves the entries that are attached, follows the control
- * leader as entries do, and shares its load with the other schedulers.
+ * Runs the scheduler of a control host on the transport thread: grants slots to the entries that are attached, polls the
+ * control leader as entries do, and exchanges load reports with the other schedulers.
  */
 public final class SchedulerHost implements FleetInbox, AutoCloseable {
-    /** How often waiting requests are looked after, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    /** The interval at which lost entries are detached and the queues are advanced, in milliseconds. */
+    private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
     /**
-     * An entry that has sent nothing for so long is taken for lost, in milliseconds; its links ping more often. Guards against
-     * slots that stay taken for a frozen host, and against grants that nobody uses.
+     * The time without a message after which an entry is considered lost, in milliseconds; an idle entry sends pings more often.
+     * Guards against slots that stay occupied by a frozen host, and against grants that are never used.
      */
-    private static final long ENTRY_LOST_MILLIS = 1_200;
+    private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
-    /** How long after its confirmation a view may be acted on, as a part of the time until a revoked key must not work. */
-    private static final double CONFIRMED_SHARE = 0.8;
+    /** The greatest age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
+    private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
     private final FleetSettings settings;
-    /** Reads catalogues aside from the replica's thread: a large one takes longer than an election timeout. */
-    private final ControlLoop following = new ControlLoop();
+
+    /** The follower's own thread: parsing a large catalogue takes longer than an election timeout of the replica. */
+    private final ControlLoop followerLoop = new ControlLoop();
 
     private final EventLoop traffic;
     private final EventLog events;
@@ -55,33 +56,33 @@
     private final ControlFollower follower;
     private final PoolSet pools;
     private final QuotaLedger quotas;
-    private final SlotScheduler slots;
-    private final LoadSharing sharing;
+    private final SlotScheduler slotScheduler;
+    private final LoadReportExchange loadReports;
     private final String self;
-    private final Map<String, Sender> entries = new HashMap<>();
-    private final Map<String, String> connections = new HashMap<>();
-    private final EvacuationLog evacuations;
+    private final Map<String, Sender> attachedEntries = new HashMap<>();
+    private final Map<String, String> connectionsByEntry = new HashMap<>();
+    private final EvacuationLog evacuationLog;
     private ConfirmedView view = ConfirmedView.NOTHING;
 
     /**
      * Starts a scheduler.
      *
      * @param settings the settings of the process.
-     * @param failure learns that the scheduler's state is in doubt.
+     * @param failure is notified if an action fails, after which the state of the scheduler can't be relied on.
      * @param traffic the transport thread, which owns the scheduler.
-     * @param operators reads catalogues.
-     * @param events takes structured events.
-     * @param metrics takes the counters.
+     * @param dialect parses catalogues.
+     * @param events receives structured events.
+     * @param metrics the registry for the scheduler's metrics.
      */
     public SchedulerHost(
             FleetSettings settings,
             Child.FailureListener failure,
             EventLoop traffic,
-            OperatorDialect operators,
+            OperatorDialect dialect,
             EventLog events,
             MetricRegistry metrics) {
         this.settings = settings;
-        following.onFailure(failure);
+        followerLoop.onFailure(failure);
         this.traffic = traffic;
         this.events = events;
         this.metrics = metrics;
@@ -89,61 +90,62 @@
         links = new FleetLinks(traffic, this);
         pools = new PoolSet(self, settings.failureDomain(), settings.bounds().greatestTrialShare());
         quotas = new QuotaLedger(settings.bounds().quota());
-        slots = new SlotScheduler(pools, quotas, new Replies());
-        evacuations = new EvacuationLog(pools, events);
-        sharing = new LoadSharing(links, pools, quotas, self + '/' + System.currentTimeMillis());
+        slotScheduler = new SlotScheduler(pools, quotas, new SchedulerListener());
+        evacuationLog = new EvacuationLog(pools, events);
+        loadReports = new LoadReportExchange(links, pools, quotas, self + '/' + System.currentTimeMillis());
         follower = new ControlFollower(
-                following, links, operators, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
-        metrics.register("scheduler.entries", (Gauge<Integer>) slots::entries);
-        metrics.register("scheduler.waiting", (Gauge<Integer>) slots::waiting);
+                followerLoop, links, dialect, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
+        metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entries);
+        metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::waiting);
         seeds(settings.seeds());
         traffic.scheduleAtFixedRate(
-                () -> sharing.share(now()),
-                LoadSharing.SHORTEST_ROUND_MILLIS,
-                LoadSharing.SHORTEST_ROUND_MILLIS,
+                () -> loadReports.publishIfDue(now()),
+                LoadReportExchange.MIN_ROUND_MILLIS,
+                LoadReportExchange.MIN_ROUND_MILLIS,
                 TimeUnit.MILLISECONDS);
-        traffic.scheduleAtFixedRate(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        traffic.scheduleAtFixedRate(
+                this::maintain, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Returns whether a message is for the scheduler.
+     * Returns whether the scheduler, rather than the replica, handles a message that this host has accepted.
      *
-     * @param message a message that has come to this host.
-     * @return whether the scheduler takes it.
+     * @param message the message.
+     * @return whether it is for the scheduler.
      */
-    public static boolean concerns(FleetMessage message) {
+    public static boolean handles(FleetMessage message) {
         return message instanceof FleetMessage.Ask
                 || message instanceof FleetMessage.Report
-                || message instanceof FleetMessage.Load
+                || message instanceof FleetMessage.LoadReport
                 || message instanceof FleetMessage.Attach
                 || message instanceof FleetMessage.Detach;
     }
 
     /**
-     * Sets the control hosts that are asked first.
+     * Sets the control hosts to ask while no leader is known.
      *
-     * @param seeds some control hosts, perhaps stale.
+     * @param hosts some control hosts, some of which may be stale.
      */
-    public void seeds(List<HostPort> seeds) {
+    public void seeds(List<HostPort> hosts) {
         Set<String> addresses = new TreeSet<>();
-        seeds.forEach(host -> addresses.add(host.toString()));
-        following.execute(() -> follower.seeds(addresses));
+        hosts.forEach(host -> addresses.add(host.toString()));
+        followerLoop.execute(() -> follower.seeds(addresses));
     }
 
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
         if (message instanceof FleetMessage.Followed answer) {
-            following.execute(() -> follower.onFollowed(answer));
+            followerLoop.execute(() -> follower.onFollowed(answer));
         } else if (message instanceof FleetMessage.Document document) {
-            following.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.Ask ask) {
-            onAsk(sender, ask);
+            followerLoop.execute(() -> follower.onDocument(document));
+        } else if (message instanceof FleetMessage.Ask request) {
+            onSlotRequest(sender, request);
         } else if (message instanceof FleetMessage.Report report) {
-            slots.report(sender.peer(), report.id(), report.report(), now());
-        } else if (message instanceof FleetMessage.Load load) {
-            if (sharing.onLoad(load, view.organisations(), now())) {
-                slots.advance(now());
+            slotScheduler.report(sender.peer(), report.id(), report.report(), now());
+        } else if (message instanceof FleetMessage.LoadReport load) {
+            if (loadReports.onReport(load, view.organisations(), now())) {
+                slotScheduler.advance(now());
             }
         } else if (message instanceof FleetMessage.Attach attach) {
             onAttach(sender, attach);
@@ -152,22 +154,22 @@
         }
     }
 
-    private void onAsk(Sender sender, FleetMessage.Ask ask) {
-        double confirmedMillis = settings.bounds().revokeMillis() * CONFIRMED_SHARE;
-        if (!entries.containsKey(sender.peer()) || !view.isConfirmedWithin(confirmedMillis)) {
-            reply(sender, ask.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
+    private void onSlotRequest(Sender sender, FleetMessage.Ask request) {
+        double maxAgeMillis = settings.bounds().revokeMillis() * MAX_VIEW_AGE_SHARE;
+        if (!attachedEntries.containsKey(sender.peer()) || !view.isConfirmedWithin(maxAgeMillis)) {
+            reply(sender, request.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
             return;
         }
-        slots.request(sender.peer(), ask.id(), ask.request(), now());
+        slotScheduler.request(sender.peer(), request.id(), request.request(), now());
     }
 
     private void onAttach(Sender sender, FleetMessage.Attach attach) {
-        String before = connections.put(attach.entry(), sender.peer());
-        if (before != null && !before.equals(sender.peer()) && entries.remove(before) != null) {
-            slots.detach(before, now());
+        String previous = connectionsByEntry.put(attach.entry(), sender.peer());
+        if (previous != null && !previous.equals(sender.peer()) && attachedEntries.remove(previous) != null) {
+            slotScheduler.detach(previous, now());
         }
-        entries.put(sender.peer(), sender);
-        slots.attach(sender.peer(), attach.held(), now());
+        attachedEntries.put(sender.peer(), sender);
+        slotScheduler.attach(sender.peer(), attach.held(), now());
     }
 
     /** {@inheritDoc} */
@@ -177,32 +179,32 @@
     }
 
     private void detach(Sender sender) {
-        if (entries.remove(sender.peer()) != null) {
-            slots.detach(sender.peer(), now());
+        if (attachedEntries.remove(sender.peer()) != null) {
+            slotScheduler.detach(sender.peer(), now());
         }
     }
 
     private void onView(ConfirmedView newer) {
-        boolean same = view.saysTheSame(newer);
+        boolean unchanged = view.saysTheSame(newer);
         view = newer;
-        if (!same) {
+        if (!unchanged) {
             List<String> others = newer.controls().stream()
                     .map(ControlHost::address)
                     .filter(address -> !address.equals(self))
                     .toList();
             pools.apply(newer, others.size() + 1, now());
-            sharing.refresh(others);
-            evacuations.onView(newer.evacuated());
-            slots.advance(now());
+            loadReports.refresh(others);
+            evacuationLog.onView(newer.evacuated());
+            slotScheduler.advance(now());
         }
     }
 
-    private void look() {
-        List.copyOf(entries.values()).stream()
-                .filter(entry -> entry.silentMillis() > ENTRY_LOST_MILLIS)
+    private void maintain() {
+        List.copyOf(attachedEntries.values()).stream()
+                .filter(entry -> entry.silentMillis() > ENTRY_TIMEOUT_MILLIS)
                 .forEach(this::detach);
-        slots.advance(now());
-        evacuations.look();
+        slotScheduler.advance(now());
+        evacuationLog.logDrained();
     }
 
     private static long now() {
@@ -210,11 +212,11 @@
     }
 
     private void reply(Sender sender, long id, SlotReply reply) {
-        metrics.counter("scheduler.replies." + nameOf(reply)).inc();
+        metrics.counter("scheduler.replies." + metricNameOf(reply)).inc();
         sender.send(new FleetMessage.Reply(id, reply));
     }
 
-    private static String nameOf(SlotReply reply) {
+    private static String metricNameOf(SlotReply reply) {
         return reply instanceof SlotReply.Rejected rejected
                 ? "rejected." + rejected.reason()
                 : reply.getClass().getSimpleName();
@@ -223,16 +225,16 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        following.close();
+        followerLoop.close();
         links.close();
     }
 
-    /** Sends replies to entries, and passes on what was learnt. */
-    private final class Replies implements SlotScheduler.Listener {
+    /** Sends replies to the entries, and passes on answers and ejections of upstreams. */
+    private final class SchedulerListener implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
         public void onReply(String entry, long id, SlotReply reply) {
-            Sender sender = entries.get(entry);
+            Sender sender = attachedEntries.get(entry);
             if (sender != null) {
                 reply(sender, id, reply);
             }
@@ -240,8 +242,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean good) {
-            sharing.onAnswer(upstream, good);
+        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {
+            loadReports.recordOutcome(upstream, succeeded);
         }
 
         /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -12,28 +12,33 @@
 import org.radishspur.node.log.PartLog;
 
 /**
- * Starts children in order, restarts one that fails with growing delays, and reports its own failure when a child fails
- * too often. Supervisors are children themselves, so that they form a tree whose root ends the process.
+ * Starts children in order, restarts a failed child after a delay that doubles with each recent failure, and reports the
+ * failure to its own listener when a child fails too often. Supervisors are children themselves, so that they form a tree;
+ * the listener of the root ends the process.
  */
 public final class Supervisor implements Child {
-    private static final long FIRST_DELAY_MILLIS = 100;
-    private static final long LONGEST_DELAY_MILLIS = 5_000;
-    private static final int FAILURES_ALLOWED = 8;
+    /** Doubled once for each failure in the window, so that the first restart waits twice this delay. */
+    private static final long BASE_DELAY_MILLIS = 100;
+
+    private static final long MAXIMUM_DELAY_MILLIS = 5_000;
+    /** A child is restarted after at most this many failures within the window. */
+    private static final int MAXIMUM_FAILURES = 8;
+
     private static final long FAILURE_WINDOW_MILLIS = 60_000;
 
     private final String name;
     private final Scheduler scheduler;
     private final LongSupplier clockMillis;
-    private final List<Supervised> children = new ArrayList<>();
+    private final List<SupervisedChild> children = new ArrayList<>();
     private Child.FailureListener parent = cause -> {};
     private boolean closed;
 
     /**
      * Creates a supervisor without children.
      *
-     * @param name what the log calls it.
-     * @param scheduler runs restarts later.
-     * @param clockMillis the monotonic clock.
+     * @param name the name in log messages.
+     * @param scheduler runs delayed restarts.
+     * @param clockMillis the monotonic clock in milliseconds.
      */
     public Supervisor(String name, Scheduler scheduler, LongSupplier clockMillis) {
         this.name = name;
@@ -44,12 +49,12 @@
     /**
      * Adds a child; it starts with the supervisor.
      *
-     * @param childName what the log calls the child.
-     * @param factory makes a fresh child for each start.
+     * @param childName the name of the child in log messages.
+     * @param factory creates a new child for each start.
      * @return this supervisor.
      */
     public Supervisor supervise(String childName, Factory factory) {
-        children.add(new Supervised(childName, factory));
+        children.add(new SupervisedChild(childName, factory));
         return this;
     }
 
@@ -69,7 +74,7 @@
         }
     }
 
-    private void startChild(Supervised supervised) {
+    private void startChild(SupervisedChild supervised) {
         if (closed) {
             return;
         }
@@ -78,12 +83,12 @@
         try {
             child.start(cause -> onFailure(supervised, child, cause));
         } catch (Exception exception) {
-            // Netty passes on checked exceptions undeclared, as of an address that is taken.
+            // Netty throws checked exceptions that no method declares, such as BindException for an address in use.
             onFailure(supervised, child, exception);
         }
     }
 
-    private synchronized void onFailure(Supervised supervised, Child failed, Throwable cause) {
+    private synchronized void onFailure(SupervisedChild supervised, Child failed, Throwable cause) {
         if (closed || supervised.current != failed) {
             return;
         }
@@ -93,22 +98,23 @@
         while (supervised.failures.peekFirst() < now - FAILURE_WINDOW_MILLIS) {
             supervised.failures.removeFirst();
         }
-        if (supervised.failures.size() > FAILURES_ALLOWED) {
-            PartLog.SUPERVISOR.error(name + " gives up on " + supervised.name + '.', cause);
+        if (supervised.failures.size() > MAXIMUM_FAILURES) {
+            PartLog.SUPERVISOR.error(
+                    name + " no longer restarts the repeatedly failed " + supervised.name + '.', cause);
             parent.onFailure(cause);
             return;
         }
-        long delay = Math.min(LONGEST_DELAY_MILLIS, FIRST_DELAY_MILLIS << supervised.failures.size());
+        long delay = Math.min(MAXIMUM_DELAY_MILLIS, BASE_DELAY_MILLIS << supervised.failures.size());
         PartLog.SUPERVISOR.warn(
                 name + " restarts " + supervised.name + " in " + delay + " ms: " + cause.getMessage() + '.');
         scheduler.schedule(() -> restart(supervised), delay);
     }
 
-    private synchronized void restart(Supervised supervised) {
+    private synchronized void restart(SupervisedChild supervised) {
         startChild(supervised);
     }
 
-    private static void closeQuietly(Supervised supervised) {
+    private static void closeQuietly(SupervisedChild supervised) {
         Child child = supervised.current;
         supervised.current = null;
         if (child != null) {
@@ -121,11 +127,11 @@
     }
 
     /**
-     * Makes children.
+     * Creates children.
      */
     public interface Factory {
         /**
-         * Makes a child that has not started.
+         * Creates a child that has not been started.
          *
          * @return the child.
          */
@@ -133,14 +139,14 @@
     }
 
     /**
-     * Runs actions later.
+     * Runs actions after a delay.
      */
     public interface Scheduler {
         /**
          * Runs an action once.
          *
          * @param action the action.
-         * @param delayMillis how long to wait.
+         * @param delayMillis the delay in milliseconds.
          */
         void schedule(Runnable action, long delayMillis);
 
@@ -169,15 +175,15 @@
     }
 
     /**
-     * Remembers a child over its restarts.
+     * Holds the current instance of a child and the times of its recent failures, in milliseconds.
      */
-    private static final class Supervised {
+    private static final class SupervisedChild {
         private final String name;
         private final Factory factory;
         private final Deque<Long> failures = new ArrayDeque<>();
         private Child current;
 
-        Supervised(String name, Factory factory) {
+        SupervisedChild(String name, Factory factory) {
             this.name = name;
             this.factory = factory;
         }
--- a/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
@@ -3,40 +3,40 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.radishspur.node.fleet.LinkHealth.Care;
+import org.radishspur.node.fleet.LinkHealth.Action;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 class LinkHealthTest {
-    private static final long ROUND_MILLIS = 300;
+    private static final long CHECK_INTERVAL_MILLIS = 300;
     private static final long SECOND_MILLIS = 1_000;
 
-    /** After this time without a message a scheduler takes an entry for lost, in milliseconds. */
-    private static final long ENTRY_LOST_MILLIS = 1_200;
+    /** The time without a message after which a scheduler considers an entry lost, in milliseconds. */
+    private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
     private final LinkHealth health = new LinkHealth();
 
     @BeforeEach
     void open() {
-        health.opened(0);
+        health.onOpened(0);
     }
 
-    /** Looks after the link until a time, and returns when it is given up, or that time. */
-    private long renewedBy(long until, boolean attended) {
-        for (long now = ROUND_MILLIS; now < until; now += ROUND_MILLIS) {
-            if (health.due(attended, now) == Care.RENEW) {
+    /** Checks the link, which never answers, until the given time; returns when it is replaced, or that time. */
+    private long reconnectedAt(long until, boolean watched) {
+        for (long now = CHECK_INTERVAL_MILLIS; now < until; now += CHECK_INTERVAL_MILLIS) {
+            if (health.nextAction(watched, now) == Action.RECONNECT) {
                 return now;
             }
         }
         return until;
     }
 
-    private int pings(long from, long millis, boolean attended) {
+    private int countPings(long from, long millis, boolean watched) {
         int pings = 0;
-        for (long now = from; now < from + millis; now += ROUND_MILLIS) {
-            if (health.due(attended, now) == Care.PING) {
+        for (long now = from; now < from + millis; now += CHECK_INTERVAL_MILLIS) {
+            if (health.nextAction(watched, now) == Action.PING) {
                 pings++;
-                health.received(now + 1);
+                health.onReceived(now + 1);
             }
         }
         return pings;
@@ -44,43 +44,44 @@
 
     @Nested
     class InUse {
-        /** Guards against requests that go into a connection which has fallen silent without a reset. */
+        /** Guards against requests that are sent over a connection that no longer delivers them but was never reset. */
         @Test
-        void isGivenUpSoonAfterItHasFallenSilent() {
-            assertThat(renewedBy(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
+        void isReplacedSoonAfterItStopsAnswering() {
+            assertThat(reconnectedAt(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
         }
 
-        /** Guards against a scheduler that takes an entry for lost which holds slots but sends nothing for a while. */
+        /** Guards against a scheduler that considers an entry lost while it holds slots but sends nothing for a while. */
         @Test
         void isPingedOftenEnoughForTheOtherEnd() {
-            assertThat(pings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
-                    .isGreaterThan((int) (12 * SECOND_MILLIS / ENTRY_LOST_MILLIS));
+            assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
+                    .isGreaterThan((int) (12 * SECOND_MILLIS / ENTRY_TIMEOUT_MILLIS));
         }
 
-        /** Guards against a sound link that is given up because it was idle before it was used. */
+        /** Guards against the replacement of a working link because it was idle before it was used. */
         @Test
-        void isNotGivenUpWhenItHasBeenIdleBefore() {
+        void isNotReplacedWhenItWasIdleBefore() {
             long now = 60 * SECOND_MILLIS;
-            health.received(now - 1_900);
-            health.used(now);
-            assertThat(health.due(false, now)).isEqualTo(Care.PING);
-            health.received(now + 1);
-            assertThat(health.due(false, now + ROUND_MILLIS)).isEqualTo(Care.PING);
+            health.onReceived(now - 1_900);
+            health.onSent(now);
+            assertThat(health.nextAction(false, now)).isEqualTo(Action.PING);
+            health.onReceived(now + 1);
+            assertThat(health.nextAction(false, now + CHECK_INTERVAL_MILLIS)).isEqualTo(Action.PING);
         }
     }
 
     @Nested
     class Idle {
-        /** Guards against hosts that do little else than ping the control hosts that they don't need. */
+        /** Guards against idle hosts that spend most of their work on pings to control hosts that they don't use. */
         @Test
         void isPingedEveryFewSeconds() {
-            assertThat(pings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, false)).isBetween(3, 6);
+            assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, false))
+                    .isBetween(3, 6);
         }
 
-        /** Guards against a link that seems to be there until it is needed. */
+        /** Guards against a broken link that is detected only when it is needed. */
         @Test
-        void isGivenUpAsWellOnceItIsSilent() {
-            assertThat(renewedBy(20 * SECOND_MILLIS, false)).isLessThan(5 * SECOND_MILLIS);
+        void isReplacedOnceItStopsAnswering() {
+            assertThat(reconnectedAt(20 * SECOND_MILLIS, false)).isLessThan(5 * SECOND_MILLIS);
         }
     }
 }
--- a/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
+++ b/node/src/test/java/org/radishspur/node/fleet/RecordingSender.java
@@ -6,26 +6,26 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Stands for the other end of a connection, and keeps what is sent to it.
+ * Records the messages that are sent over a connection, for tests.
  */
 public final class RecordingSender implements FleetInbox.Sender {
     private final String peer;
-    private int shared;
+    private int sharedCount;
     private final List<FleetMessage> sent = new ArrayList<>();
 
     /**
-     * Creates an end to which nothing was sent.
+     * Creates a sender without recorded messages.
      *
-     * @param peer its name.
+     * @param peer the name of the other end.
      */
     public RecordingSender(String peer) {
         this.peer = peer;
     }
 
     /**
-     * Returns what was sent.
+     * Returns the messages that were sent, except shared ones.
      *
-     * @return the messages in order.
+     * @return the messages in the order in which they were sent.
      */
     public List<FleetMessage> sent() {
         return sent;
@@ -40,16 +40,16 @@
     /** {@inheritDoc} */
     @Override
     public void sendShared(ByteBuf encoded) {
-        shared++;
+        sharedCount++;
     }
 
     /**
-     * Counts what was sent as shared bytes.
+     * Returns how many shared messages were sent.
      *
      * @return the number of messages.
      */
-    public int shared() {
-        return shared;
+    public int sharedCount() {
+        return sharedCount;
     }
 
     /** {@inheritDoc} */
--- /dev/null
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
@@ -0,0 +1,172 @@
+package org.radishspur.node.schedule;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.IntStream;
+
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.radishspur.decision.dispatch.QuotaLedger;
+import org.radishspur.decision.dispatch.UpstreamLoad;
+import org.radishspur.model.catalogue.CallerLimits;
+import org.radishspur.model.catalogue.Catalogue;
+import org.radishspur.model.catalogue.PoolRule;
+import org.radishspur.model.catalogue.Upstream;
+import org.radishspur.node.fleet.FleetMessage;
+import org.radishspur.node.fleet.FleetSender;
+import org.radishspur.node.fleet.HostList;
+import org.radishspur.node.fleet.Moment;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class LoadReportExchangeTest {
+    private static final Upstream ENGINE = new Upstream("e", 1, "pool", "10.0.0.1:80", "a", "v1", 9, false, false);
+    private static final long TICK_MILLIS = LoadReportExchange.MIN_ROUND_MILLIS;
+
+    private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
+    private final List<FleetMessage.LoadReport> sentReports = new ArrayList<>();
+    private final Map<String, Integer> sentTo = new HashMap<>();
+    private long messageCount;
+    private final LoadReportExchange exchange = new LoadReportExchange(
+            new RecordingFleetSender(), pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), "self/1");
+
+    private UpstreamLoad engine() {
+        return pools.dispatcher("pool").upstreams().find(ENGINE.run()).orElseThrow();
+    }
+
+    private void applyView(int others) {
+        Catalogue catalogue = new Catalogue(
+                1, List.of(), List.of(new PoolRule("pool", 10, 9, true)), List.of(), CallerLimits.STANDARD);
+        List<String> peers =
+                IntStream.range(0, others).mapToObj(number -> "other-" + number).toList();
+        pools.apply(
+                new ConfirmedView(
+                        Optional.of(catalogue),
+                        new HostList(1, 1, List.of(ENGINE)),
+                        List.of(),
+                        0,
+                        List.of(),
+                        Set.of(),
+                        Moment.LONG_AGO),
+                others + 1,
+                0);
+        exchange.refresh(peers);
+    }
+
+    private static FleetMessage.LoadReport report(boolean full, int inProgress) {
+        return new FleetMessage.LoadReport(
+                "other-0/1", full, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
+    }
+
+    @Nested
+    class Publishing {
+        /** Guards against a cost of publishing that grows with the number of schedulers. */
+        @ParameterizedTest
+        @ValueSource(ints = {6, 53, 369})
+        void staysWithinTheMessageLimitForAnyNumberOfPeers(int others) {
+            applyView(others);
+            for (long now = 0; now < 10_000; now += TICK_MILLIS) {
+                engine().began(now, 0, now);
+                exchange.publishIfDue(now);
+            }
+            assertThat(messageCount).isLessThanOrEqualTo(10 * 200 + others);
+        }
+
+        /** Guards against changes that reach the peers later than the message limit requires. */
+        @ParameterizedTest
+        @ValueSource(ints = {6, 53, 369})
+        void publishesAChangeWithinOneRound(int others) {
+            applyView(others);
+            exchange.publishIfDue(0);
+            engine().began("request", 0, 1);
+            long publishedAt = 0;
+            for (long now = TICK_MILLIS; publishedAt == 0; now += TICK_MILLIS) {
+                exchange.publishIfDue(now);
+                publishedAt =
+                        sentReports.stream().anyMatch(report -> report.counts().length > 0 && report.counts()[0] == 1)
+                                ? now
+                                : 0;
+            }
+            assertThat(publishedAt).isLessThanOrEqualTo(2 * TICK_MILLIS + others * 1_000L / 200);
+        }
+
+        /** Guards against messages between idle schedulers in every round. */
+        @Test
+        void sendsOnlyFullReportsWhileNothingChanges() {
+            applyView(6);
+            for (long now = 0; now < 4_000; now += TICK_MILLIS) {
+                exchange.publishIfDue(now);
+            }
+            assertThat(sentReports).hasSizeLessThanOrEqualTo(14).allMatch(FleetMessage.LoadReport::full);
+        }
+    }
+
+    @Nested
+    class Receiving {
+        @Test
+        void addsTheRequestsInProgressAtAPeer() {
+            applyView(6);
+            exchange.onReport(report(false, 4), Map.of(), 0);
+            assertThat(engine().inProgress()).isEqualTo(4);
+        }
+
+        @Test
+        void returnsWhetherASlotHasBecomeFree() {
+            applyView(6);
+            assertThat(exchange.onReport(report(false, 4), Map.of(), 0)).isFalse();
+            assertThat(exchange.onReport(report(false, 3), Map.of(), 40)).isTrue();
+        }
+
+        /** Guards against slots that stay occupied after the scheduler that granted them was lost. */
+        @Test
+        void removesTheLoadOfALostPeer() {
+            applyView(6);
+            exchange.onReport(report(false, 4), Map.of(), 0);
+            exchange.publishIfDue(1_000);
+            assertThat(engine().inProgress()).isZero();
+        }
+
+        /** Guards against peers that are considered lost because they publish seldom where there are many schedulers. */
+        @Test
+        void keepsTheLoadOfAPeerThatPublishesSeldom() {
+            applyView(369);
+            exchange.onReport(report(false, 4), Map.of(), 0);
+            exchange.publishIfDue(2_000);
+            assertThat(engine().inProgress()).isEqualTo(4);
+        }
+    }
+
+    /** Records the reports that are sent and counts their receivers; all connections are open from the start. */
+    private final class RecordingFleetSender implements FleetSender {
+        /** {@inheritDoc} */
+        @Override
+        public void send(String address, FleetMessage message) {
+            send(List.of(address), message);
+        }
+
+        /** {@inheritDoc} */
+        @Override
+        public void send(Collection<String> addresses, FleetMessage message) {
+            messageCount += addresses.size();
+            addresses.forEach(address -> sentTo.merge(address, 1, Integer::sum));
+            sentReports.add((FleetMessage.LoadReport) message);
+        }
+
+        /** {@inheritDoc} */
+        @Override
+        public void attend(String address) {}
+
+        /** {@inheritDoc} */
+        @Override
+        public int connection(String address) {
+            return 1;
+        }
+    }
+}
--- a/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
@@ -8,52 +8,52 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class PublishRoundsTest {
-    private static final long STEP_MILLIS = 40;
+    private static final long TICK_MILLIS = 40;
 
-    private final PublishRounds rounds = new PublishRounds(STEP_MILLIS, 150);
+    private final PublishRounds rounds = new PublishRounds(TICK_MILLIS, 150);
 
     private void peers(int number) {
         rounds.peers(Collections.nCopies(number, "peer"));
     }
 
     @Test
-    void isToldInEachStepWhereItIsSmall() {
+    void publishesOnEveryTickToFewPeers() {
         peers(6);
-        assertThat(rounds.roundMillis()).isEqualTo(STEP_MILLIS);
+        assertThat(rounds.roundMillis()).isEqualTo(TICK_MILLIS);
     }
 
     @Test
-    void isToldLessOftenWhereItIsLarge() {
+    void publishesLessOftenToManyPeers() {
         peers(36);
         assertThat(rounds.roundMillis()).isEqualTo(240);
     }
 
     @Test
-    void hasNoRoundBeforeTheNextIsDue() {
+    void beginsNoRoundBeforeItIsDue() {
         peers(36);
         assertThat(rounds.beginRound(0)).isTrue();
-        assertThat(rounds.beginRound(STEP_MILLIS)).isFalse();
+        assertThat(rounds.beginRound(TICK_MILLIS)).isFalse();
         assertThat(rounds.beginRound(240)).isTrue();
     }
 
     @Test
-    void hasNoRoundsWhereNobodyIsThere() {
+    void beginsNoRoundWithoutPeers() {
         assertThat(rounds.beginRound(0)).isFalse();
     }
 
     @Test
-    void isToldEverythingOnceInSoManyRounds() {
+    void publishesAFullReportEveryFewRounds() {
         peers(36);
-        int wholes = 0;
+        int fullReports = 0;
         for (long now = 0; now < 40 * 240; now += 240) {
-            wholes += rounds.beginRound(now) && rounds.takeWhole() ? 1 : 0;
+            fullReports += rounds.beginRound(now) && rounds.beginFullReport() ? 1 : 0;
         }
-        assertThat(wholes).isEqualTo(10);
+        assertThat(fullReports).isEqualTo(10);
     }
 
     @Test
-    void isToldOnlyOfUseThatHasChanged() {
-        rounds.published(Map.of(), Map.of("one", 5L, "two", 7L));
-        assertThat(rounds.newUse(Map.of("one", 5L, "two", 8L))).isEqualTo(Map.of("two", 8L));
+    void publishesOnlyUsageThatHasChanged() {
+        rounds.recordPublished(Map.of(), Map.of("one", 5L, "two", 7L));
+        assertThat(rounds.changedUsage(Map.of("one", 5L, "two", 8L))).isEqualTo(Map.of("two", 8L));
     }
 }
--- a/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
+++ b/node/src/test/java/org/radishspur/node/supervise/SupervisorTest.java
@@ -14,28 +14,29 @@
 class SupervisorTest {
     private static final int MANY = 100;
 
-    private final Deque<Runnable> later = new ArrayDeque<>();
-    private final List<Throwable> givenUp = new ArrayList<>();
-    private final Supervisor supervisor = new Supervisor("test", (action, delay) -> later.add(action), () -> 0);
+    private final Deque<Runnable> scheduledRestarts = new ArrayDeque<>();
+    private final List<Throwable> reportedFailures = new ArrayList<>();
+    private final Supervisor supervisor =
+            new Supervisor("test", (action, delay) -> scheduledRestarts.add(action), () -> 0);
     private int starts;
 
-    private void runLater(int times) {
-        for (int count = 0; count < times && !later.isEmpty(); count++) {
-            later.poll().run();
+    private void runScheduledRestarts(int times) {
+        for (int count = 0; count < times && !scheduledRestarts.isEmpty(); count++) {
+            scheduledRestarts.poll().run();
         }
     }
 
-    /** Throws as Netty does, which passes on checked exceptions that no method declares. */
+    /** Throws a checked exception that no method declares, as Netty does. */
     @SuppressWarnings("unchecked")
     private static <E extends Throwable> void throwUndeclared(Throwable cause) throws E {
         throw (E) cause;
     }
 
-    /** Fails at its first starts. */
-    private final class AddressTaken implements Child {
+    /** A server whose first starts fail because its address is in use. */
+    private final class ServerWithAddressInUse implements Child {
         private final int failures;
 
-        AddressTaken(int failures) {
+        ServerWithAddressInUse(int failures) {
             this.failures = failures;
         }
 
@@ -52,22 +53,24 @@
     }
 
     @Nested
-    class WhereAnAddressIsTaken {
-        /** Guards against a process that ends because an address was taken for a moment. */
+    class WhenTheAddressIsInUse {
+        /** Guards against a process that ends because an address was in use for a short time. */
         @Test
-        void aServerStartsOnceItsAddressIsFree() {
-            supervisor.supervise("server", () -> new AddressTaken(3)).start(givenUp::add);
-            runLater(MANY);
+        void startsTheServerOnceTheAddressIsFree() {
+            supervisor.supervise("server", () -> new ServerWithAddressInUse(3)).start(reportedFailures::add);
+            runScheduledRestarts(MANY);
             assertThat(starts).isEqualTo(4);
-            assertThat(givenUp).isEmpty();
+            assertThat(reportedFailures).isEmpty();
         }
 
-        /** Guards against a server that is never started again, and nobody knows. */
+        /** Guards against a server that stays down without its failure being reported. */
         @Test
-        void theParentLearnsThatAServerNeverStarts() {
-            supervisor.supervise("server", () -> new AddressTaken(MANY)).start(givenUp::add);
-            runLater(MANY);
-            assertThat(givenUp).hasSize(1).first().isInstanceOf(BindException.class);
+        void reportsAServerThatNeverStartsToTheParent() {
+            supervisor
+                    .supervise("server", () -> new ServerWithAddressInUse(MANY))
+                    .start(reportedFailures::add);
+            runScheduledRestarts(MANY);
+            assertThat(reportedFailures).hasSize(1).first().isInstanceOf(BindException.class);
         }
     }
 }
