--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -8,20 +8,21 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-import org.radishspur.replication.raft.Effects.Outbound;
+import org.radishspur.replication.raft.Effects.OutboundMessage;
 import org.radishspur.replication.raft.LogEntry.Payload;
 
 /**
- * Decides for one replica: messages, the clock and the results of writes go in, {@link Effects} come out.
+ * Implements the Raft algorithm for one replica. The caller passes in messages, the time and the completion of writes,
+ * and carries out the {@link Effects} that result.
  *
- * <p>The core is not safe for use by several threads; the control thread owns it.
+ * <p>This class is not thread-safe; only the control thread uses it.
  */
 public final class RaftCore {
-    /** How many heartbeats a replica that has heard no leader yet waits at least, where leaders hold no lease. */
-    private static final int FIRST_HEARTBEATS = 1;
+    /** The shortest election timeout of a replica that has seen no leader since its start, where no lease is used. */
+    private static final int INITIAL_ELECTION_TIMEOUT_HEARTBEATS = 1;
 
-    /** The longest time that is assumed for a write, in election timeouts. */
-    private static final int LONGEST_WRITE_TIMEOUTS = 8;
+    /** The upper bound of the estimated write time, in election timeouts. */
+    private static final int MAXIMUM_WRITE_ELECTION_TIMEOUTS = 8;
 
     private final RaftOptions options;
     private final String self;
@@ -29,7 +30,7 @@
     private final RaftLog log;
     private final Followers followers;
     private final Set<String> votes = new HashSet<>();
-    private final WriteTime writeTime;
+    private final WriteTimeEstimate writeTimeEstimate;
 
     private HardState hardState;
     private boolean hardStateDurable = true;
@@ -38,28 +39,39 @@
     private long commitIndex;
     private long appliedIndex;
     private long persistedIndex;
-    private long heardFromLeaderAt;
-    private boolean heardLeader;
+
+    /** When the latest message of a leader was accepted, in milliseconds of the monotonic clock. */
+    private long leaderContactAt;
+
+    /** Whether this replica has seen a leader, or led, since it started. */
+    private boolean leaderSeen;
+
     private long electionDueAt;
     private long heartbeatDueAt;
-    private long leadingSince;
+
+    /** The index of the first entry that this replica appended as the leader of its latest term. */
+    private long firstIndexAsLeader;
+
     private boolean transferring;
-    private long clock;
-    private SnapshotAssembly assembly = new SnapshotAssembly(0, 0, 0);
+
+    /** The monotonic clock in milliseconds when this replica, as leader, last sent heartbeats or got a reply. */
+    private long leaderClock;
+
+    private SnapshotAssembly incomingSnapshot = new SnapshotAssembly(0, 0, 0);
 
     private boolean hardStateChanged;
-    private List<LogEntry> unwritten = new ArrayList<>();
+    private List<LogEntry> unwrittenEntries = new ArrayList<>();
     private Optional<Snapshot> unwrittenSnapshot = Optional.empty();
-    private Optional<Snapshot> installed = Optional.empty();
-    private List<Outbound> immediate = new ArrayList<>();
-    private List<Outbound> afterWrite = new ArrayList<>();
+    private Optional<Snapshot> installedSnapshot = Optional.empty();
+    private List<OutboundMessage> immediate = new ArrayList<>();
+    private List<OutboundMessage> afterWrite = new ArrayList<>();
 
     /**
      * Creates the core of a replica that has just started.
      *
-     * @param options times and sizes.
-     * @param self the identity of this replica's disk.
-     * @param recovered what the disk held.
+     * @param options the timeouts and size limits.
+     * @param self the identity of this replica, which belongs to its disk.
+     * @param recovered the durable state of the replica.
      * @param random the source of randomness for election timeouts.
      * @param now the monotonic clock in milliseconds.
      */
@@ -68,23 +80,25 @@
         this.self = self;
         this.random = random;
         this.followers = new Followers(options, self);
-        this.writeTime = new WriteTime(LONGEST_WRITE_TIMEOUTS * options.electionTimeoutMillis());
+        this.writeTimeEstimate =
+                new WriteTimeEstimate(MAXIMUM_WRITE_ELECTION_TIMEOUTS * options.electionTimeoutMillis());
         this.hardState = recovered.hardState();
         this.log = new RaftLog(recovered.snapshot(), recovered.entries());
         this.commitIndex = recovered.snapshot().lastIndex();
         this.appliedIndex = commitIndex;
         this.persistedIndex = log.lastIndex();
-        // Guards against a stale read: before its restart this replica may have acknowledged a heartbeat whose lease
-        // still runs. It counts as having just heard the leader, so that it can't help elect another one meanwhile.
-        this.heardFromLeaderAt = options.leaseMillis() > 0 ? now : now - options.electionTimeoutMillis();
+        // Prevents stale reads: before its restart this replica may have acknowledged a heartbeat, and the lease that
+        // the leader derives from it may still be valid. Until it has expired, this replica must not vote for another
+        // one.
+        this.leaderContactAt = options.leaseMillis() > 0 ? now : now - options.electionTimeoutMillis();
         if (recovered.snapshot().lastIndex() > 0) {
-            installed = Optional.of(recovered.snapshot());
+            installedSnapshot = Optional.of(recovered.snapshot());
         }
         scheduleElection(now);
     }
 
     /**
-     * Lets time pass.
+     * Starts an election or sends heartbeats if they are due.
      *
      * @param now the monotonic clock in milliseconds.
      */
@@ -101,7 +115,7 @@
     }
 
     /**
-     * Takes a message from another replica.
+     * Processes a message from another replica.
      *
      * @param from the identity of the sender.
      * @param message the message.
@@ -112,8 +126,8 @@
             onVoteRequest(from, request, now);
             return;
         }
-        boolean promise = message instanceof RaftMessage.VoteReply reply && reply.preVote() && reply.granted();
-        if (message.term() > hardState.term() && !promise) {
+        boolean preVoteGranted = message instanceof RaftMessage.VoteReply reply && reply.preVote() && reply.granted();
+        if (message.term() > hardState.term() && !preVoteGranted) {
             becomeFollower(message.term(), now);
         }
         if (message instanceof RaftMessage.VoteReply reply) {
@@ -126,96 +140,99 @@
             onSnapshotRequest(from, request, now);
         } else if (message instanceof RaftMessage.SnapshotReply reply) {
             onSnapshotReply(from, reply, now);
-        } else if (message instanceof RaftMessage.TimeoutNow order) {
-            onTimeoutNow(order, now);
+        } else if (message instanceof RaftMessage.TimeoutNow timeoutNow) {
+            onTimeoutNow(timeoutNow, now);
         }
     }
 
     /**
-     * Appends a command if this replica leads.
+     * Appends a command to the log if this replica is the leader.
      *
      * @param bytes the encoded command.
      * @param now the monotonic clock in milliseconds.
-     * @return the index of the entry, or nothing where this replica doesn't lead.
+     * @return the index of the entry, or empty where this replica isn't the leader or is transferring its leadership.
      */
     public OptionalLong propose(byte[] bytes, long now) {
         if (role != Role.LEADER || transferring) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(appendOwn(new Payload.Command(bytes)));
+        return OptionalLong.of(appendAsLeader(new Payload.Command(bytes)));
     }
 
     /**
-     * Appends a change of the set of replicas if this replica leads and no other change is under way.
+     * Appends a change of the configuration if this replica is the leader and no other change is in progress.
      *
-     * @param configuration the new set, which differs from the present one by one voter at most.
-     * @return the index of the entry, or nothing where the change is refused.
+     * @param configuration the new configuration, which differs from the current one by at most one voter.
+     * @return the index of the entry, or empty where the change is refused.
      */
     public OptionalLong proposeConfiguration(Configuration configuration) {
-        // A leader that has committed nothing in its own term doesn't know yet which change is the latest one, and two
-        // changes under way could have quorums that don't meet: both cases are refused.
-        boolean settled = log.configurationIndex() <= commitIndex && commitIndex >= leadingSince;
-        if (role != Role.LEADER || transferring || !settled) {
+        // Refuses a change while another one is uncommitted, as their quorums might not overlap, and before the leader
+        // has committed an entry of its own term, as it doesn't know before then which change is the latest.
+        boolean changeAllowed = log.configurationIndex() <= commitIndex && commitIndex >= firstIndexAsLeader;
+        if (role != Role.LEADER || transferring || !changeAllowed) {
             return OptionalLong.empty();
         }
-        long index = appendOwn(new Payload.Membership(configuration));
+        long index = appendAsLeader(new Payload.Membership(configuration));
         configuration.voters().forEach(this::progressOf);
         configuration.learners().keySet().forEach(this::progressOf);
         return OptionalLong.of(index);
     }
 
     /**
-     * Learns that a write has become durable.
+     * Processes the completion of a write, which is now durable.
      *
      * @param batch the batch that was written.
-     * @param startedAt the monotonic clock in milliseconds when it was given to the disk.
+     * @param startedAt the monotonic clock in milliseconds when the write was started.
      * @param now the monotonic clock in milliseconds.
      */
     public void persisted(WriteBatch batch, long startedAt, long now) {
-        writeTime.learn(now - startedAt);
+        writeTimeEstimate.recordWrite(now - startedAt);
         batch.hardState().filter(hardState::equals).ifPresent(durable -> onHardStateDurable(now));
         if (!batch.entries().isEmpty()) {
             LogEntry last = batch.entries().get(batch.entries().size() - 1);
-            if (log.term(last.index()) == last.term()) {
+            if (log.termAt(last.index()) == last.term()) {
                 persistedIndex = Math.max(persistedIndex, last.index());
             }
         }
         batch.snapshot().ifPresent(snapshot -> persistedIndex = Math.max(persistedIndex, snapshot.lastIndex()));
         if (role == Role.LEADER) {
-            advanceCommit();
+            advanceCommitIndex();
         }
     }
 
     /**
-     * Describes the snapshot that would stand for the log up to an applied entry, still without a state.
+     * Returns a snapshot of the log up to an applied entry that does not contain the state yet.
      *
-     * @param index the index of the last applied entry that the snapshot is to cover.
+     * @param index the index of the last applied entry that the snapshot covers.
      * @return the snapshot with an empty state.
      */
     public Snapshot describe(long index) {
-        return new Snapshot(index, log.term(index), log.configurationAt(index), new byte[0]);
+        return new Snapshot(index, log.termAt(index), log.configurationAt(index), new byte[0]);
     }
 
     /**
-     * Discards the log up to an applied entry, for which a snapshot stands from now on.
+     * Puts a snapshot of this replica into effect and discards entries that it covers. Some entries before its end are
+     * kept for followers that lag.
      *
-     * @param made the snapshot; one that is not later than the present one changes nothing.
+     * @param newSnapshot the snapshot; it is ignored where it isn't newer than the current one or covers entries that
+     *     aren't applied yet.
      */
-    public void compact(Snapshot made) {
-        if (made.lastIndex() <= log.snapshot().lastIndex() || made.lastIndex() > appliedIndex) {
+    public void compact(Snapshot newSnapshot) {
+        if (newSnapshot.lastIndex() <= log.snapshot().lastIndex() || newSnapshot.lastIndex() > appliedIndex) {
             return;
         }
-        long index = made.lastIndex();
-        long oldestNeeded =
-                role == Role.LEADER ? followers.oldestNeeded(index, log.firstIndex(), clock) : Long.MAX_VALUE;
-        log.compact(made, Math.min(index - options.trailingEntries(), oldestNeeded));
-        unwrittenSnapshot = Optional.of(made);
+        long index = newSnapshot.lastIndex();
+        long oldestNeededIndex = role == Role.LEADER
+                ? followers.oldestNeededIndex(index, log.firstIndex(), leaderClock)
+                : Long.MAX_VALUE;
+        log.compact(newSnapshot, Math.min(index - options.trailingEntries(), oldestNeededIndex));
+        unwrittenSnapshot = Optional.of(newSnapshot);
     }
 
     /**
-     * Hands leadership to the most advanced follower, as before a planned stop.
+     * Transfers the leadership to a voter that has the whole log, for example before a planned stop.
      *
-     * @return whether a follower was asked to take over.
+     * @return whether a voter was asked to take over.
      */
     public boolean transferLeadership() {
         if (role != Role.LEADER) {
@@ -224,18 +241,18 @@
         Optional<String> target = log.configuration().voters().stream()
                 .filter(voter -> !voter.equals(self) && progressOf(voter).matchIndex == log.lastIndex())
                 .findFirst();
-        // The lease ends here and for good: the election that follows does not wait for it.
+        // The lease ends now, because the election that follows does not wait for it to expire.
         target.ifPresent(voter -> {
             transferring = true;
-            immediate.add(new Outbound(voter, new RaftMessage.TimeoutNow(hardState.term())));
+            immediate.add(new OutboundMessage(voter, new RaftMessage.TimeoutNow(hardState.term())));
         });
         return target.isPresent();
     }
 
     /**
-     * Takes what the steps since the last call have led to.
+     * Returns the effects of all calls since the previous call of this method, and clears them.
      *
-     * @return the effects.
+     * @return the effects, which the caller must carry out.
      */
     public Effects drain() {
         if (role == Role.LEADER) {
@@ -250,46 +267,48 @@
         }
         WriteBatch write = new WriteBatch(
                 hardStateChanged ? Optional.of(hardState) : Optional.empty(),
-                List.copyOf(unwritten),
+                List.copyOf(unwrittenEntries),
                 unwrittenSnapshot);
-        Effects effects = new Effects(List.copyOf(immediate), write, List.copyOf(afterWrite), installed, committed);
+        Effects effects =
+                new Effects(List.copyOf(immediate), write, List.copyOf(afterWrite), installedSnapshot, committed);
         hardStateChanged = false;
-        unwritten = new ArrayList<>();
+        unwrittenEntries = new ArrayList<>();
         unwrittenSnapshot = Optional.empty();
-        installed = Optional.empty();
+        installedSnapshot = Optional.empty();
         immediate = new ArrayList<>();
         afterWrite = new ArrayList<>();
         return effects;
     }
 
     /**
-     * Returns whether this replica may answer a read from its own state: it leads, has applied an entry of its own term,
-     * and a majority has answered it so recently that no other leader can have been elected.
+     * Returns whether this replica may serve a read from its own state. It may if it is the leader, has applied an
+     * entry of its own term, and a majority has replied to it so recently that no other leader can have been elected.
      *
      * @param now the monotonic clock in milliseconds.
      * @return whether a read is linearizable now.
      */
     public boolean mayRead(long now) {
-        return role == Role.LEADER && !transferring && appliedIndex >= leadingSince && now < leaseEnd();
+        return role == Role.LEADER && !transferring && appliedIndex >= firstIndexAsLeader && now < leaseEnd();
     }
 
     /**
-     * Returns whether a majority has confirmed, after a moment, that this replica leads; then its applied state is at
-     * least as new as everything that was committed before that moment.
+     * Returns whether a majority has confirmed after the given time that this replica is the leader. If so, its applied
+     * state includes everything that was committed before that time.
      *
-     * <p>Guards against a leader that was suspended: the monotonic clock stands still meanwhile, so that its lease seems
-     * to run on while another leader commits. A confirmation is an answer to a message sent strictly later, which a
-     * replica that follows another leader by now does not give.
+     * <p>Unlike a lease, this also holds for a leader whose process or host was suspended: the monotonic clock stops
+     * during the suspension, so that the lease appears valid while another leader commits entries. A confirmation is a
+     * reply to a message sent strictly after the given time; a replica that follows another leader by then does not
+     * send one.
      *
      * @param since the monotonic clock in milliseconds when the read began.
-     * @return whether the read may be answered.
+     * @return whether the read may be served.
      */
     public boolean confirmedSince(long since) {
         return role == Role.LEADER
                 && !transferring
-                && appliedIndex >= leadingSince
+                && appliedIndex >= firstIndexAsLeader
                 && appliedIndex >= commitIndex
-                && quorumAnsweredSentAt() > since;
+                && quorumAcknowledgedSendTime() > since;
     }
 
     /**
@@ -302,7 +321,7 @@
     }
 
     /**
-     * Returns the present term.
+     * Returns the current term.
      *
      * @return the term.
      */
@@ -313,7 +332,7 @@
     /**
      * Returns the identity of the leader.
      *
-     * @return the identity, or an empty text where none is known.
+     * @return the identity, or an empty string where no leader is known.
      */
     public String leader() {
         return leader;
@@ -329,16 +348,16 @@
     }
 
     /**
-     * Returns the latest set of replicas in the log, whether committed or not.
+     * Returns the latest configuration in the log, whether it is committed or not.
      *
-     * @return the set of replicas.
+     * @return the configuration.
      */
     public Configuration configuration() {
         return log.configuration();
     }
 
     /**
-     * Returns the greatest index known to be committed.
+     * Returns the highest index known to be committed.
      *
      * @return the index.
      */
@@ -347,7 +366,7 @@
     }
 
     /**
-     * Returns the index of the last entry.
+     * Returns the index of the last entry of the log.
      *
      * @return the index.
      */
@@ -356,7 +375,7 @@
     }
 
     /**
-     * Returns the first index that is still in the log.
+     * Returns the index of the first entry that is still in the log.
      *
      * @return the index.
      */
@@ -375,22 +394,24 @@
     }
 
     /**
-     * Returns whether a learner's disk holds everything that is committed.
+     * Returns whether a learner has every committed entry on its disk.
      *
      * @param learner the identity of the learner.
-     * @return whether it may be promoted without making the quorum weaker.
+     * @return whether it has, and can therefore be promoted without weakening the quorum.
      */
     public boolean isCaughtUp(String learner) {
-        return role == Role.LEADER && progressOf(learner).matchIndex >= commitIndex && commitIndex >= leadingSince;
+        return role == Role.LEADER
+                && progressOf(learner).matchIndex >= commitIndex
+                && commitIndex >= firstIndexAsLeader;
     }
 
     private void tickLeader(long now) {
-        // Check-quorum: a leader that a cut has silenced stops leading, so that nobody waits for it in vain.
         if (!log.configuration().voters().contains(self) && log.configurationIndex() <= commitIndex) {
             becomeFollower(hardState.term(), now);
             return;
         }
-        if (now - quorumAnsweredSentAt() > 2 * options.electionTimeoutMillis()) {
+        // Check-quorum: a leader that is cut off from the majority steps down, so that requests don't wait for it.
+        if (now - quorumAcknowledgedSendTime() > 2 * options.electionTimeoutMillis()) {
             becomeFollower(hardState.term(), now);
             return;
         }
@@ -401,11 +422,11 @@
 
     private void broadcast(long now) {
         heartbeatDueAt = now + options.heartbeatMillis();
-        clock = now;
+        leaderClock = now;
         for (String peer : peers()) {
             Progress state = progressOf(peer);
-            if (state.pendingSince > 0 && now - state.pendingSince > options.electionTimeoutMillis()) {
-                state.pendingSince = 0;
+            if (state.unacknowledgedSince > 0 && now - state.unacknowledgedSince > options.electionTimeoutMillis()) {
+                state.unacknowledgedSince = 0;
                 state.nextIndex = state.matchIndex + 1;
             }
             if (!sendEntries(peer, state)) {
@@ -427,10 +448,10 @@
         return peers;
     }
 
-    /** Sends what the peer lacks; returns whether there was anything to send. */
+    /** Sends the peer the entries or the snapshot that it lacks; returns whether it lacks any. */
     private boolean sendEntries(String peer, Progress state) {
         if (state.nextIndex < log.firstIndex()) {
-            sendSnapshotPart(peer, state);
+            sendSnapshotChunk(peer, state);
             return true;
         }
         List<LogEntry> entries = log.slice(state.nextIndex, options.maximumEntriesPerMessage());
@@ -439,8 +460,8 @@
         }
         sendAppend(peer, state.nextIndex - 1, entries);
         state.nextIndex += entries.size();
-        if (state.pendingSince == 0) {
-            state.pendingSince = clock;
+        if (state.unacknowledgedSince == 0) {
+            state.unacknowledgedSince = leaderClock;
         }
         return true;
     }
@@ -451,27 +472,27 @@
     }
 
     private void sendAppend(String peer, long previous, List<LogEntry> entries) {
-        immediate.add(new Outbound(
+        immediate.add(new OutboundMessage(
                 peer,
                 new RaftMessage.AppendRequest(
-                        hardState.term(), previous, log.term(previous), entries, commitIndex, clock)));
+                        hardState.term(), previous, log.termAt(previous), entries, commitIndex, leaderClock)));
     }
 
-    private void sendSnapshotPart(String peer, Progress state) {
-        if (state.sending.isEmpty()) {
-            state.sending = Optional.of(log.snapshot());
+    private void sendSnapshotChunk(String peer, Progress state) {
+        if (state.snapshotInTransfer.isEmpty()) {
+            state.snapshotInTransfer = Optional.of(log.snapshot());
             state.snapshotOffset = 0;
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
-        if (state.pendingSince > 0) {
+        if (state.unacknowledgedSince > 0) {
             return;
         }
-        Snapshot snapshot = state.sending.get();
+        Snapshot snapshot = state.snapshotInTransfer.get();
         int begin = (int) state.snapshotOffset;
-        int end = Math.min(snapshot.state().length, begin + options.snapshotPartBytes());
+        int end = Math.min(snapshot.state().length, begin + options.snapshotChunkBytes());
         byte[] part = java.util.Arrays.copyOfRange(snapshot.state(), begin, end);
-        state.pendingSince = Math.max(1, clock);
-        immediate.add(new Outbound(
+        state.unacknowledgedSince = Math.max(1, leaderClock);
+        immediate.add(new OutboundMessage(
                 peer,
                 new RaftMessage.SnapshotRequest(
                         hardState.term(),
@@ -481,14 +502,14 @@
                         begin,
                         part,
                         end == snapshot.state().length,
-                        clock)));
+                        leaderClock)));
     }
 
     private void campaign(boolean preVote, boolean transfer, long now) {
         votes.clear();
         votes.add(self);
         leader = "";
-        awaitVotes(now);
+        scheduleElectionAfterVoteWrites(now);
         if (preVote) {
             role = Role.PRE_CANDIDATE;
         } else {
@@ -496,19 +517,19 @@
             setHardState(new HardState(hardState.term() + 1, self));
         }
         if (votes.size() >= log.configuration().quorum()) {
-            wonVotes(preVote, now);
+            onVotesWon(preVote, now);
             return;
         }
         long term = preVote ? hardState.term() + 1 : hardState.term();
         RaftMessage request = new RaftMessage.VoteRequest(term, preVote, transfer, log.lastIndex(), log.lastTerm());
         for (String voter : log.configuration().voters()) {
             if (!voter.equals(self)) {
-                afterWrite.add(new Outbound(voter, request));
+                afterWrite.add(new OutboundMessage(voter, request));
             }
         }
     }
 
-    private void wonVotes(boolean preVote, long now) {
+    private void onVotesWon(boolean preVote, long now) {
         if (preVote) {
             campaign(false, false, now);
         } else {
@@ -517,13 +538,13 @@
     }
 
     private void onVoteRequest(String from, RaftMessage.VoteRequest request, long now) {
-        boolean leaseMayRun = now - heardFromLeaderAt < options.electionTimeoutMillis() || role == Role.LEADER;
-        if (leaseMayRun && !request.transfer()) {
-            // A leader may be reading under its lease, which counts on this silence. The term isn't taken over either,
-            // so that a replica coming back from a cut can't depose a healthy leader.
+        boolean leaseMayBeValid = now - leaderContactAt < options.electionTimeoutMillis() || role == Role.LEADER;
+        if (leaseMayBeValid && !request.transfer()) {
+            // The leader's lease relies on this replica not voting. The replica doesn't adopt the term of the request
+            // either, so that a replica whose connection was restored can't depose a healthy leader.
             if (request.term() <= hardState.term() || request.preVote()) {
-                afterWrite.add(
-                        new Outbound(from, new RaftMessage.VoteReply(hardState.term(), request.preVote(), false)));
+                afterWrite.add(new OutboundMessage(
+                        from, new RaftMessage.VoteReply(hardState.term(), request.preVote(), false)));
             }
             return;
         }
@@ -532,52 +553,51 @@
         }
         boolean upToDate = request.lastTerm() > log.lastTerm()
                 || request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex();
-        boolean free = request.preVote()
+        boolean voteAvailable = request.preVote()
                 ? request.term() > hardState.term()
                 : request.term() == hardState.term()
                         && (hardState.votedFor().isEmpty()
                                 || hardState.votedFor().equals(from));
-        boolean granted = upToDate && free;
+        boolean granted = upToDate && voteAvailable;
         if (granted && request.preVote() && role == Role.PRE_CANDIDATE && from.compareTo(self) < 0) {
-            // Guards against split votes where a whole group restarts: all would ask for promises at once, get them
-            // from
-            // each other, and then vote for themselves. One of them, the same for all, goes on; nothing is lost if it
-            // can't, as the others ask again after their next timeout.
+            // Avoids split votes when all replicas restart at the same time: all of them would request pre-votes at
+            // once, grant them to each other and then vote for themselves. Only the one with the lowest identity
+            // proceeds. If it fails, the others request pre-votes again after their next timeout.
             role = Role.FOLLOWER;
-            awaitVotes(now);
+            scheduleElectionAfterVoteWrites(now);
         }
         if (granted && !request.preVote()) {
             setHardState(new HardState(hardState.term(), from));
             scheduleElection(now);
         }
         long term = granted ? request.term() : hardState.term();
-        afterWrite.add(new Outbound(from, new RaftMessage.VoteReply(term, request.preVote(), granted)));
+        afterWrite.add(new OutboundMessage(from, new RaftMessage.VoteReply(term, request.preVote(), granted)));
     }
 
     private void onVoteReply(String from, RaftMessage.VoteReply reply, long now) {
         Role expected = reply.preVote() ? Role.PRE_CANDIDATE : Role.CANDIDATE;
         long term = reply.preVote() ? hardState.term() + 1 : hardState.term();
-        boolean counts = log.configuration().voters().contains(from);
-        if (role == expected && reply.granted() && reply.term() == term && counts) {
+        boolean fromVoter = log.configuration().voters().contains(from);
+        if (role == expected && reply.granted() && reply.term() == term && fromVoter) {
             votes.add(from);
-            long counted = votes.stream()
+            long voteCount = votes.stream()
                     .filter(voter -> log.configuration().voters().contains(voter))
                     .count();
-            if (counted >= log.configuration().quorum()) {
-                wonVotes(reply.preVote(), now);
+            if (voteCount >= log.configuration().quorum()) {
+                onVotesWon(reply.preVote(), now);
             }
         }
     }
 
     private void becomeLeader(long now) {
         role = Role.LEADER;
-        heardLeader = true;
+        leaderSeen = true;
         leader = self;
         transferring = false;
         followers.clear();
-        clock = now;
-        leadingSince = appendOwn(new Payload.Empty());
-        peers().forEach(peer -> followers.of(peer, leadingSince, clock));
+        leaderClock = now;
+        firstIndexAsLeader = appendAsLeader(new Payload.Empty());
+        peers().forEach(peer -> followers.progressOf(peer, firstIndexAsLeader, leaderClock));
         broadcast(now);
     }
 
@@ -593,29 +613,31 @@
 
     private void onAppendRequest(String from, RaftMessage.AppendRequest request, long now) {
         if (!acceptLeader(from, request.term(), now)) {
-            reply(from, false, log.lastIndex(), request.sentAt());
+            replyAfterWrite(from, false, log.lastIndex(), request.sentAt());
             return;
         }
         if (request.previousIndex() > log.lastIndex()) {
-            reply(from, false, log.lastIndex() + 1, request.sentAt());
+            replyAfterWrite(from, false, log.lastIndex() + 1, request.sentAt());
             return;
         }
-        boolean compared = request.previousIndex() >= log.firstIndex() - 1;
-        if (compared && log.term(request.previousIndex()) != request.previousTerm()) {
-            reply(from, false, firstOfTerm(request.previousIndex()), request.sentAt());
+        boolean comparable = request.previousIndex() >= log.firstIndex() - 1;
+        if (comparable && log.termAt(request.previousIndex()) != request.previousTerm()) {
+            replyAfterWrite(from, false, firstIndexOfTerm(request.previousIndex()), request.sentAt());
             return;
         }
         for (LogEntry entry : request.entries()) {
-            take(entry);
+            acceptEntry(entry);
         }
         long matched = request.previousIndex() + request.entries().size();
         commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), matched));
         if (hardStateDurable) {
-            // Guards against a leader that steps down while disks are slow. Only what is on the disk is acknowledged.
-            immediate.add(new Outbound(from, appendReply(true, Math.min(matched, persistedIndex), request.sentAt())));
+            // Replies without waiting for the write, so that a leader doesn't step down while disks are slow. Only
+            // entries that are already on the disk are acknowledged.
+            immediate.add(
+                    new OutboundMessage(from, appendReply(true, Math.min(matched, persistedIndex), request.sentAt())));
         }
         if (!hardStateDurable || persistedIndex < matched) {
-            reply(from, true, matched, request.sentAt());
+            replyAfterWrite(from, true, matched, request.sentAt());
         }
     }
 
@@ -625,41 +647,41 @@
         }
         role = Role.FOLLOWER;
         leader = from;
-        heardLeader = true;
-        heardFromLeaderAt = now;
+        leaderSeen = true;
+        leaderContactAt = now;
         scheduleElection(now);
         return true;
     }
 
-    private void take(LogEntry entry) {
+    private void acceptEntry(LogEntry entry) {
         if (entry.index() < log.firstIndex()) {
             return;
         }
         if (entry.index() <= log.lastIndex()) {
-            if (log.term(entry.index()) == entry.term()) {
+            if (log.termAt(entry.index()) == entry.term()) {
                 return;
             }
             if (entry.index() <= commitIndex) {
-                throw new IllegalStateException("a committed entry would be replaced at " + entry.index());
+                throw new IllegalStateException("leader sent another entry for the committed index " + entry.index());
             }
             log.truncateFrom(entry.index());
-            unwritten.removeIf(pending -> pending.index() >= entry.index());
+            unwrittenEntries.removeIf(pending -> pending.index() >= entry.index());
             persistedIndex = Math.min(persistedIndex, entry.index() - 1);
         }
         log.append(entry);
-        unwritten.add(entry);
+        unwrittenEntries.add(entry);
     }
 
-    private long firstOfTerm(long index) {
+    private long firstIndexOfTerm(long index) {
         long first = index;
-        while (first > log.firstIndex() && first > commitIndex + 1 && log.term(first - 1) == log.term(index)) {
+        while (first > log.firstIndex() && first > commitIndex + 1 && log.termAt(first - 1) == log.termAt(index)) {
             first--;
         }
         return first;
     }
 
-    private void reply(String to, boolean matched, long index, long sentAt) {
-        afterWrite.add(new Outbound(to, appendReply(matched, index, sentAt)));
+    private void replyAfterWrite(String to, boolean matched, long index, long sentAt) {
+        afterWrite.add(new OutboundMessage(to, appendReply(matched, index, sentAt)));
     }
 
     private RaftMessage appendReply(boolean matched, long index, long sentAt) {
@@ -670,53 +692,55 @@
         if (role != Role.LEADER || reply.term() != hardState.term()) {
             return;
         }
-        clock = now;
+        leaderClock = now;
         Progress state = progressOf(from);
-        state.answeredSentAt = Math.max(state.answeredSentAt, reply.sentAt());
+        state.acknowledgedSendTime = Math.max(state.acknowledgedSendTime, reply.sentAt());
         if (reply.matched()) {
             state.matchIndex = Math.max(state.matchIndex, reply.index());
             state.nextIndex = Math.max(state.nextIndex, state.matchIndex + 1);
-            state.pendingSince = state.nextIndex > state.matchIndex + 1 ? now : 0;
-            advanceCommit();
+            state.unacknowledgedSince = state.nextIndex > state.matchIndex + 1 ? now : 0;
+            advanceCommitIndex();
         } else {
             state.nextIndex = Math.max(state.matchIndex + 1, Math.min(reply.index(), log.lastIndex() + 1));
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
     }
 
     private void onSnapshotRequest(String from, RaftMessage.SnapshotRequest request, long now) {
         if (!acceptLeader(from, request.term(), now)) {
-            snapshotReply(from, request, 0, false);
+            replyToSnapshotAfterWrite(from, request, 0, false);
             return;
         }
         if (request.lastIndex() <= commitIndex) {
-            snapshotReply(from, request, 0, true);
+            replyToSnapshotAfterWrite(from, request, 0, true);
             return;
         }
-        if (!assembly.isFor(request)) {
-            assembly = new SnapshotAssembly(request.term(), request.lastIndex(), request.lastTerm());
+        if (!incomingSnapshot.matches(request)) {
+            incomingSnapshot = new SnapshotAssembly(request.term(), request.lastIndex(), request.lastTerm());
         }
-        boolean complete = assembly.add(request);
+        boolean complete = incomingSnapshot.add(request);
         if (complete) {
-            install(new Snapshot(request.lastIndex(), request.lastTerm(), request.configuration(), assembly.bytes()));
-            assembly = new SnapshotAssembly(0, 0, 0);
+            install(new Snapshot(
+                    request.lastIndex(), request.lastTerm(), request.configuration(), incomingSnapshot.bytes()));
+            incomingSnapshot = new SnapshotAssembly(0, 0, 0);
         }
-        snapshotReply(from, request, assembly.size(), complete);
+        replyToSnapshotAfterWrite(from, request, incomingSnapshot.size(), complete);
     }
 
     private void install(Snapshot snapshot) {
         log.install(snapshot);
-        unwritten.removeIf(entry -> entry.index() <= snapshot.lastIndex() || entry.index() > log.lastIndex());
-        // Until the snapshot is written, the disk may hold other entries than it behind the committed ones.
+        unwrittenEntries.removeIf(entry -> entry.index() <= snapshot.lastIndex() || entry.index() > log.lastIndex());
+        // Until the snapshot is written, entries on the disk after the committed ones may differ from it.
         persistedIndex = Math.min(persistedIndex, commitIndex);
         commitIndex = snapshot.lastIndex();
         appliedIndex = snapshot.lastIndex();
         unwrittenSnapshot = Optional.of(snapshot);
-        installed = Optional.of(snapshot);
+        installedSnapshot = Optional.of(snapshot);
     }
 
-    private void snapshotReply(String to, RaftMessage.SnapshotRequest request, long offset, boolean complete) {
-        afterWrite.add(new Outbound(
+    private void replyToSnapshotAfterWrite(
+            String to, RaftMessage.SnapshotRequest request, long offset, boolean complete) {
+        afterWrite.add(new OutboundMessage(
                 to,
                 new RaftMessage.SnapshotReply(
                         hardState.term(), request.lastIndex(), offset, complete, request.sentAt())));
@@ -726,53 +750,55 @@
         if (role != Role.LEADER || reply.term() != hardState.term()) {
             return;
         }
-        clock = now;
+        leaderClock = now;
         Progress state = progressOf(from);
-        state.answeredSentAt = Math.max(state.answeredSentAt, reply.sentAt());
+        state.acknowledgedSendTime = Math.max(state.acknowledgedSendTime, reply.sentAt());
         if (reply.installed()) {
             state.matchIndex = Math.max(state.matchIndex, reply.lastIndex());
             state.nextIndex = Math.max(state.nextIndex, state.matchIndex + 1);
-            state.sending = Optional.empty();
-            state.pendingSince = 0;
-            advanceCommit();
-        } else if (state.sending.isPresent() && state.sending.get().lastIndex() == reply.lastIndex()) {
+            state.snapshotInTransfer = Optional.empty();
+            state.unacknowledgedSince = 0;
+            advanceCommitIndex();
+        } else if (state.snapshotInTransfer.isPresent()
+                && state.snapshotInTransfer.get().lastIndex() == reply.lastIndex()) {
             state.snapshotOffset = reply.nextOffset();
-            state.pendingSince = 0;
+            state.unacknowledgedSince = 0;
         }
     }
 
-    private void onTimeoutNow(RaftMessage.TimeoutNow order, long now) {
-        if (order.term() == hardState.term() && log.configuration().voters().contains(self)) {
+    private void onTimeoutNow(RaftMessage.TimeoutNow timeoutNow, long now) {
+        if (timeoutNow.term() == hardState.term()
+                && log.configuration().voters().contains(self)) {
             campaign(false, true, now);
         }
     }
 
-    private void advanceCommit() {
-        long candidate = followers.storedByQuorum(log.configuration(), persistedIndex);
-        // Entries of earlier terms are never committed by counting replicas (section 5.4.2 of the paper).
-        if (candidate > commitIndex && log.term(candidate) == hardState.term()) {
+    private void advanceCommitIndex() {
+        long candidate = followers.quorumMatchIndex(log.configuration(), persistedIndex);
+        // Entries of earlier terms are never committed by counting replicas (section 5.4.2 of the Raft paper).
+        if (candidate > commitIndex && log.termAt(candidate) == hardState.term()) {
             commitIndex = candidate;
         }
     }
 
-    private long quorumAnsweredSentAt() {
-        return followers.answeredByQuorum(log.configuration());
+    private long quorumAcknowledgedSendTime() {
+        return followers.quorumAcknowledgedSendTime(log.configuration());
     }
 
     private long leaseEnd() {
-        long answered = quorumAnsweredSentAt();
+        long answered = quorumAcknowledgedSendTime();
         return answered == Long.MAX_VALUE ? Long.MAX_VALUE : answered + options.leaseMillis();
     }
 
-    private long appendOwn(Payload payload) {
+    private long appendAsLeader(Payload payload) {
         LogEntry entry = new LogEntry(log.lastIndex() + 1, hardState.term(), payload);
         log.append(entry);
-        unwritten.add(entry);
+        unwrittenEntries.add(entry);
         return entry.index();
     }
 
     private Progress progressOf(String replica) {
-        return followers.of(replica, log.lastIndex() + 1, clock);
+        return followers.progressOf(replica, log.lastIndex() + 1, leaderClock);
     }
 
     private void setHardState(HardState changed) {
@@ -782,31 +808,34 @@
     }
 
     /**
-     * Lets the time to an election begin when a vote is on the disk, as nobody has it before.
+     * Restarts the election timeout once a vote or a new term is durable, as the messages that depend on it are only
+     * sent then.
      *
-     * <p>Guards against a group that elects no leader while its disks are slow: each replica would seek the next election
-     * before the votes of the last one were written.
+     * <p>Otherwise replicas with slow disks could never elect a leader: each would start the next election before the
+     * votes of the previous one were written.
      */
     private void onHardStateDurable(long now) {
         hardStateDurable = true;
         if (role == Role.CANDIDATE) {
-            awaitVotes(now);
+            scheduleElectionAfterVoteWrites(now);
         } else if (role != Role.LEADER) {
             scheduleElection(now);
         }
     }
 
-    /** Leaves the voters the time to write their votes, and what they are writing before them. */
-    private void awaitVotes(long now) {
-        scheduleElection(now + 2 * writeTime.millis());
+    /** Schedules the next election, allowing for voters to write their votes and the batches queued before them. */
+    private void scheduleElectionAfterVoteWrites(long now) {
+        scheduleElection(now + 2 * writeTimeEstimate.millis());
     }
 
     private void scheduleElection(long now) {
-        // A replica that has heard no leader since it started seeks elections sooner: where the whole group has
-        // restarted there is no leader to wait for, and where there is one the promise that comes before a vote is
-        // refused. That one heartbeat ends an outage sooner than two is not shown: votes split more often.
-        boolean alone = options.leaseMillis() == 0 && !heardLeader;
-        long least = alone ? FIRST_HEARTBEATS * options.heartbeatMillis() : options.electionTimeoutMillis();
-        electionDueAt = now + least + random.nextLong(Math.max(1, alone ? 2 * least : least));
+        // A replica that has seen no leader since it started begins an election early. If all replicas have restarted,
+        // there is no leader to wait for; if there is a leader, the pre-vote is refused. One heartbeat rather than two
+        // starts the election sooner but splits votes more often, so that it may not shorten an outage.
+        boolean noLeaderSeen = options.leaseMillis() == 0 && !leaderSeen;
+        long shortest = noLeaderSeen
+                ? INITIAL_ELECTION_TIMEOUT_HEARTBEATS * options.heartbeatMillis()
+                : options.electionTimeoutMillis();
+        electionDueAt = now + shortest + random.nextLong(Math.max(1, noLeaderSeen ? 2 * shortest : shortest));
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/SnapshotAssembly.java
@@ -3,13 +3,14 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Collects the parts of one snapshot in order; a part that doesn't fit on the end is ignored and asked for again.
+ * Assembles a snapshot from its chunks in order. A chunk at another offset is ignored; the reply states the offset that
+ * the leader has to send from.
  */
 final class SnapshotAssembly {
     private final long leaderTerm;
     private final long lastIndex;
     private final long lastTerm;
-    private final ByteArrayOutputStream collected = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream content = new ByteArrayOutputStream();
 
     SnapshotAssembly(long leaderTerm, long lastIndex, long lastTerm) {
         this.leaderTerm = leaderTerm;
@@ -17,25 +18,25 @@
         this.lastTerm = lastTerm;
     }
 
-    /** Returns whether a part continues this snapshot; another leader may have encoded the same state differently. */
-    boolean isFor(RaftMessage.SnapshotRequest request) {
+    /** Returns whether a chunk belongs to this snapshot; another leader may have encoded the same state differently. */
+    boolean matches(RaftMessage.SnapshotRequest request) {
         return leaderTerm == request.term() && lastIndex == request.lastIndex() && lastTerm == request.lastTerm();
     }
 
-    /** Adds a part; returns whether the snapshot is now whole. */
+    /** Adds a chunk; returns whether the snapshot is now complete. */
     boolean add(RaftMessage.SnapshotRequest request) {
-        if (request.offset() != collected.size()) {
+        if (request.offset() != content.size()) {
             return false;
         }
-        collected.writeBytes(request.part());
+        content.writeBytes(request.chunk());
         return request.last();
     }
 
     long size() {
-        return collected.size();
+        return content.size();
     }
 
     byte[] bytes() {
-        return collected.toByteArray();
+        return content.toByteArray();
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -20,21 +20,24 @@
 import org.radishspur.model.table.TablesValidator;
 
 /**
- * Applies edits to the tables and remembers the answers, so that a resent edit gets its first answer again.
+ * Applies edits to the tables and stores the answers, so that an edit that is sent again gets its original answer.
  */
 public final class TablesState {
-    /** How many answers are remembered; the users' target makes 29,000 changes a day. */
-    static final int REMEMBERED_ANSWERS = 60_000;
+    /** The number of answers to keep, which covers two days at the required rate of 29,000 changes a day. */
+    static final int MAXIMUM_STORED_ANSWERS = 60_000;
 
-    private static final long SHORTEST_MOVE_MILLIS = 60_000;
-    private static final int REMEMBERED_REVISIONS = 2_000;
+    /** The shortest time in which a route can move to another version, as that version is evaluated first. */
+    private static final long MINIMUM_MOVE_MILLIS = 60_000;
+
+    /** The number of revisions whose changes are kept for deltas. */
+    private static final int MAXIMUM_STORED_REVISIONS = 2_000;
 
     private Tables tables = Tables.EMPTY;
-    private final LinkedHashMap<String, Remembered> answers = new LinkedHashMap<>();
-    private final Deque<Change> history = new ArrayDeque<>();
+    private final LinkedHashMap<String, AnsweredEdit> answers = new LinkedHashMap<>();
+    private final Deque<ChangedRows> history = new ArrayDeque<>();
 
     /**
-     * Creates empty tables.
+     * Creates a state with empty tables.
      */
     public TablesState() {}
 
@@ -45,31 +48,31 @@
     }
 
     /**
-     * Applies an edit, unless it was answered before.
+     * Applies an edit, or returns the stored answer where the edit was answered before.
      *
      * @param edit the edit.
      * @param now the proposer's wall clock, in milliseconds since the epoch.
-     * @return the answer, the same for every resend.
+     * @return the answer, which is the same each time that the edit is sent.
      */
     public EditAnswer apply(TableEdit edit, long now) {
         int digest = Json.INSTANCE.write(edit).hashCode();
-        Remembered remembered = answers.get(edit.changeId());
-        if (remembered != null) {
-            return remembered.digest() == digest
-                    ? remembered.answer()
+        AnsweredEdit stored = answers.get(edit.changeId());
+        if (stored != null) {
+            return stored.digest() == digest
+                    ? stored.answer()
                     : new EditAnswer.Invalid(
                             List.of(new TableFault("changeId", "was used for another edit: " + edit.changeId())));
         }
-        EditAnswer answer = decide(edit, now);
-        answers.put(edit.changeId(), new Remembered(edit.changeId(), digest, answer));
-        if (answers.size() > REMEMBERED_ANSWERS) {
+        EditAnswer answer = validateAndApply(edit, now);
+        answers.put(edit.changeId(), new AnsweredEdit(edit.changeId(), digest, answer));
+        if (answers.size() > MAXIMUM_STORED_ANSWERS) {
             answers.remove(answers.keySet().iterator().next());
         }
         return answer;
     }
 
     /**
-     * Returns the tables as they stand.
+     * Returns the current tables.
      *
      * @return the tables.
      */
@@ -78,19 +81,20 @@
     }
 
     /**
-     * Makes what a copy needs to catch up.
+     * Returns the delta that brings a copy of the tables up to date.
      *
      * @param revision the revision of the copy.
-     * @return the changes since then, or the whole tables where they are not remembered that far back.
+     * @return the changes since that revision, or the complete tables where some of these changes aren't stored any
+     *     more.
      */
     public TablesDelta since(long revision) {
         boolean covered = !history.isEmpty() && history.peekFirst().revision() <= revision + 1;
         if (revision <= 0 || revision > tables.revision() || !covered) {
-            return TablesDelta.whole(tables);
+            return TablesDelta.ofAll(tables);
         }
         Set<String> routes = new TreeSet<>();
         Set<String> pools = new TreeSet<>();
-        for (Change change : history) {
+        for (ChangedRows change : history) {
             if (change.revision() > revision) {
                 routes.addAll(change.routes());
                 pools.addAll(change.pools());
@@ -100,7 +104,7 @@
     }
 
     /**
-     * Copies the state for a snapshot.
+     * Returns a copy of the state for a snapshot.
      *
      * @return the copy.
      */
@@ -128,7 +132,7 @@
                 removedPools);
     }
 
-    private EditAnswer decide(TableEdit edit, long now) {
+    private EditAnswer validateAndApply(TableEdit edit, long now) {
         Tables changed = tables;
         long revision = tables.revision() + 1;
         if (edit.changes().isEmpty()) {
@@ -141,29 +145,29 @@
             changed = change.applyTo(changed, revision);
         }
         List<TableFault> faults = new ArrayList<>(TablesValidator.INSTANCE.validate(changed));
-        faults.addAll(unreachableTimes(edit, now));
+        faults.addAll(tooEarlyCompletionTimes(edit, now));
         if (!faults.isEmpty()) {
             return new EditAnswer.Invalid(faults);
         }
         tables = new Tables(revision, changed.routes(), changed.pools());
-        remember(revision, edit);
+        recordChangedRows(revision, edit);
         return new EditAnswer.Accepted(revision);
     }
 
-    /** Finds routes that are to be on another version by a time that leaves no room for a look at that version. */
-    private List<TableFault> unreachableTimes(TableEdit edit, long now) {
+    /** Finds routes whose completion time leaves too little time to evaluate the version that they move to. */
+    private List<TableFault> tooEarlyCompletionTimes(TableEdit edit, long now) {
         List<TableFault> faults = new ArrayList<>();
         for (RowChange change : edit.changes()) {
             if (change instanceof RowChange.PutRoute put) {
                 Revisioned<RouteRow> old = tables.routes().get(put.row().name());
-                boolean moves = old != null
+                boolean versionOrTimeChanged = old != null
                         && (!old.row().version().equals(put.row().version())
                                 || old.row().completeByMillis() != put.row().completeByMillis());
-                long by = put.row().completeByMillis();
-                if (moves && by > 0 && by < now + SHORTEST_MOVE_MILLIS) {
+                long completionTime = put.row().completeByMillis();
+                if (versionOrTimeChanged && completionTime > 0 && completionTime < now + MINIMUM_MOVE_MILLIS) {
                     faults.add(new TableFault(
                             "routes." + put.row().name() + ".completeByMillis",
-                            "must be at least " + SHORTEST_MOVE_MILLIS + " ms from now"));
+                            "must be at least " + MINIMUM_MOVE_MILLIS + " ms from now"));
                 }
             }
         }
@@ -181,14 +185,14 @@
                 row == null ? "" : Json.INSTANCE.write(row));
     }
 
-    private void remember(long revision, TableEdit edit) {
+    private void recordChangedRows(long revision, TableEdit edit) {
         Set<String> routes = new TreeSet<>();
         Set<String> pools = new TreeSet<>();
         for (RowChange change : edit.changes()) {
             (isRoute(change) ? routes : pools).add(change.rowName());
         }
-        history.addLast(new Change(revision, routes, pools));
-        if (history.size() > REMEMBERED_REVISIONS) {
+        history.addLast(new ChangedRows(revision, routes, pools));
+        if (history.size() > MAXIMUM_STORED_REVISIONS) {
             history.removeFirst();
         }
     }
@@ -198,36 +202,36 @@
     }
 
     /**
-     * Remembers the answer to one edit.
+     * Holds the answer to one edit.
      *
      * @param changeId the identity of the edit.
-     * @param digest a digest of the edit, which a resend must share.
+     * @param digest a digest of the edit; an edit with the same identity and another digest is refused.
      * @param answer the answer.
      */
-    public record Remembered(String changeId, int digest, EditAnswer answer) {}
+    public record AnsweredEdit(String changeId, int digest, EditAnswer answer) {}
 
     /**
-     * Remembers which rows one revision changed.
+     * Lists the rows that one revision changed.
      *
      * @param revision the revision.
-     * @param routes the names of the routes.
-     * @param pools the names of the pools.
+     * @param routes the names of the changed or deleted routes.
+     * @param pools the names of the changed or deleted pools.
      */
-    public record Change(long revision, Set<String> routes, Set<String> pools) {}
+    public record ChangedRows(long revision, Set<String> routes, Set<String> pools) {}
 
     /**
-     * Holds the state for a snapshot.
+     * Holds a copy of the state for a snapshot.
      *
      * @param tables the tables.
-     * @param answers the remembered answers, the oldest first.
-     * @param history the remembered changes, the oldest first.
+     * @param answers the stored answers, oldest first.
+     * @param history the stored changes, oldest first.
      */
-    public record Image(Tables tables, List<Remembered> answers, List<Change> history) {}
+    public record Image(Tables tables, List<AnsweredEdit> answers, List<ChangedRows> history) {}
 
     /**
-     * Returns the answers that are remembered, by change.
+     * Returns the stored answers to edits.
      *
-     * @return the number of remembered answers.
+     * @return the answers by the identity of the edit, oldest first.
      */
     public Map<String, EditAnswer> rememberedAnswers() {
         Map<String, EditAnswer> copy = new LinkedHashMap<>();
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -14,21 +14,23 @@
 
 class RaftCoreTest {
     private static final RaftOptions OPTIONS = new RaftOptions(50, 300, 220, 16, 1_000, 10);
-    private static final Configuration THREE = Configuration.ofVoters(Set.of("a", "b", "c"));
+    private static final Configuration THREE_VOTERS = Configuration.ofVoters(Set.of("a", "b", "c"));
     private static final long START = 10_000;
+
+    /** A time when an election is due and leases from before the start have expired, in milliseconds. */
     private static final long LATER = START + 700;
 
     private static RaftCore core(HardState hardState, List<LogEntry> entries) {
         return new RaftCore(
-                OPTIONS, "a", new Recovered(hardState, Snapshot.initial(THREE), entries), new Random(1), START);
+                OPTIONS, "a", new Recovered(hardState, Snapshot.initial(THREE_VOTERS), entries), new Random(1), START);
     }
 
     private static LogEntry entry(long index, long term) {
         return new LogEntry(index, term, new Payload.Command(new byte[] {(byte) index}));
     }
 
-    /** Makes the core the leader of the next term, with the votes of all. */
-    private static RaftCore leader(HardState hardState, List<LogEntry> entries) {
+    /** Returns a core that was elected leader of the next term with the votes of "a" and "b". */
+    private static RaftCore electedLeader(HardState hardState, List<LogEntry> entries) {
         RaftCore core = core(hardState, entries);
         core.tick(LATER);
         core.drain();
@@ -39,7 +41,7 @@
         return core;
     }
 
-    private static RaftMessage.AppendReply stored(RaftCore core, long index, long sentAt) {
+    private static RaftMessage.AppendReply acknowledgement(RaftCore core, long index, long sentAt) {
         return new RaftMessage.AppendReply(core.term(), true, index, sentAt);
     }
 
@@ -47,7 +49,7 @@
     class Voting {
         private final RaftMessage request = new RaftMessage.VoteRequest(6, false, false, 0, 0);
 
-        /** Guards against a failure in which an edit that was accepted is gone after two control hosts restarted. */
+        /** Guards against a second vote in the same term after a restart, which can lose an accepted edit. */
         @Test
         void aVoteIsWrittenBeforeItIsSent() {
             RaftCore core = core(new HardState(5, ""), List.of());
@@ -56,7 +58,7 @@
             assertThat(effects.write().hardState()).isEqualTo(Optional.of(new HardState(6, "b")));
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, true)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, true)));
         }
 
         @Test
@@ -64,10 +66,10 @@
             RaftCore core = core(new HardState(6, "c"), List.of());
             core.receive("b", request, LATER);
             assertThat(core.drain().afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, false)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
 
-        /** Guards against a failure in which an operator reads an old row from a leader that was cut off. */
+        /** Guards against stale reads from a leader that is cut off but whose lease is still valid. */
         @Test
         void aReplicaThatHasJustRestartedGivesNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
@@ -90,7 +92,7 @@
             RaftCore core = core(new HardState(5, ""), List.of(entry(1, 5)));
             core.receive("b", request, LATER);
             assertThat(core.drain().afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.VoteReply(6, false, false)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
     }
 
@@ -98,68 +100,74 @@
     class Acknowledging {
         private final RaftCore follower = core(new HardState(5, ""), List.of(entry(1, 4), entry(2, 4), entry(3, 4)));
 
-        private List<RaftMessage> answersToHeartbeat(long previousIndex, long previousTerm) {
+        private List<RaftMessage> immediateRepliesToHeartbeat(long previousIndex, long previousTerm) {
             follower.receive(
                     "b", new RaftMessage.AppendRequest(5, previousIndex, previousTerm, List.of(), 0, LATER), LATER);
             return follower.drain().immediate().stream()
-                    .map(Effects.Outbound::message)
+                    .map(Effects.OutboundMessage::message)
                     .toList();
         }
 
         @Test
         void aHeartbeatIsAnsweredWithoutWaitingForTheDisk() {
-            assertThat(answersToHeartbeat(3, 4)).containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
+            assertThat(immediateRepliesToHeartbeat(3, 4))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
         }
 
-        /** Guards against an accepted edit that is gone, as a follower acknowledged what it was still writing. */
+        /** Guards against the loss of an accepted edit that a follower acknowledged before it was durable. */
         @Test
-        void whatIsStillBeingWrittenIsNotAcknowledged() {
+        void anEntryThatIsStillBeingWrittenIsNotAcknowledged() {
             follower.receive("b", new RaftMessage.AppendRequest(5, 3, 4, List.of(entry(4, 5)), 0, LATER), LATER);
             WriteBatch batch = follower.drain().write();
-            assertThat(answersToHeartbeat(4, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
+            assertThat(immediateRepliesToHeartbeat(4, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
             follower.persisted(batch, LATER, LATER);
-            assertThat(answersToHeartbeat(4, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
+            assertThat(immediateRepliesToHeartbeat(4, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
         }
 
-        /** Guards against a replica that forgets after a restart which leader it has followed. */
+        /** Guards against a replica that acknowledges a new leader and has lost its term after a restart. */
         @Test
-        void nothingIsAcknowledgedBeforeTheTermIsOnTheDisk() {
+        void aHeartbeatOfANewTermIsNotAcknowledgedBeforeTheTermIsOnDisk() {
             follower.receive("b", new RaftMessage.AppendRequest(6, 3, 4, List.of(), 0, LATER), LATER);
             Effects effects = follower.drain();
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
-                    .containsExactly(new Effects.Outbound("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
+                    .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
         }
 
-        /** Guards against a learner that votes before the snapshot it has received is on its disk. */
+        /** Guards against a learner that is promoted before the snapshot that it received is durable. */
         @Test
         void aSnapshotThatIsNotWrittenIsNotAcknowledged() {
-            follower.receive("b", new RaftMessage.SnapshotRequest(5, 2, 5, THREE, 0, new byte[1], true, LATER), LATER);
+            follower.receive(
+                    "b", new RaftMessage.SnapshotRequest(5, 2, 5, THREE_VOTERS, 0, new byte[1], true, LATER), LATER);
             WriteBatch batch = follower.drain().write();
-            assertThat(answersToHeartbeat(2, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 0, LATER));
+            assertThat(immediateRepliesToHeartbeat(2, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 0, LATER));
             follower.persisted(batch, LATER, LATER);
-            assertThat(answersToHeartbeat(2, 5)).containsExactly(new RaftMessage.AppendReply(5, true, 2, LATER));
+            assertThat(immediateRepliesToHeartbeat(2, 5))
+                    .containsExactly(new RaftMessage.AppendReply(5, true, 2, LATER));
         }
     }
 
     @Nested
     class Committing {
-        /** Guards against a failure in which an accepted edit is replaced by another one. */
+        /** Guards against the replacement of a committed entry after a change of leaders. */
         @Test
         void anEntryOfAnEarlierTermIsNotCommittedByCounting() {
-            RaftCore core = leader(new HardState(2, ""), List.of(entry(1, 2)));
+            RaftCore core = electedLeader(new HardState(2, ""), List.of(entry(1, 2)));
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
-            core.receive("b", stored(core, 2, LATER), LATER);
+            core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.commitIndex()).isEqualTo(2);
         }
 
         @Test
         void aLeaderDoesNotCountItselfBeforeItsOwnDiskHasTheEntry() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             WriteBatch batch = core.drain().write();
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
             core.persisted(batch, LATER, LATER);
             assertThat(core.commitIndex()).isEqualTo(1);
@@ -169,10 +177,10 @@
     @Nested
     class Reading {
         @Test
-        void aLeaderThatNobodyAnswersStopsReadingBeforeAnotherCanBeElected() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aLeaderWithoutRepliesStopsReadingBeforeAnotherCanBeElected() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             core.drain();
             assertThat(core.mayRead(LATER + 1)).isTrue();
             assertThat(core.mayRead(LATER + OPTIONS.leaseMillis())).isFalse();
@@ -180,10 +188,10 @@
         }
 
         @Test
-        void aLeaderThatHandsOverReadsNoMore() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aLeaderThatTransfersLeadershipServesNoReads() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
             core.drain();
             assertThat(core.transferLeadership()).isTrue();
             assertThat(core.mayRead(LATER + 1)).isFalse();
@@ -193,127 +201,128 @@
 
     @Nested
     class ChangingReplicas {
-        private final Configuration four = THREE.withLearner("d", "c");
+        private final Configuration withReplacement = THREE_VOTERS.withLearner("d", "c");
 
-        /** Guards against a failure in which two leaders accept edits at the same time after repairs. */
+        /** Guards against two leaders with separate quorums after several replicas were replaced. */
         @Test
-        void aSecondChangeWaitsForTheFirst() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aChangeIsRefusedWhileAnotherIsUncommitted() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
-            assertThat(core.proposeConfiguration(four)).isPresent();
-            assertThat(core.proposeConfiguration(four.withPromoted("d"))).isEmpty();
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
+            assertThat(core.proposeConfiguration(withReplacement)).isPresent();
+            assertThat(core.proposeConfiguration(withReplacement.withPromoted("d")))
+                    .isEmpty();
         }
 
         @Test
-        void aNewLeaderFirstCommitsAnEntryOfItsOwn() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void aNewLeaderRefusesChangesUntilItCommitsAnEntryOfItsTerm() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            assertThat(core.proposeConfiguration(four)).isEmpty();
+            assertThat(core.proposeConfiguration(withReplacement)).isEmpty();
         }
 
         @Test
-        void aBlankReplicaIsNotCaughtUp() {
-            RaftCore core = leader(HardState.INITIAL, List.of());
+        void anEmptyReplicaIsNotCaughtUp() {
+            RaftCore core = electedLeader(HardState.INITIAL, List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER);
-            core.proposeConfiguration(four);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER);
+            core.proposeConfiguration(withReplacement);
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 2, LATER), LATER);
+            core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isFalse();
-            core.receive("d", stored(core, 2, LATER), LATER);
+            core.receive("d", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isTrue();
         }
 
         @Test
         void aPromotionMarksTheReplacedVoterAsRetiring() {
-            Configuration promoted = four.withPromoted("d");
+            Configuration promoted = withReplacement.withPromoted("d");
             assertThat(promoted.voters()).containsExactly("a", "b", "c", "d");
             assertThat(promoted.retiring()).containsExactly("c");
             assertThat(promoted.without("c")).isEqualTo(new Configuration(Set.of("a", "b", "d"), Map.of(), Set.of()));
         }
 
         @Test
-        void aBlankReplicaNeverSeeksAnElection() {
-            RaftCore blank = new RaftCore(
+        void anEmptyReplicaNeverStartsAnElection() {
+            RaftCore empty = new RaftCore(
                     OPTIONS,
                     "d",
                     new Recovered(HardState.INITIAL, Snapshot.initial(Configuration.ofVoters(Set.of())), List.of()),
                     new Random(1),
                     START);
-            blank.tick(LATER + 10_000);
-            assertThat(blank.role()).isEqualTo(Role.FOLLOWER);
-            assertThat(blank.drain().afterWrite()).isEmpty();
+            empty.tick(LATER + 10_000);
+            assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
+            assertThat(empty.drain().afterWrite()).isEmpty();
         }
     }
 
     @Nested
     class ConfirmedReads {
-        /** Guards against a failure in which an operator reads a table that another leader has replaced. */
+        /** Guards against stale reads from a leader that was suspended while another one was elected. */
         @Test
-        void anAnswerToAnEarlierMessageConfirmsNothing() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aReplyToAnEarlierMessageDoesNotConfirmLeadership() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER), LATER + 1);
+            core.receive("b", acknowledgement(core, 1, LATER), LATER + 1);
             core.drain();
             assertThat(core.confirmedSince(LATER - 1)).isTrue();
             assertThat(core.confirmedSince(LATER)).isFalse();
         }
 
         @Test
-        void anAnswerToALaterMessageConfirms() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aReplyToALaterMessageConfirmsLeadership() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.persisted(core.drain().write(), LATER, LATER);
-            core.receive("b", stored(core, 1, LATER + 50), LATER + 51);
+            core.receive("b", acknowledgement(core, 1, LATER + 50), LATER + 51);
             core.drain();
             assertThat(core.confirmedSince(LATER + 49)).isTrue();
         }
 
         @Test
-        void aLeaderThatHasCommittedNothingInItsTermConfirmsNothing() {
-            RaftCore core = leader(new HardState(1, ""), List.of());
+        void aLeaderWithoutACommitInItsTermIsNotConfirmed() {
+            RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.receive("b", new RaftMessage.AppendReply(core.term(), true, 0, LATER + 50), LATER + 51);
             assertThat(core.confirmedSince(LATER)).isFalse();
         }
     }
 
     @Nested
-    class RestartOfAWholeGroup {
-        private final RaftOptions leaseless = new RaftOptions(50, 300, 0, 16, 1_000, 10);
+    class RestartOfAllReplicas {
+        private final RaftOptions withoutLease = new RaftOptions(50, 300, 0, 16, 1_000, 10);
 
-        private RaftCore restarted(String name) {
+        private RaftCore restartedReplica(String name) {
             return new RaftCore(
-                    leaseless,
+                    withoutLease,
                     name,
-                    new Recovered(new HardState(4, ""), Snapshot.initial(THREE), List.of()),
+                    new Recovered(new HardState(4, ""), Snapshot.initial(THREE_VOTERS), List.of()),
                     new Random(1),
                     START);
         }
 
-        /** Guards against a failure in which after a loss of power nothing is served for a second longer. */
+        /** Guards against split votes after a power failure, which delay the first election by a second. */
         @Test
-        void oneOfTwoThatAskAtOnceYields() {
-            RaftCore higher = restarted("b");
-            higher.tick(START + 350);
-            assertThat(higher.role()).isEqualTo(Role.PRE_CANDIDATE);
-            higher.receive("a", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
-            assertThat(higher.role()).isEqualTo(Role.FOLLOWER);
-            RaftCore lower = restarted("a");
-            lower.tick(START + 350);
-            lower.receive("b", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
-            assertThat(lower.role()).isEqualTo(Role.PRE_CANDIDATE);
+        void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtOnce() {
+            RaftCore higherIdentity = restartedReplica("b");
+            higherIdentity.tick(START + 350);
+            assertThat(higherIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
+            higherIdentity.receive("a", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
+            assertThat(higherIdentity.role()).isEqualTo(Role.FOLLOWER);
+            RaftCore lowerIdentity = restartedReplica("a");
+            lowerIdentity.tick(START + 350);
+            lowerIdentity.receive("b", new RaftMessage.VoteRequest(5, true, false, 0, 0), START + 351);
+            assertThat(lowerIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
         }
 
         @Test
-        void theFirstElectionIsSoughtSoonWhereNoLeaseCountsOnSilence() {
-            RaftCore core = restarted("a");
+        void theFirstElectionStartsEarlyWithoutALease() {
+            RaftCore core = restartedReplica("a");
             core.tick(START + 300);
             assertThat(core.role()).isEqualTo(Role.PRE_CANDIDATE);
         }
 
         @Test
-        void aReplicaThatHasHeardALeaderWaitsForItAsUsual() {
-            RaftCore core = restarted("a");
+        void aReplicaWithALeaderWaitsForTheFullElectionTimeout() {
+            RaftCore core = restartedReplica("a");
             core.receive("b", new RaftMessage.AppendRequest(4, 0, 0, List.of(), 0, 1), START + 10);
             core.tick(START + 300);
             assertThat(core.role()).isEqualTo(Role.FOLLOWER);
--- a/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
@@ -13,13 +13,13 @@
     @Nested
     class Publishing {
         @Test
-        void takesAHigherRevision() {
+        void acceptsAHigherRevision() {
             state.publish(new Document(3, "three"));
             state.publish(new Document(9, "nine"));
             assertThat(state.document()).isEqualTo(new Document(9, "nine"));
         }
 
-        /** An answer was lost, and the operator sends an older change again after a newer one: nothing goes back. */
+        /** Guards against the return of an old document when an operator retries it after a newer one was published. */
         @Test
         void ignoresAnOlderRevisionThatArrivesAgain() {
             state.publish(new Document(9, "nine"));
@@ -27,7 +27,7 @@
             assertThat(state.document().revision()).isEqualTo(9);
         }
 
-        /** Two operators use one revision for different content: the first one stands. */
+        /** Guards against replicas with different documents when two operators use the same revision. */
         @Test
         void ignoresOtherContentUnderTheSameRevision() {
             state.publish(new Document(9, "nine"));
@@ -39,9 +39,9 @@
     @Nested
     class RollingOut {
         @Test
-        void startsTheSameOrderOnce() {
-            state.start("pool", "v2", 12_000, 100);
-            state.start("pool", "v2", 12_000, 900);
+        void startsTheSameRolloutOnce() {
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.startRollout("pool", "v2", 12_000, 900);
             assertThat(state.rollout("pool")).get().satisfies(rollout -> {
                 assertThat(rollout.startedAtMillis()).isEqualTo(100);
                 assertThat(rollout.stage()).isEqualTo(RolloutStage.RUNNING);
@@ -50,27 +50,27 @@
 
         @Test
         void neverLeavesAFinalStage() {
-            state.start("pool", "v2", 12_000, 100);
-            state.advance("pool", "v2", RolloutStage.ROLLED_BACK);
-            state.advance("pool", "v2", RolloutStage.COMPLETED);
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.advanceRollout("pool", "v2", RolloutStage.ROLLED_BACK);
+            state.advanceRollout("pool", "v2", RolloutStage.COMPLETED);
             assertThat(state.rollout("pool").orElseThrow().stage()).isEqualTo(RolloutStage.ROLLED_BACK);
         }
 
-        /** A leader that was cut off proposes the end of a rollout whose place another one has taken. */
+        /** Guards against a delayed command of an earlier leader that ends the rollout that replaced its own. */
         @Test
         void ignoresTheEndOfARolloutThatWasReplaced() {
-            state.start("pool", "v2", 12_000, 100);
-            state.start("pool", "v3", 12_000, 200);
-            state.advance("pool", "v2", RolloutStage.COMPLETED);
+            state.startRollout("pool", "v2", 12_000, 100);
+            state.startRollout("pool", "v3", 12_000, 200);
+            state.advanceRollout("pool", "v2", RolloutStage.COMPLETED);
             assertThat(state.rollout("pool").orElseThrow().stage()).isEqualTo(RolloutStage.RUNNING);
         }
     }
 
     @Nested
     class Evacuating {
-        /** Guards against an order that is refused because it was sent again after its answer was lost. */
+        /** Guards against a failure when an operator retries a command whose answer was lost. */
         @Test
-        void takesTheSameOrderTwice() {
+        void acceptsTheSameCommandTwice() {
             state.evacuate("a");
             state.evacuate("a");
             assertThat(state.evacuated()).containsExactly("a");
@@ -79,9 +79,9 @@
             assertThat(state.evacuated()).isEmpty();
         }
 
-        /** Guards against one order that undoes another where two failure domains are emptied at once. */
+        /** Guards against a readmission that affects another failure domain evacuated at the same time. */
         @Test
-        void keepsFailureDomainsApart() {
+        void readmitsOnlyTheNamedFailureDomain() {
             state.evacuate("a");
             state.evacuate("b");
             state.readmit("a");
@@ -89,19 +89,19 @@
         }
     }
 
-    /** Guards against an acknowledged evacuation that is lost with the log entries that a snapshot replaces. */
+    /** Guards against the loss of an acknowledged evacuation when its log entry is replaced by a snapshot. */
     @Test
     void keepsEvacuationsInASnapshot() {
-        ControlState whole = new ControlState(StateOptions.STANDARD);
-        whole.apply(new ControlCommand.EvacuateDomain("a", 1));
-        whole.apply(new ControlCommand.EvacuateDomain("b", 2));
-        whole.apply(new ControlCommand.ReadmitDomain("a", 3));
+        ControlState original = new ControlState(StateOptions.STANDARD);
+        original.apply(new ControlCommand.EvacuateDomain("a", 1));
+        original.apply(new ControlCommand.EvacuateDomain("b", 2));
+        original.apply(new ControlCommand.ReadmitDomain("a", 3));
         ControlState restored = new ControlState(StateOptions.STANDARD);
-        restored.restore(whole.image().encode());
+        restored.restore(original.image().encode());
         assertThat(restored.catalogue().evacuated()).containsExactly("b");
     }
 
-    /** Guards against a replica that can't start on the snapshot of a version without evacuations. */
+    /** Guards against a replica that can't start from a snapshot written by a version without evacuations. */
     @Test
     void readsAnImageWithoutEvacuations() {
         assertThat(new CatalogueState.Image(Document.NONE, java.util.List.of(), null).evacuated())
@@ -109,13 +109,14 @@
     }
 
     @Test
-    void survivesASnapshot() {
-        ControlState whole = new ControlState(StateOptions.STANDARD);
-        whole.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
-        whole.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
+    void keepsTheDocumentAndTheRolloutsInASnapshot() {
+        ControlState original = new ControlState(StateOptions.STANDARD);
+        original.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
+        original.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
         ControlState restored = new ControlState(StateOptions.STANDARD);
-        restored.restore(whole.image().encode());
+        restored.restore(original.image().encode());
         assertThat(restored.catalogue().document()).isEqualTo(new Document(4, "four"));
-        assertThat(restored.catalogue().rollouts()).isEqualTo(whole.catalogue().rollouts());
+        assertThat(restored.catalogue().rollouts())
+                .isEqualTo(original.catalogue().rollouts());
     }
 }
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -27,32 +27,33 @@
 
 class MoveTableTest {
     private static final long NOW = 1_000_000;
-    private static final long HOUR = 3_600_000;
+    private static final long HOUR_MILLIS = 3_600_000;
 
     private final ControlState state = new ControlState(StateOptions.STANDARD);
-    private int edits;
+    private int editCount;
 
     private static UpstreamRow upstream(String version) {
         return new UpstreamRow("runs-" + version, "127.0.0.1:1", "domain", "hardware", false, version);
     }
 
-    private EditAnswer put(String version, long completeBy, long now) {
-        var present = state.tables().tables().routes().get("route");
+    private EditAnswer putRoute(String version, long completeBy, long now) {
+        var current = state.tables().tables().routes().get("route");
         RouteRow row = new RouteRow(
                 "route", List.of(), "/", "pool", true, false, Tier.LOW, Tier.LOW, 1, 1, 1, version, completeBy);
-        RowChange change = new RowChange.PutRoute(row, present == null ? 0 : present.revision());
-        var answer = state.apply(new ControlCommand.ApplyEdit(new TableEdit("edit-" + edits++, List.of(change)), now));
+        RowChange change = new RowChange.PutRoute(row, current == null ? 0 : current.revision());
+        var answer =
+                state.apply(new ControlCommand.ApplyEdit(new TableEdit("edit-" + editCount++, List.of(change)), now));
         return ((ControlAnswer.OfEdit) answer).answer();
     }
 
-    private void start() {
+    private void createRoute() {
         PoolRow pool = new PoolRow(
                 "pool", PoolKind.SERVICE, List.of(upstream("1"), upstream("2"), upstream("3")), 1, 1, Map.of());
         state.apply(new ControlCommand.ApplyEdit(new TableEdit("pool", List.of(new RowChange.PutPool(pool, 0))), NOW));
-        put("1", 0, NOW);
+        putRoute("1", 0, NOW);
     }
 
-    private Move move() {
+    private Move latestMove() {
         return state.moves().latest().get("route");
     }
 
@@ -67,73 +68,73 @@
 
     @Test
     void anEditOfTheVersionBeginsAMove() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        assertThat(move()).isEqualTo(Move.begin(3, "route", "1", "2", NOW, NOW + HOUR));
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove()).isEqualTo(Move.begin(3, "route", "1", "2", NOW, NOW + HOUR_MILLIS));
         assertThat(split()).isEqualTo(new VersionSplit(3, "1", "2", MoveStage.FIRST.share()));
     }
 
     @Test
-    void aTimeThatCannotBeMetIsRefusedWithTheEdit() {
-        start();
-        assertThat(put("2", NOW + 1, NOW)).isInstanceOf(EditAnswer.Invalid.class);
-        assertThat(move()).isNull();
+    void anEditWithTooEarlyACompletionTimeIsInvalid() {
+        createRoute();
+        assertThat(putRoute("2", NOW + 1, NOW)).isInstanceOf(EditAnswer.Invalid.class);
+        assertThat(latestMove()).isNull();
     }
 
     @Test
-    void aVersionThatNoUpstreamRunsIsRefusedWithTheEdit() {
-        start();
-        assertThat(put("9", NOW + HOUR, NOW)).isInstanceOf(EditAnswer.Invalid.class);
+    void anEditToAVersionThatNoUpstreamRunsIsInvalid() {
+        createRoute();
+        assertThat(putRoute("9", NOW + HOUR_MILLIS, NOW)).isInstanceOf(EditAnswer.Invalid.class);
     }
 
     @Test
-    void askingForTheOldVersionTakesTheMoveBack() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        put("1", 0, NOW);
-        assertThat(move().state()).isEqualTo(MoveState.TAKEN_BACK);
-        assertThat(move().reason()).isEqualTo(TakeBackReason.BY_OPERATOR);
+    void anEditToTheOldVersionTakesTheMoveBack() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        putRoute("1", 0, NOW);
+        assertThat(latestMove().state()).isEqualTo(MoveState.TAKEN_BACK);
+        assertThat(latestMove().reason()).isEqualTo(TakeBackReason.BY_OPERATOR);
         assertThat(split().share()).isZero();
     }
 
     @Test
-    void askingForYetAnotherVersionStartsFromTheOneInUse() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        put("3", NOW + HOUR, NOW);
-        assertThat(move().from()).isEqualTo("1");
-        assertThat(move().to()).isEqualTo("3");
+    void anEditToAThirdVersionStartsFromTheCurrentOne() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        putRoute("3", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove().from()).isEqualTo("1");
+        assertThat(latestMove().to()).isEqualTo("3");
         assertThat(state.moves().ended()).extracting(Move::reason).containsExactly(TakeBackReason.SUPERSEDED);
     }
 
     @Test
-    void aCompletedMoveCanBeTurnedRoundByANewOne() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        propose(move(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
-        propose(move(), MoveState.DONE, MoveStage.ALL, TakeBackReason.NONE);
-        put("1", NOW + HOUR, NOW);
-        assertThat(move().from()).isEqualTo("2");
-        assertThat(move().to()).isEqualTo("1");
+    void aCompletedMoveCanBeReversedByANewOne() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        propose(latestMove(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
+        propose(latestMove(), MoveState.DONE, MoveStage.ALL, TakeBackReason.NONE);
+        putRoute("1", NOW + HOUR_MILLIS, NOW);
+        assertThat(latestMove().from()).isEqualTo("2");
+        assertThat(latestMove().to()).isEqualTo("1");
     }
 
     @Test
-    void anotherTimeHastensAMoveWithoutStartingItAnew() {
-        start();
-        put("2", NOW + HOUR, NOW);
-        propose(move(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
-        put("2", NOW + HOUR / 2, NOW);
-        assertThat(move().stage()).isEqualTo(MoveStage.SMALL);
-        assertThat(move().completeBy()).isEqualTo(NOW + HOUR / 2);
+    void anotherCompletionTimeDoesNotRestartAMove() {
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        propose(latestMove(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
+        putRoute("2", NOW + HOUR_MILLIS / 2, NOW);
+        assertThat(latestMove().stage()).isEqualTo(MoveStage.SMALL);
+        assertThat(latestMove().completeBy()).isEqualTo(NOW + HOUR_MILLIS / 2);
     }
 
-    /** Guards against a failure in which a version that was taken back at night gets requests again. */
+    /** Guards against requests to a version whose move was taken back, caused by delayed proposals or a snapshot. */
     @Property(seed = "99", tries = 200, shrinking = ShrinkingMode.OFF)
-    void aMoveThatWasTakenBackStaysSo(@ForAll long seed) {
+    void aMoveThatWasTakenBackNeverChangesAgain(@ForAll long seed) {
         Random random = new Random(seed);
-        start();
-        put("2", NOW + HOUR, NOW);
-        List<Move> seen = new java.util.ArrayList<>(List.of(move()));
+        createRoute();
+        putRoute("2", NOW + HOUR_MILLIS, NOW);
+        List<Move> seen = new java.util.ArrayList<>(List.of(latestMove()));
         boolean takenBack = false;
         for (int step = 0; step < 60; step++) {
             Move stale = seen.get(random.nextInt(seen.size()));
@@ -143,12 +144,12 @@
             if (random.nextInt(5) == 0) {
                 state.restore(state.image().encode());
             }
-            Move now = move();
+            Move now = latestMove();
             assertThat(!takenBack || now.state() == MoveState.TAKEN_BACK).isTrue();
             assertThat(now.share()).isLessThanOrEqualTo(takenBack ? 0 : 1);
-            boolean both = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
+            boolean doneAndTakenBack = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
                     && now.state() == MoveState.TAKEN_BACK;
-            assertThat(both).as("done and taken back").isFalse();
+            assertThat(doneAndTakenBack).as("done and taken back").isFalse();
             takenBack |= now.state() == MoveState.TAKEN_BACK;
             seen.add(now);
         }
--- a/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void aSuspectThatRanToItsEndIsCleared() {
+    void aSuspectThatFinishesIsCleared() {
         report("x", "crash-1", 0);
         table.clear(new ControlCommand.ClearSuspect("pool", "x", 1));
         assertThat(table.crashes("pool")).isEmpty();
     }
 
     @Test
-    void aSuspectIsForgottenAfterItsTime() {
+    void aSuspectIsForgottenAfterTheRetentionTime() {
         report("x", "crash-1", 0);
         report("y", "crash-2", 1_000);
         assertThat(table.crashes("pool")).containsOnlyKeys("y");
