--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -32,34 +32,34 @@
  */
 final class CallerExchange implements UpstreamSlot.Listener {
     /** The part of a route's target time that a request may wait for a place; the rest is for the answer. */
-    private static final double FRESH_WAIT = 0.5;
+    private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
     /** The part of its remaining time that a request may wait that can't be on time any more. */
-    private static final double LATE_WAIT = 0.4;
+    private static final double RETRY_WAIT_SHARE = 0.4;
 
     /**
      * The part of its time that a request waits for the catalogue to be confirmed; a caller that is sent away sooner spends
      * its only retry on coming back too soon.
      */
-    private static final double CONFIRMATION_WAIT = 0.2;
+    private static final double CONFIRMATION_WAIT_SHARE = 0.2;
 
     /**
      * The longest time that a request waits for a place, in milliseconds. Callers of streams hang up after some two seconds
      * without an event; the rest is for the upstream's first one.
      */
-    private static final long LONGEST_WAIT_MILLIS = 1_200;
+    private static final long MAX_WAIT_MILLIS = 1_200;
 
     /** The time a caller has that states none, in milliseconds, where its route's timeout doesn't end it sooner. */
-    private static final long UNSTATED_DEADLINE_MILLIS = 30_000;
+    private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
 
     /** To how many upstreams a request is offered at most that none has run; each offer takes a way there and back. */
-    private static final int MOST_OFFERS = 4;
+    private static final int MAX_SLOT_REQUESTS = 4;
 
     /** With less time than this left another upstream isn't tried, in milliseconds. */
-    private static final long LEAST_RETRY_MILLIS = 60;
+    private static final long MIN_RETRY_MILLIS = 60;
 
     private final EntryServices services;
-    private final CallerAnswer answer;
+    private final CallerResponse response;
     private final HttpRequest request;
     private final long arrivedAt;
     private final ExchangeLog log;
@@ -70,40 +70,40 @@
     private Optional<OrganisationRule> organisation = Optional.empty();
     private String poolName = "";
     private int organisationRank;
-    private boolean late;
-    private boolean bodyWhole;
+    private boolean callerRetry;
+    private boolean bodyComplete;
     private boolean counted;
     private boolean done;
-    private long endsAt;
-    private int offers;
-    private int runs;
+    private long deadlineAt;
+    private int slotRequests;
+    private int possibleRuns;
     private UpstreamSlot slot;
     private UpstreamAttempt attempt;
     private ConfirmedView viewAtGrant = ConfirmedView.NOTHING;
     private ScheduledFuture<?> timer;
-    private boolean firstSeen;
+    private boolean firstByteReceived;
     private long firstMillis;
     private EventSplitter splitter;
 
     CallerExchange(
             EntryServices services, FrontConnection connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
-        this.answer = new CallerAnswer(services, connection, context, request);
+        this.response = new CallerResponse(services, connection, context, request);
         this.request = request;
         this.arrivedAt = EntryServices.now();
         this.log = new ExchangeLog(services, this);
     }
 
     void begin() {
-        services.began();
+        services.requestStarted();
         counted = true;
         if (HttpUtil.is100ContinueExpected(request)) {
-            answer.writeContinue();
+            response.writeContinue();
         }
     }
 
-    boolean isBodyWhole() {
-        return bodyWhole;
+    boolean isBodyComplete() {
+        return bodyComplete;
     }
 
     void onBody(HttpContent content) {
@@ -113,25 +113,25 @@
             }
             if (body.readableBytes() + content.content().readableBytes()
                     > services.limits().bodyBytes()) {
-                bodyWhole = true;
+                bodyComplete = true;
                 refuse(EndReason.BODY_TOO_LARGE, 0, true);
                 return;
             }
             body.writeBytes(content.content());
             if (content instanceof LastHttpContent) {
-                bodyWhole = true;
+                bodyComplete = true;
                 // Guards against work for callers who have left: after a stall, a request and the close behind it
                 // wait in the socket together. The connection is closed before this task runs, since the front reads
                 // to the end of what has come.
-                services.loop().execute(this::proceed);
+                services.loop().execute(this::handleRequest);
             }
         } finally {
             content.release();
         }
     }
 
-    private void proceed() {
-        if (done || !answer.isOpen()) {
+    private void handleRequest() {
+        if (done || !response.isOpen()) {
             return;
         }
         head = services.dialect().read(request);
@@ -139,9 +139,9 @@
             refuse(EndReason.MALFORMED, 0, false);
             return;
         }
-        long stated = head.deadlineMillis() > 0 ? head.deadlineMillis() : UNSTATED_DEADLINE_MILLIS;
-        endsAt = arrivedAt + stated;
-        if (services.isCurrent()) {
+        long stated = head.deadlineMillis() > 0 ? head.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
+        deadlineAt = arrivedAt + stated;
+        if (services.isConfirmed()) {
             route(stated);
         } else {
             awaitConfirmation(stated);
@@ -153,10 +153,10 @@
      * a second, and a caller that is sent away at once spends its only retry on coming back too soon.
      */
     private void awaitConfirmation(long stated) {
-        long wait = Math.min(LONGEST_WAIT_MILLIS, (long) (stated * CONFIRMATION_WAIT));
+        long wait = Math.min(MAX_WAIT_MILLIS, (long) (stated * CONFIRMATION_WAIT_SHARE));
         timer = services.loop()
                 .schedule(() -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false), wait, TimeUnit.MILLISECONDS);
-        services.awaits(this, () -> {
+        services.awaitConfirmation(this, () -> {
             timer.cancel(false);
             route(stated);
         });
@@ -175,58 +175,58 @@
             refuse(EndReason.KEY_UNKNOWN, 0, false);
             return;
         }
-        endsAt = Math.min(endsAt, arrivedAt + route.timeoutMillis());
-        late = services.isReturning(route.name(), stated);
+        deadlineAt = Math.min(deadlineAt, arrivedAt + route.timeoutMillis());
+        callerRetry = services.isCallerRetry(route.name(), stated);
         timer = services.loop()
-                .schedule(this::onTimeout, Math.max(1, endsAt - EntryServices.now()), TimeUnit.MILLISECONDS);
-        seekSlot();
+                .schedule(this::onDeadline, Math.max(1, deadlineAt - EntryServices.now()), TimeUnit.MILLISECONDS);
+        requestFirstSlot();
     }
 
-    private void seekSlot() {
+    private void requestFirstSlot() {
         poolName = route.choosePool(ThreadLocalRandom.current().nextDouble());
-        services.budget(poolName).requested();
+        services.retryBudget(poolName).requested();
         organisationRank = organisation
                 .map(OrganisationRule::priority)
                 .filter(priority -> priority >= 0)
                 .orElse(0);
-        double wait = late || route.targetLatencyMillis() <= 0
-                ? (endsAt - arrivedAt) * LATE_WAIT
-                : route.targetLatencyMillis() * FRESH_WAIT;
+        double wait = callerRetry || route.targetLatencyMillis() <= 0
+                ? (deadlineAt - arrivedAt) * RETRY_WAIT_SHARE
+                : route.targetLatencyMillis() * FIRST_TRY_WAIT_SHARE;
         splitter = new EventSplitter(head.resumeAfter());
-        ask(arrivedAt + (long) wait, true);
+        requestSlot(arrivedAt + (long) wait, true);
     }
 
-    private void ask(long waitUntil, boolean mayTry) {
-        offers++;
+    private void requestSlot(long waitUntil, boolean mayTry) {
+        slotRequests++;
         long now = EntryServices.now();
-        long wait = Math.min(LONGEST_WAIT_MILLIS, Math.min(waitUntil, endsAt) - now);
+        long wait = Math.min(MAX_WAIT_MILLIS, Math.min(waitUntil, deadlineAt) - now);
         List<String> avoided = new ArrayList<>(services.slots().unreachable(poolName, now));
         if (attempt != null) {
             avoided.add(attempt.upstream().run());
         }
         attempt = null;
-        slot = services.slots().request(slotRequest(Math.max(0, wait), mayTry, avoided, now), this, now);
+        slot = services.slots().request(buildSlotRequest(Math.max(0, wait), mayTry, avoided, now), this, now);
         services.slots().send(slot, now);
-        services.watch();
+        services.scheduleCheck();
     }
 
-    private SlotRequest slotRequest(long waitMillis, boolean mayTry, List<String> avoided, long now) {
+    private SlotRequest buildSlotRequest(long waitMillis, boolean mayTry, List<String> avoided, long now) {
         // The target counts from the caller's first try, which a retry has behind it.
-        long target = late
+        long target = callerRetry
                 ? 0
-                : route.targetLatencyMillis() > 0 ? arrivedAt + route.targetLatencyMillis() - now : endsAt - now;
+                : route.targetLatencyMillis() > 0 ? arrivedAt + route.targetLatencyMillis() - now : deadlineAt - now;
         return new SlotRequest(
                 poolName,
                 services.failureDomain(),
                 organisation.map(OrganisationRule::name).orElse(""),
-                runs == 0 ? quotaCost() : 0,
+                possibleRuns == 0 ? quotaCost() : 0,
                 organisationRank,
-                late,
+                callerRetry,
                 mayTry,
                 waitMillis,
                 Math.max(0, target),
-                endsAt - now,
-                work(),
+                deadlineAt - now,
+                buildWork(),
                 avoided);
     }
 
@@ -236,7 +236,7 @@
                 .orElse(0.0);
     }
 
-    private SlotRequest.Work work() {
+    private SlotRequest.Work buildWork() {
         boolean generates = route.kind() == RequestKind.STREAM;
         return new SlotRequest.Work(
                 head.promptTokens(),
@@ -256,7 +256,7 @@
     @Override
     public void onRejected(SlotReply.Rejected rejected) {
         slot = null;
-        if (runs > 0) {
+        if (possibleRuns > 0) {
             fail(EndReason.UPSTREAM_FAILED, "no other upstream has a slot");
             return;
         }
@@ -264,46 +264,46 @@
         long retryAfterMillis = spreadRetryAfter(rejected.retryMillis());
         log.refused(reason, retryAfterMillis, rejected.waiting(), rejected.slots());
         release();
-        answer.writeOwn(reason, retryAfterMillis, false);
+        response.writeError(reason, retryAfterMillis, false);
     }
 
     /** Returns when a caller should retry for whom there may be room after a time, apart from others like it. */
     private long spreadRetryAfter(long roomAfter) {
         double draw = ThreadLocalRandom.current().nextDouble();
-        return RetryAfterPolicy.INSTANCE.spread(endsAt - EntryServices.now(), roomAfter, draw);
+        return RetryAfterPolicy.INSTANCE.spread(deadlineAt - EntryServices.now(), roomAfter, draw);
     }
 
     private long latestRetryAfter() {
-        return RetryAfterPolicy.INSTANCE.latest(endsAt - EntryServices.now());
+        return RetryAfterPolicy.INSTANCE.latest(deadlineAt - EntryServices.now());
     }
 
     /** {@inheritDoc} */
     @Override
     public void onGranted(UpstreamSlot granted) {
         slot = null;
-        if (!services.isCurrent() || !stillAllowed()) {
+        if (!services.isConfirmed() || !isStillAllowed()) {
             // Guards against a pause of the whole process between the check on arrival and this moment.
             granted.end(SlotOutcome.UNUSED);
             refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
             return;
         }
-        services.metrics().waited(EntryServices.now() - arrivedAt);
+        services.metrics().recordSlotWait(EntryServices.now() - arrivedAt);
         viewAtGrant = services.view();
         attempt = new UpstreamAttempt(this, services, granted);
-        services.runs(this);
+        services.addRunning(this);
         attempt.start();
     }
 
     /** Returns whether what is in force now still lets the request go to the upstream that it was granted. */
     boolean mayStillBeSent(UpstreamLoad upstream) {
         boolean unchanged = services.view().saysTheSame(viewAtGrant);
-        return services.isCurrent()
-                && (unchanged || stillAllowed() && services.slots().mayUse(upstream));
+        return services.isConfirmed()
+                && (unchanged || isStillAllowed() && services.slots().mayUse(upstream));
     }
 
     /** Learns that the request was not sent, because what is in force has changed since its slot was granted. */
     void onOutdated() {
-        if (services.isCurrent() && stillAllowed()) {
+        if (services.isConfirmed() && isStillAllowed()) {
             onNotRun("outdated", false);
         } else {
             refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
@@ -311,7 +311,7 @@
     }
 
     /** Returns whether the catalogue in force now still lets this caller's request go to its pool. */
-    private boolean stillAllowed() {
+    private boolean isStillAllowed() {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         boolean routed = catalogue
                 .match(head.host(), head.path())
@@ -328,109 +328,109 @@
     }
 
     /** Looks whether an answer has stopped coming that another upstream may give as well. */
-    void look(long now) {
-        if (!done && attempt != null && mayRunAgain() && attempt.isSilent(now)) {
-            attempt.giveUp();
-            onBroken("silence");
+    void checkSilence(long now) {
+        if (!done && attempt != null && isRetryAllowed() && attempt.isSilent(now)) {
+            attempt.abandon();
+            onAttemptFailed("silence");
         }
     }
 
-    private boolean mayRunAgain() {
+    private boolean isRetryAllowed() {
         return route.mayRepeat()
-                && runs < route.maximumUpstreams()
-                && (route.kind() == RequestKind.STREAM || !answer.isHeadWritten())
-                && endsAt - EntryServices.now() > LEAST_RETRY_MILLIS;
+                && possibleRuns < route.maximumUpstreams()
+                && (route.kind() == RequestKind.STREAM || !response.isHeadWritten())
+                && deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS;
     }
 
     /** Learns that the request is on its way, so that from now on it may run. */
     void onSent() {
-        runs++;
+        possibleRuns++;
     }
 
     /** Learns that the upstream has provably not run the request. */
     void onNotRun(String reason, boolean arrived) {
-        runs -= arrived ? 1 : 0;
-        boolean allowed = runs == 0 ? endsAt - EntryServices.now() > LEAST_RETRY_MILLIS : mayRunAgain();
+        possibleRuns -= arrived ? 1 : 0;
+        boolean allowed = possibleRuns == 0 ? deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS : isRetryAllowed();
         if (allowed
-                && offers < MOST_OFFERS
-                && (!arrived || services.budget(poolName).take())) {
-            again(reason);
+                && slotRequests < MAX_SLOT_REQUESTS
+                && (!arrived || services.retryBudget(poolName).take())) {
+            retry(reason);
         } else {
             refuse(EndReason.NOT_TAKEN, latestRetryAfter(), false);
         }
     }
 
     /** Learns that the upstream has failed in a way that leaves open whether the request has run. */
-    void onBroken(String reason) {
-        if (mayRunAgain() && services.budget(poolName).take()) {
-            splitter.restart();
-            again(reason);
+    void onAttemptFailed(String reason) {
+        if (isRetryAllowed() && services.retryBudget(poolName).take()) {
+            splitter.discardPartial();
+            retry(reason);
         } else {
             fail(EndReason.UPSTREAM_FAILED, reason);
         }
     }
 
     /** Returns whether a failure that the upstream answers with should be tried elsewhere instead. */
-    boolean triesElsewhere() {
-        return !answer.isHeadWritten()
-                && mayRunAgain()
-                && services.budget(poolName).take();
+    boolean tryTakeRetry() {
+        return !response.isHeadWritten()
+                && isRetryAllowed()
+                && services.retryBudget(poolName).take();
     }
 
     /** Sends the request to another upstream. */
-    void again(String reason) {
-        log.retried(reason, upstreamName(), offers);
-        long left = endsAt - EntryServices.now();
-        ask(EntryServices.now() + (long) (left * LATE_WAIT), false);
+    void retry(String reason) {
+        log.retried(reason, upstreamName(), slotRequests);
+        long left = deadlineAt - EntryServices.now();
+        requestSlot(EntryServices.now() + (long) (left * RETRY_WAIT_SHARE), false);
     }
 
-    private void onTimeout() {
+    private void onDeadline() {
         if (done) {
             return;
         }
-        if (attempt != null || runs > 0) {
+        if (attempt != null || possibleRuns > 0) {
             fail(EndReason.TIMEOUT, "timeout");
         } else {
             refuse(EndReason.EXPIRED, 0, false);
         }
     }
 
-    void onCallerGone() {
+    void onCallerDisconnected() {
         if (done) {
             return;
         }
-        log.left(upstreamName());
+        log.disconnected(upstreamName());
         release();
     }
 
     void onCallerWritable() {
-        if (attempt != null && answer.isWritable()) {
+        if (attempt != null && response.isWritable()) {
             attempt.read();
         }
     }
 
     /** Returns what is written to the caller. */
-    CallerAnswer answer() {
-        return answer;
+    CallerResponse response() {
+        return response;
     }
 
     /** Writes a whole answer of the upstream, and ends the request. */
-    void writeWhole(HttpResponse upstreamHead, ByteBuf content) {
-        answer.writeWhole(upstreamHead, content);
+    void writeFull(HttpResponse upstreamHead, ByteBuf content) {
+        response.writeFull(upstreamHead, content);
         release();
-        answer.ended();
+        response.onWritten();
     }
 
     /** Ends an answer that was passed on part by part, and the request with it. */
     void writeEnd() {
-        answer.writeEnd();
+        response.writeEnd();
         release();
-        answer.ended();
+        response.onWritten();
     }
 
-    void noteFirst(long millis) {
-        if (!firstSeen) {
-            firstSeen = true;
+    void recordFirstByte(long millis) {
+        if (!firstByteReceived) {
+            firstByteReceived = true;
             firstMillis = EntryServices.now() - arrivedAt;
         }
     }
@@ -445,25 +445,25 @@
     }
 
     private void refuse(EndReason reason, long retryAfterMillis, boolean close) {
-        if (runs > 0) {
+        if (possibleRuns > 0) {
             // A refusal says that nothing has run, which would not be true here.
             fail(EndReason.UPSTREAM_FAILED, reason.code());
             return;
         }
         log.refused(reason, retryAfterMillis, 0, 0);
         release();
-        answer.writeOwn(reason, retryAfterMillis, close);
+        response.writeError(reason, retryAfterMillis, close);
     }
 
     private void fail(EndReason reason, String cause) {
         log.failed(reason, upstreamName(), cause);
         release();
-        if (answer.isHeadWritten()) {
+        if (response.isHeadWritten()) {
             // The answer has begun: an end that does not look complete is all that can still be said.
-            answer.breakOff();
+            response.abort();
             return;
         }
-        answer.writeOwn(reason, 0, false);
+        response.writeError(reason, 0, false);
     }
 
     /** Gives everything back that the request holds. */
@@ -472,20 +472,20 @@
             return;
         }
         done = true;
-        services.awaitsNoMore(this);
+        services.stopAwaitingConfirmation(this);
         if (timer != null) {
             timer.cancel(false);
         }
         if (slot != null) {
-            slot.withdraw();
+            slot.cancel();
         }
         if (attempt != null) {
-            attempt.giveUp();
+            attempt.abandon();
         }
-        services.runsNoMore(this);
+        services.removeRunning(this);
         body.release();
         if (counted) {
-            services.ended();
+            services.requestEnded();
         }
     }
 
@@ -493,7 +493,7 @@
         return request;
     }
 
-    ByteBuf bodyCopy() {
+    ByteBuf retainedBody() {
         return body.retainedDuplicate();
     }
 
@@ -513,8 +513,8 @@
         return splitter;
     }
 
-    long millisLeft() {
-        return Math.max(1, endsAt - EntryServices.now());
+    long remainingMillis() {
+        return Math.max(1, deadlineAt - EntryServices.now());
     }
 
     long arrivedAt() {
@@ -526,7 +526,7 @@
     }
 
     /** Returns whether the caller retries after a refusal. */
-    boolean isReturning() {
-        return late;
+    boolean isCallerRetry() {
+        return callerRetry;
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/CallerAnswer.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerResponse.java
@@ -19,15 +19,15 @@
 /**
  * Writes the one answer to a request, an upstream's or our own, and closes the connection behind it where that is due.
  */
-final class CallerAnswer {
+final class CallerResponse {
     private final EntryServices services;
     private final FrontConnection connection;
     private final ChannelHandlerContext context;
     private final HttpRequest request;
     private boolean headWritten;
-    private boolean keeps = true;
+    private boolean keepAlive = true;
 
-    CallerAnswer(
+    CallerResponse(
             EntryServices services, FrontConnection connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
         this.connection = connection;
@@ -65,7 +65,7 @@
             response.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
             HttpUtil.setTransferEncodingChunked(response, true);
         }
-        HttpUtil.setKeepAlive(response, keepsConnection());
+        HttpUtil.setKeepAlive(response, isKeepAlive());
         context.write(response);
     }
 
@@ -83,48 +83,48 @@
     }
 
     /** Writes a whole answer of the upstream. */
-    void writeWhole(HttpResponse upstreamHead, ByteBuf content) {
+    void writeFull(HttpResponse upstreamHead, ByteBuf content) {
         headWritten = true;
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, upstreamHead.status(), content);
         UpstreamHeaders.INSTANCE.copyEndToEnd(upstreamHead.headers(), response.headers());
         HttpUtil.setContentLength(response, content.readableBytes());
-        HttpUtil.setKeepAlive(response, keepsConnection());
-        writeLast(response, keepsConnection());
+        HttpUtil.setKeepAlive(response, isKeepAlive());
+        writeLast(response, isKeepAlive());
     }
 
     /** Ends an answer that was passed on part by part. */
     void writeEnd() {
-        writeLast(LastHttpContent.EMPTY_LAST_CONTENT, keepsConnection());
+        writeLast(LastHttpContent.EMPTY_LAST_CONTENT, isKeepAlive());
     }
 
     /** Writes an answer of our own, after which the next request on the connection may begin. */
-    void writeOwn(EndReason reason, long retryAfterMillis, boolean close) {
-        FullHttpResponse response = AnswerHead.of(reason, retryAfterMillis);
-        boolean keep = keepsConnection() && !close;
+    void writeError(EndReason reason, long retryAfterMillis, boolean close) {
+        FullHttpResponse response = ErrorResponses.of(reason, retryAfterMillis);
+        boolean keep = isKeepAlive() && !close;
         HttpUtil.setKeepAlive(response, keep);
         writeLast(response, keep);
-        ended();
+        onWritten();
     }
 
     /** Closes the connection in the middle of an answer, so that it can't look complete. */
-    void breakOff() {
+    void abort() {
         context.close();
     }
 
     /** Lets the next request on the connection begin. */
-    void ended() {
-        connection.ended(context, !keeps);
+    void onWritten() {
+        connection.onResponseWritten(context, !keepAlive);
     }
 
     private void writeLast(Object last, boolean keep) {
-        keeps = keep;
+        keepAlive = keep;
         var written = context.writeAndFlush(last);
         if (!keep) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private boolean keepsConnection() {
+    private boolean isKeepAlive() {
         return HttpUtil.isKeepAlive(request) && !services.isStopping();
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
@@ -10,36 +10,36 @@
  */
 final class EntryMetrics {
     private final MetricRegistry registry = new MetricRegistry();
-    private final Timer firstByte = registry.timer("answers.first-byte");
-    private final Timer whole = registry.timer("answers.whole");
-    private final Timer waited = registry.timer("requests.waited");
+    private final Timer firstByteTime = registry.timer("answers.first-byte");
+    private final Timer responseTime = registry.timer("answers.whole");
+    private final Timer recordSlotWait = registry.timer("requests.waited");
 
     MetricRegistry registry() {
         return registry;
     }
 
-    void refused(String reason) {
+    void countRefused(String reason) {
         registry.counter("requests.refused." + reason).inc();
     }
 
-    void failed(String reason) {
+    void countFailed(String reason) {
         registry.counter("requests.failed." + reason).inc();
     }
 
-    void retried(String reason) {
+    void countRetried(String reason) {
         registry.counter("requests.retried." + reason).inc();
     }
 
-    void waited(long millis) {
-        waited.update(millis, TimeUnit.MILLISECONDS);
+    void recordSlotWait(long millis) {
+        recordSlotWait.update(millis, TimeUnit.MILLISECONDS);
     }
 
-    void answered(long firstMillis, long millis) {
-        firstByte.update(firstMillis, TimeUnit.MILLISECONDS);
-        whole.update(millis, TimeUnit.MILLISECONDS);
+    void recordAnswered(long firstMillis, long millis) {
+        firstByteTime.update(firstMillis, TimeUnit.MILLISECONDS);
+        responseTime.update(millis, TimeUnit.MILLISECONDS);
     }
 
-    void left() {
+    void countDisconnected() {
         registry.counter("requests.left").inc();
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
@@ -34,31 +34,31 @@
  */
 public final class EntryProcess implements FleetInbox, AutoCloseable {
     /** How often a planned stop looks whether it is done, in milliseconds. */
-    private static final long POLL_MILLIS = 50;
+    private static final long DRAIN_POLL_MILLIS = 50;
 
     /** How long callers may still arrive after the balancer was told, in milliseconds: it asks once a second, twice. */
-    private static final long REROUTE_MILLIS = 2_300;
+    private static final long BALANCER_UPDATE_MILLIS = 2_300;
 
     /** How long before the end of the grace a planned stop ends in any case, in milliseconds. */
     private static final long GRACE_MARGIN_MILLIS = 400;
 
     /** How long a connection to an upstream may take, in milliseconds; the ways take a few. */
-    private static final long CONNECT_MILLIS = 250;
+    private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
     /** How long an idle connection to an upstream is kept, in milliseconds. */
-    private static final long KEEP_MILLIS = 8_000;
+    private static final long MAX_IDLE_MILLIS = 8_000;
 
     private final FleetSettings settings;
     private final EventLog events;
     private final ControlLoop control = new ControlLoop();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop traffic = group.next();
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop traffic = eventLoops.next();
     private final FleetLinks links;
     private final EntryServices services;
     private final ControlFollower follower;
-    private final FrontServer front;
-    private final Supervisor.Scheduler.ForThread scheduler = new Supervisor.Scheduler.ForThread();
-    private final Supervisor root;
+    private final FrontServer frontServer;
+    private final Supervisor.Scheduler.ForThread restartScheduler = new Supervisor.Scheduler.ForThread();
+    private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
 
     /**
@@ -77,7 +77,7 @@
         EntryMetrics metrics = new EntryMetrics();
         VersionCounters tallies = new VersionCounters();
         links = new FleetLinks(traffic, this);
-        UpstreamExchange.Factory exchanges = new UpstreamConnections(traffic, CONNECT_MILLIS, KEEP_MILLIS);
+        UpstreamExchange.Factory exchanges = new UpstreamConnections(traffic, CONNECT_TIMEOUT_MILLIS, MAX_IDLE_MILLIS);
         services = new EntryServices(
                 settings, callers, events, metrics, new EntryServices.Transport(traffic, exchanges, links), tallies);
         metrics.registry().register("requests.in_progress", (Gauge<Integer>) services::inProgress);
@@ -85,20 +85,20 @@
                 () -> services.view().revision());
         follower = new ControlFollower(
                 control, links, operators, events, settings.peerAddress().toString(), tallies, view -> {
-                    if (!services.confirm(view)) {
+                    if (!services.applyConfirmation(view)) {
                         traffic.execute(() -> services.onView(view));
                     }
                 });
-        front = new FrontServer(settings.callerAddress().orElseThrow(), traffic, services);
-        root = new Supervisor("entry", scheduler, control::nowMillis)
+        frontServer = new FrontServer(settings.callerAddress().orElseThrow(), traffic, services);
+        supervisor = new Supervisor("entry", restartScheduler, control::nowMillis)
                 .supervise(
                         "ready-server",
                         () -> new ReadyServer(settings.readyAddress().orElseThrow(), traffic, services))
-                .supervise("front-server", () -> front);
+                .supervise("front-server", () -> frontServer);
         settings.metricsAddress()
-                .ifPresent(address ->
-                        root.supervise("metrics-server", () -> new MetricsServer(address, group, metrics.registry())));
-        root.start(cause -> failed.countDown());
+                .ifPresent(address -> supervisor.supervise(
+                        "metrics-server", () -> new MetricsServer(address, eventLoops, metrics.registry())));
+        supervisor.start(cause -> failed.countDown());
         control.execute(() -> follower.seeds(addresses(settings.seeds())));
         // The first reading loads the JSON parser; an entry that has just started waits for the control leader anyway.
         control.execute(() -> Json.INSTANCE.readTree("{}", ErrorCode.TABLE_INVALID));
@@ -151,12 +151,12 @@
         long beganAt = System.nanoTime();
         long latest = settings.bounds().graceMillis() - GRACE_MARGIN_MILLIS;
         long elapsed = 0;
-        while (elapsed < latest && (elapsed < REROUTE_MILLIS || services.inProgress() > 0)) {
+        while (elapsed < latest && (elapsed < BALANCER_UPDATE_MILLIS || services.inProgress() > 0)) {
             pause();
             elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt);
-            if (elapsed >= REROUTE_MILLIS) {
+            if (elapsed >= BALANCER_UPDATE_MILLIS) {
                 // A request that comes later might not end within the grace; its caller finds another entry.
-                traffic.execute(front::stopTaking);
+                traffic.execute(frontServer::stopAccepting);
             }
         }
         events.emit(EventCode.STOPPED, services.inProgress());
@@ -166,16 +166,16 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        root.close();
-        scheduler.close();
+        supervisor.close();
+        restartScheduler.close();
         links.close();
         control.close();
-        group.shutdownGracefully();
+        eventLoops.shutdownGracefully();
     }
 
     private static void pause() {
         try {
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -31,13 +31,13 @@
      * How much of the time until a revoked key must not work is used up before an unconfirmed entry serves no one, so that
      * the rest covers a request on its way to the upstream.
      */
-    private static final double CONFIRMED_SHARE = 0.8;
+    private static final double SERVING_CONFIRMATION_SHARE = 0.8;
 
     /** An entry that was not confirmed for this share of that time asks the balancer for no more callers. */
-    private static final double READY_SHARE = 0.5;
+    private static final double READY_CONFIRMATION_SHARE = 0.5;
 
     /** How often waiting requests and silent answers are looked after, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final FleetSettings settings;
     private final CallerDialect dialect;
@@ -45,16 +45,16 @@
     private final EntryMetrics metrics;
     private final Transport transport;
     private final SlotClient slots;
-    private final RetryBudgets budgets;
-    private final VersionCounters tallies;
-    private final Map<CallerExchange, Runnable> awaiting = new LinkedHashMap<>();
+    private final RetryBudgets retryBudgets;
+    private final VersionCounters versionCounters;
+    private final Map<CallerExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
     private final Set<CallerExchange> running = new HashSet<>();
-    private final Map<String, Long> longestDeadlines = new HashMap<>();
+    private final Map<String, Long> longestDeadlineMillis = new HashMap<>();
     private volatile ConfirmedView view = ConfirmedView.NOTHING;
-    private volatile boolean someAwait;
+    private volatile boolean confirmationAwaited;
     private volatile boolean stopping;
     private volatile int inProgress;
-    private boolean watching;
+    private boolean checkScheduled;
 
     EntryServices(
             FleetSettings settings,
@@ -68,9 +68,9 @@
         this.events = events;
         this.metrics = metrics;
         this.transport = transport;
-        this.tallies = tallies;
+        this.versionCounters = tallies;
         slots = new SlotClient(settings, transport.schedulers(), events);
-        budgets = new RetryBudgets(
+        retryBudgets = new RetryBudgets(
                 settings.bounds().retryShare(), settings.bounds().retrySlack());
     }
 
@@ -78,8 +78,8 @@
      * Takes over a view that does no more than confirm the present one, on any thread, and returns whether that was all. It saves
      * the traffic thread of an idle entry a wake-up for each confirmation.
      */
-    boolean confirm(ConfirmedView newer) {
-        if (someAwait || !view.saysTheSame(newer)) {
+    boolean applyConfirmation(ConfirmedView newer) {
+        if (confirmationAwaited || !view.saysTheSame(newer)) {
             return false;
         }
         view = newer;
@@ -90,10 +90,10 @@
         boolean same = view.saysTheSame(newer);
         view = newer;
         if (!same) {
-            budgets.entries(newer.entries());
+            retryBudgets.entries(newer.entries());
             slots.onView(newer, now());
         }
-        goOn();
+        resumeAwaiting();
     }
 
     void onReply(String scheduler, FleetMessage.Reply reply) {
@@ -105,32 +105,32 @@
     }
 
     /** Begins to look after requests that wait and answers that have stopped coming, as long as there are any. */
-    void watch() {
-        if (!watching) {
-            watching = true;
-            loop().schedule(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            loop().schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void look() {
-        watching = false;
+    private void check() {
+        checkScheduled = false;
         long now = now();
-        slots.look(now);
+        slots.checkPending(now);
         for (CallerExchange exchange : Set.copyOf(running)) {
-            exchange.look(now);
+            exchange.checkSilence(now);
         }
-        if (slots.isBusy() || !running.isEmpty()) {
-            watch();
+        if (slots.hasPending() || !running.isEmpty()) {
+            scheduleCheck();
         }
     }
 
     /** Returns whether the catalogue was confirmed so lately that it may be acted on. */
-    boolean isCurrent() {
-        return isConfirmedWithin(CONFIRMED_SHARE);
+    boolean isConfirmed() {
+        return isConfirmedWithin(SERVING_CONFIRMATION_SHARE);
     }
 
     boolean isReady() {
-        return !stopping && isConfirmedWithin(READY_SHARE);
+        return !stopping && isConfirmedWithin(READY_CONFIRMATION_SHARE);
     }
 
     private boolean isConfirmedWithin(double share) {
@@ -138,43 +138,43 @@
     }
 
     /** Returns whether a request has a deadline that shows that its caller has spent part of its time already. */
-    boolean isReturning(String route, long deadlineMillis) {
-        long longest = longestDeadlines.merge(route, deadlineMillis, Math::max);
+    boolean isCallerRetry(String route, long deadlineMillis) {
+        long longest = longestDeadlineMillis.merge(route, deadlineMillis, Math::max);
         return RetryAfterPolicy.INSTANCE.isReturning(deadlineMillis, longest);
     }
 
-    void awaits(CallerExchange exchange, Runnable action) {
-        awaiting.put(exchange, action);
-        someAwait = true;
+    void awaitConfirmation(CallerExchange exchange, Runnable action) {
+        awaitingConfirmation.put(exchange, action);
+        confirmationAwaited = true;
     }
 
-    void awaitsNoMore(CallerExchange exchange) {
-        awaiting.remove(exchange);
-        someAwait = !awaiting.isEmpty();
+    void stopAwaitingConfirmation(CallerExchange exchange) {
+        awaitingConfirmation.remove(exchange);
+        confirmationAwaited = !awaitingConfirmation.isEmpty();
     }
 
     /** Lets the requests go on that have waited for a confirmed catalogue. */
-    private void goOn() {
-        if (!awaiting.isEmpty() && isCurrent()) {
-            List<Runnable> actions = List.copyOf(awaiting.values());
-            awaiting.clear();
-            someAwait = false;
+    private void resumeAwaiting() {
+        if (!awaitingConfirmation.isEmpty() && isConfirmed()) {
+            List<Runnable> actions = List.copyOf(awaitingConfirmation.values());
+            awaitingConfirmation.clear();
+            confirmationAwaited = false;
             actions.forEach(Runnable::run);
         }
     }
 
-    void runs(CallerExchange exchange) {
+    void addRunning(CallerExchange exchange) {
         running.add(exchange);
-        watch();
+        scheduleCheck();
     }
 
-    void runsNoMore(CallerExchange exchange) {
+    void removeRunning(CallerExchange exchange) {
         running.remove(exchange);
     }
 
     /** Counts an answer of an upstream for the rollout of its version. */
-    void onAnswer(Upstream upstream, String route, boolean good, double millis) {
-        tallies.add(upstream.pool(), upstream.version(), route, good, millis, 0);
+    void recordResponse(Upstream upstream, String route, boolean good, double millis) {
+        versionCounters.add(upstream.pool(), upstream.version(), route, good, millis, 0);
     }
 
     static long now() {
@@ -217,8 +217,8 @@
         return slots;
     }
 
-    RetryBudget budget(String pool) {
-        return budgets.of(pool);
+    RetryBudget retryBudget(String pool) {
+        return retryBudgets.forPool(pool);
     }
 
     boolean isStopping() {
@@ -229,11 +229,11 @@
         stopping = true;
     }
 
-    void began() {
+    void requestStarted() {
         inProgress++;
     }
 
-    void ended() {
+    void requestEnded() {
         inProgress--;
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/AnswerHead.java
+++ b/node/src/main/java/org/radishspur/node/entry/ErrorResponses.java
@@ -15,14 +15,14 @@
 /**
  * Makes the answers that the system gives by itself.
  */
-final class AnswerHead {
+final class ErrorResponses {
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private AnswerHead() {}
+    private ErrorResponses() {}
 
     /** Makes an answer with a reason, and with the time to retry where that makes sense. */
     static FullHttpResponse of(EndReason reason, long retryAfterMillis) {
-        byte[] body = problem(reason).getBytes(StandardCharsets.UTF_8);
+        byte[] body = problemBody(reason).getBytes(StandardCharsets.UTF_8);
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reason.status()), Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
@@ -44,7 +44,7 @@
      * Makes the body. Codes need no escaping; the general JSON mapper would be loaded at the first refusal of a process, and
      * hold up all streams of that thread.
      */
-    private static String problem(EndReason reason) {
+    private static String problemBody(EndReason reason) {
         return "{\"reason\":\"" + reason.code() + "\",\"notRun\":" + reason.isNotRun() + '}';
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
+++ b/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
@@ -10,12 +10,12 @@
  * that the half one must not have reached the caller.
  */
 final class EventSplitter {
-    private static final byte[] ID = {'i', 'd', ':'};
+    private static final byte[] ID_FIELD = {'i', 'd', ':'};
 
     private final ByteBuf partial = Unpooled.buffer();
-    private long lastId;
-    private long pendingId = -1;
-    private long events;
+    private long lastEventId;
+    private long pendingEventId = -1;
+    private long eventCount;
 
     /**
      * Creates a splitter.
@@ -23,7 +23,7 @@
      * @param lastId the number of the last event that the caller has, or a negative number.
      */
     EventSplitter(long lastId) {
-        this.lastId = lastId;
+        this.lastEventId = lastId;
     }
 
     /**
@@ -32,9 +32,9 @@
      * @param content the bytes, which are not released.
      * @return whole events, perhaps none; the receiver releases them.
      */
-    ByteBuf take(ByteBuf content) {
+    ByteBuf split(ByteBuf content) {
         partial.writeBytes(content, content.readerIndex(), content.readableBytes());
-        int end = endOfEvents();
+        int end = scanEvents();
         if (end == partial.readerIndex()) {
             return Unpooled.EMPTY_BUFFER;
         }
@@ -45,27 +45,27 @@
     }
 
     /** Returns what has come since the last whole event; the stream ends with it. */
-    ByteBuf rest() {
+    ByteBuf takeRest() {
         ByteBuf rest = Unpooled.copiedBuffer(partial);
         partial.clear();
         return rest;
     }
 
     /** Forgets the half event of a broken stream. */
-    void restart() {
+    void discardPartial() {
         partial.clear();
-        pendingId = -1;
+        pendingEventId = -1;
     }
 
-    long lastId() {
-        return lastId;
+    long lastEventId() {
+        return lastEventId;
     }
 
-    long events() {
-        return events;
+    long eventCount() {
+        return eventCount;
     }
 
-    private int endOfEvents() {
+    private int scanEvents() {
         int end = partial.readerIndex();
         int lineStart = partial.readerIndex();
         for (int index = partial.readerIndex(); index < partial.writerIndex(); index++) {
@@ -74,33 +74,33 @@
             }
             boolean blank = index == lineStart || index == lineStart + 1 && partial.getByte(lineStart) == '\r';
             if (blank) {
-                events++;
-                lastId = Math.max(lastId, pendingId);
+                eventCount++;
+                lastEventId = Math.max(lastEventId, pendingEventId);
                 end = index + 1;
             } else {
-                readId(lineStart, index);
+                readEventId(lineStart, index);
             }
             lineStart = index + 1;
         }
         return end;
     }
 
-    private void readId(int start, int end) {
-        if (end - start <= ID.length) {
+    private void readEventId(int start, int end) {
+        if (end - start <= ID_FIELD.length) {
             return;
         }
-        for (int offset = 0; offset < ID.length; offset++) {
-            if (partial.getByte(start + offset) != ID[offset]) {
+        for (int offset = 0; offset < ID_FIELD.length; offset++) {
+            if (partial.getByte(start + offset) != ID_FIELD[offset]) {
                 return;
             }
         }
         long number = 0;
-        for (int index = start + ID.length; index < end; index++) {
+        for (int index = start + ID_FIELD.length; index < end; index++) {
             byte digit = partial.getByte(index);
             if (digit >= '0' && digit <= '9') {
                 number = number * 10 + digit - '0';
             }
         }
-        pendingId = number;
+        pendingEventId = number;
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
+++ b/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
@@ -8,7 +8,7 @@
  */
 final class ExchangeLog {
     /** How many tiers of routes are told apart within the rank of an organisation. */
-    private static final int TIERS = 16;
+    private static final int TIERS_PER_RANK = 16;
 
     private final EntryServices services;
     private final CallerExchange exchange;
@@ -19,99 +19,99 @@
     }
 
     void refused(EndReason reason, long retryAfterMillis, int waiting, int slots) {
-        services.metrics().refused(reason.code());
+        services.metrics().countRefused(reason.code());
         services.events()
                 .emitFor(
                         EventCode.REFUSED,
-                        request(),
+                        requestId(),
                         reason.code(),
                         reason.status(),
                         retryAfterMillis,
-                        millis(),
+                        elapsedMillis(),
                         waiting,
                         slots,
                         services.view().revision(),
                         rank(),
-                        exchange.isReturning());
+                        exchange.isCallerRetry());
     }
 
     void failed(EndReason reason, String upstream, String cause) {
-        services.metrics().failed(reason.code());
+        services.metrics().countFailed(reason.code());
         services.events()
                 .emitFor(
                         EventCode.FAILED,
-                        request(),
+                        requestId(),
                         reason.code(),
                         reason.status(),
                         upstream,
-                        millis(),
+                        elapsedMillis(),
                         cause,
-                        events(),
+                        eventCount(),
                         exchange.head().promptTokens(),
                         exchange.head().expectedTokens(),
                         rank(),
-                        exchange.isReturning());
+                        exchange.isCallerRetry());
     }
 
     void retried(String reason, String upstream, int attempt) {
-        services.metrics().retried(reason);
-        services.events().emitFor(EventCode.RETRIED, request(), reason, upstream, attempt, millis());
+        services.metrics().countRetried(reason);
+        services.events().emitFor(EventCode.RETRIED, requestId(), reason, upstream, attempt, elapsedMillis());
     }
 
     void answered(int status, String upstream, long firstMillis, long longestPauseMillis) {
-        services.metrics().answered(firstMillis, millis());
-        if (status >= HttpResponseStatus.BAD_REQUEST.code() || services.events().samples(request())) {
+        services.metrics().recordAnswered(firstMillis, elapsedMillis());
+        if (status >= HttpResponseStatus.BAD_REQUEST.code() || services.events().samples(requestId())) {
             services.events()
                     .emitFor(
                             EventCode.ANSWERED,
-                            request(),
+                            requestId(),
                             status,
                             upstream,
                             firstMillis,
-                            millis(),
+                            elapsedMillis(),
                             longestPauseMillis,
-                            events(),
+                            eventCount(),
                             exchange.head().promptTokens(),
                             exchange.head().expectedTokens(),
                             rank(),
-                            exchange.isReturning());
+                            exchange.isCallerRetry());
         }
     }
 
-    void left(String upstream) {
-        services.metrics().left();
+    void disconnected(String upstream) {
+        services.metrics().countDisconnected();
         if (exchange.head() != null) {
             services.events()
                     .emitFor(
                             EventCode.LEFT,
-                            request(),
+                            requestId(),
                             upstream,
-                            millis(),
-                            events(),
+                            elapsedMillis(),
+                            eventCount(),
                             exchange.head().promptTokens(),
                             exchange.head().expectedTokens(),
                             rank(),
-                            exchange.isReturning());
+                            exchange.isCallerRetry());
         }
     }
 
     /** Returns the caller's name for the request, or an empty text where its head was not read. */
-    private String request() {
+    private String requestId() {
         return exchange.head() == null ? "" : exchange.head().request();
     }
 
-    private long millis() {
+    private long elapsedMillis() {
         return EntryServices.now() - exchange.arrivedAt();
     }
 
     /** Returns how many events of a stream have come. */
-    private long events() {
-        return exchange.splitter() == null ? 0 : exchange.splitter().events();
+    private long eventCount() {
+        return exchange.splitter() == null ? 0 : exchange.splitter().eventCount();
     }
 
     /** Returns the rank of the organisation and the tier of the route as one number. */
     private int rank() {
-        int tier = exchange.route() == null ? 0 : Math.min(exchange.route().priority(), TIERS - 1);
-        return exchange.organisationRank() * TIERS + tier;
+        int tier = exchange.route() == null ? 0 : Math.min(exchange.route().priority(), TIERS_PER_RANK - 1);
+        return exchange.organisationRank() * TIERS_PER_RANK + tier;
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
@@ -16,11 +16,11 @@
  */
 final class FrontConnection extends ChannelInboundHandlerAdapter {
     /** How many parts of later requests are kept while one is answered; a caller that sends more is cut off. */
-    private static final int MOST_QUEUED = 256;
+    private static final int MAX_QUEUED_PARTS = 256;
 
     private final EntryServices services;
     private final FrontServer server;
-    private final Deque<HttpObject> queued = new ArrayDeque<>();
+    private final Deque<HttpObject> queuedParts = new ArrayDeque<>();
     private CallerExchange exchange;
     private long idleSince;
     private boolean closing;
@@ -34,7 +34,7 @@
     /** {@inheritDoc} */
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        server.opened(context.channel(), this);
+        server.add(context.channel(), this);
         context.fireChannelActive();
     }
 
@@ -44,23 +44,23 @@
         HttpObject part = (HttpObject) message;
         if (closing) {
             ReferenceCountUtil.release(part);
-        } else if (exchange != null && exchange.isBodyWhole()) {
-            queued.addLast(part);
-            if (queued.size() > MOST_QUEUED) {
+        } else if (exchange != null && exchange.isBodyComplete()) {
+            queuedParts.addLast(part);
+            if (queuedParts.size() > MAX_QUEUED_PARTS) {
                 context.close();
             }
         } else {
-            take(context, part);
+            handle(context, part);
         }
     }
 
-    private void take(ChannelHandlerContext context, HttpObject part) {
+    private void handle(ChannelHandlerContext context, HttpObject part) {
         if (part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
             closing = true;
             PartLog.CALLER.info(
                     "A caller sent what is no request: " + part.decoderResult().cause() + '.');
-            AnswerHead.malformed(context);
+            ErrorResponses.malformed(context);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -77,15 +77,15 @@
     }
 
     /** Learns that the answer is written; the next request on the connection may begin. */
-    void ended(ChannelHandlerContext context, boolean close) {
+    void onResponseWritten(ChannelHandlerContext context, boolean close) {
         exchange = null;
         idleSince = EntryServices.now();
         if (close) {
             closing = true;
             return;
         }
-        while (!queued.isEmpty() && (exchange == null || !exchange.isBodyWhole()) && !closing) {
-            take(context, queued.removeFirst());
+        while (!queuedParts.isEmpty() && (exchange == null || !exchange.isBodyComplete()) && !closing) {
+            handle(context, queuedParts.removeFirst());
         }
     }
 
@@ -109,13 +109,13 @@
     /** {@inheritDoc} */
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        server.closed(context.channel());
-        queued.forEach(ReferenceCountUtil::release);
-        queued.clear();
+        server.remove(context.channel());
+        queuedParts.forEach(ReferenceCountUtil::release);
+        queuedParts.clear();
         if (exchange != null) {
             CallerExchange left = exchange;
             exchange = null;
-            left.onCallerGone();
+            left.onCallerDisconnected();
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -17,13 +17,13 @@
  */
 final class FrontServer implements Child {
     /** The greatest size of the first line and of all headers; callers keep to the catalogue's smaller limit. */
-    private static final int HEAD_BYTES = 65_536;
+    private static final int MAX_HEAD_BYTES = 65_536;
 
-    private static final int CHUNK_BYTES = 16_384;
-    private static final long SWEEP_MILLIS = 1_000;
+    private static final int MAX_CHUNK_BYTES = 16_384;
+    private static final long IDLE_CHECK_MILLIS = 1_000;
 
     /** How often a connection is read before others get their turn; Netty's own number for connections. */
-    private static final int READS_AT_ONCE = 16;
+    private static final int MAX_READS_PER_TURN = 16;
 
     private final HostPort address;
     private final EventLoop loop;
@@ -45,19 +45,19 @@
             accepted.config()
                     .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator()
                             .respectMaybeMoreData(false)
-                            .maxMessagesPerRead(READS_AT_ONCE));
+                            .maxMessagesPerRead(MAX_READS_PER_TURN));
             accepted.pipeline()
-                    .addLast(new HttpServerCodec(HEAD_BYTES, HEAD_BYTES, CHUNK_BYTES))
+                    .addLast(new HttpServerCodec(MAX_HEAD_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES))
                     .addLast(new FrontConnection(services, FrontServer.this));
         });
-        loop.scheduleAtFixedRate(this::closeIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::closeIdle, IDLE_CHECK_MILLIS, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void opened(Channel accepted, FrontConnection connection) {
+    void add(Channel accepted, FrontConnection connection) {
         connections.put(accepted, connection);
     }
 
-    void closed(Channel accepted) {
+    void remove(Channel accepted) {
         connections.remove(accepted);
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** Takes no further connection and closes those on which nothing is in progress, as late in a planned stop. */
-    void stopTaking() {
+    void stopAccepting() {
         channel.close();
         connections.entrySet().stream()
                 .filter(entry -> entry.getValue().isIdle())
--- a/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
@@ -26,7 +26,7 @@
  * Tells the balancer whether the entry takes callers, and anybody on the same address its metrics.
  */
 final class ReadyServer implements Child {
-    private static final int BODY_BYTES = 8_192;
+    private static final int MAX_BODY_BYTES = 8_192;
 
     private final HostPort address;
     private final EventLoop loop;
@@ -45,8 +45,8 @@
         channel = Listener.INSTANCE.listen(address, loop, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(BODY_BYTES))
-                    .addLast(new Reception());
+                    .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                    .addLast(new StatusHandler());
         });
     }
 
@@ -61,7 +61,7 @@
     /**
      * Answers the questions of one connection.
      */
-    private final class Reception extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class StatusHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -35,29 +35,29 @@
      * A scheduler that hasn't replied within this time gets no further request, in milliseconds; a reply takes one or two. A
      * request whose scheduler is frozen or cut off so waits no longer than this and one look.
      */
-    static final long REPLY_MILLIS = 100;
+    static final long REPLY_TIMEOUT_MILLIS = 100;
 
     /** How long after the end of its wait a request is rejected here, in milliseconds; its scheduler does so sooner. */
-    private static final long OVERDUE_MILLIS = 100;
+    private static final long OVERDUE_MARGIN_MILLIS = 100;
 
     /** After so many grants of upstreams that this entry can't use a request is rejected. */
-    private static final int MOST_DECLINED = 4;
+    private static final int MAX_DECLINED_GRANTS = 4;
 
     /** Names this entry to its own scheduler. */
-    private static final String SELF = "";
+    private static final String LOCAL_ENTRY = "";
 
     /** Stands for the own scheduler among the addresses. */
-    private static final String ALONE = "";
+    private static final String LOCAL_ADDRESS = "";
 
     private final FleetSender links;
     private final EventLog events;
     private final String entry;
     private final PoolSet pools;
-    private final SlotScheduler alone;
-    private final SchedulerChoice choice;
-    private final Map<Long, UpstreamSlot> asked = new HashMap<>();
-    private String attached = ALONE;
-    private int connection;
+    private final SlotScheduler localScheduler;
+    private final SchedulerChoice schedulerChoice;
+    private final Map<Long, UpstreamSlot> pending = new HashMap<>();
+    private String attachedScheduler = LOCAL_ADDRESS;
+    private int attachedConnection;
     private long nextId;
 
     SlotClient(FleetSettings settings, FleetSender links, EventLog events) {
@@ -67,16 +67,16 @@
         pools = new PoolSet(entry, settings.failureDomain(), settings.bounds().greatestTrialShare());
         // Alone it grants its part of the quotas and nothing of what they may be exceeded by, as others may do the
         // same.
-        alone = new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), new OwnReplies());
-        choice = new SchedulerChoice(entry, settings.failureDomain());
+        localScheduler = new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), new LocalReplies());
+        schedulerChoice = new SchedulerChoice(entry, settings.failureDomain());
     }
 
     void onView(ConfirmedView view, long now) {
         pools.apply(view, Math.max(1, view.entries()), now);
         pools.quotaPart(1.0 / Math.max(1, view.entries()));
-        choice.schedulers(view.controls().stream()
+        schedulerChoice.schedulers(view.controls().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one)));
-        alone.advance(now);
+        localScheduler.advance(now);
     }
 
     /** Asks for a slot; the answer may come before this method returns. */
@@ -88,12 +88,12 @@
     void send(UpstreamSlot slot, long now) {
         Optional<String> scheduler = attach(now);
         long id = ++nextId;
-        slot.sentTo(scheduler.orElse(ALONE), id, now);
-        asked.put(id, slot);
+        slot.markSent(scheduler.orElse(LOCAL_ADDRESS), id, now);
+        pending.put(id, slot);
         if (scheduler.isPresent()) {
             links.send(scheduler.get(), new FleetMessage.Ask(id, slot.request(now)));
         } else {
-            alone.request(SELF, id, slot.request(now), now);
+            localScheduler.request(LOCAL_ENTRY, id, slot.request(now), now);
         }
     }
 
@@ -107,48 +107,48 @@
         return pools.mayUse(upstream);
     }
 
-    void withdraw(UpstreamSlot slot) {
-        asked.remove(slot.id());
+    void cancel(UpstreamSlot slot) {
+        pending.remove(slot.id());
         release(slot.scheduler(), slot.id());
     }
 
     void report(UpstreamSlot slot, SlotReport report) {
-        alone.report(SELF, slot.id(), report, EntryServices.now());
-        if (!attached.equals(ALONE)) {
-            links.send(attached, new FleetMessage.Report(slot.id(), report));
+        localScheduler.report(LOCAL_ENTRY, slot.id(), report, EntryServices.now());
+        if (!attachedScheduler.equals(LOCAL_ADDRESS)) {
+            links.send(attachedScheduler, new FleetMessage.Report(slot.id(), report));
         }
     }
 
     /** Takes a reply of a scheduler. */
     void onReply(String scheduler, FleetMessage.Reply reply, long now) {
-        UpstreamSlot slot = asked.get(reply.id());
+        UpstreamSlot slot = pending.get(reply.id());
         if (slot == null) {
             if (reply.reply() instanceof SlotReply.Granted) {
                 release(scheduler, reply.id());
             }
             return;
         }
-        choice.answered(scheduler);
+        schedulerChoice.answered(scheduler);
         slot.replied();
         if (reply.reply() instanceof SlotReply.Granted granted) {
-            asked.remove(reply.id());
+            pending.remove(reply.id());
             onGranted(slot, granted, now);
         } else if (reply.reply() instanceof SlotReply.Rejected rejected) {
-            asked.remove(reply.id());
+            pending.remove(reply.id());
             onRejected(slot, rejected, now);
         }
     }
 
     private void onGranted(UpstreamSlot slot, SlotReply.Granted granted, long now) {
-        Optional<UpstreamLoad> upstream = alone.adopt(SELF, slot.heldAt(granted.upstream()), now);
+        Optional<UpstreamLoad> upstream = localScheduler.adopt(LOCAL_ENTRY, slot.toHeldSlot(granted.upstream()), now);
         if (upstream.isPresent() && pools.mayUse(upstream.get())) {
             slot.grant(upstream.get(), !granted.eventTimeKnown());
             return;
         }
         // The scheduler's view is older or newer than this entry's, which answers for what it sends.
-        alone.report(SELF, slot.id(), new SlotReport.Ended(SlotOutcome.UNUSED), now);
+        localScheduler.report(LOCAL_ENTRY, slot.id(), new SlotReport.Ended(SlotOutcome.UNUSED), now);
         release(slot.scheduler(), slot.id());
-        if (slot.decline(granted.upstream()) < MOST_DECLINED) {
+        if (slot.decline(granted.upstream()) < MAX_DECLINED_GRANTS) {
             send(slot, now);
         } else {
             slot.reject(new SlotReply.Rejected(SlotReply.Reason.OVERLOAD, 0));
@@ -157,9 +157,9 @@
 
     private void onRejected(UpstreamSlot slot, SlotReply.Rejected rejected, long now) {
         if (rejected.reason() == SlotReply.Reason.UNREADY) {
-            choice.unready(slot.scheduler(), now);
-            if (attached.equals(slot.scheduler())) {
-                attached = ALONE;
+            schedulerChoice.unready(slot.scheduler(), now);
+            if (attachedScheduler.equals(slot.scheduler())) {
+                attachedScheduler = LOCAL_ADDRESS;
             }
             send(slot, now);
         } else {
@@ -169,27 +169,27 @@
 
     /** Learns that the connection to a scheduler is gone. */
     void onLinkLost(String scheduler, long now) {
-        if (scheduler.equals(attached)) {
-            lose(scheduler, "connection", now);
+        if (scheduler.equals(attachedScheduler)) {
+            onSchedulerLost(scheduler, "connection", now);
         }
     }
 
     /** Returns whether a request waits for a slot. */
-    boolean isBusy() {
-        return !asked.isEmpty();
+    boolean hasPending() {
+        return !pending.isEmpty();
     }
 
     /** Looks after requests whose scheduler has fallen silent, and lets those go on that wait here. */
-    void look(long now) {
-        alone.advance(now);
-        for (UpstreamSlot slot : List.copyOf(asked.values())) {
-            if (!slot.isAsked() || slot.scheduler().equals(ALONE)) {
+    void checkPending(long now) {
+        localScheduler.advance(now);
+        for (UpstreamSlot slot : List.copyOf(pending.values())) {
+            if (!slot.isPending() || slot.scheduler().equals(LOCAL_ADDRESS)) {
                 continue;
             }
-            if (slot.isUnanswered(REPLY_MILLIS, now)) {
-                lose(slot.scheduler(), "silence", now);
-            } else if (slot.isOverdue(OVERDUE_MILLIS, now)) {
-                withdraw(slot);
+            if (slot.isUnanswered(REPLY_TIMEOUT_MILLIS, now)) {
+                onSchedulerLost(slot.scheduler(), "silence", now);
+            } else if (slot.isOverdue(OVERDUE_MARGIN_MILLIS, now)) {
+                cancel(slot);
                 slot.reject(new SlotReply.Rejected(SlotReply.Reason.OVERLOAD, 0));
             }
         }
@@ -197,65 +197,65 @@
 
     /** Returns the scheduler to ask, and attaches to it where it isn't the one of the last request. */
     private Optional<String> attach(long now) {
-        Optional<String> chosen = choice.choose(address -> links.connection(address) > 0, now);
-        String next = chosen.orElse(ALONE);
+        Optional<String> chosen = schedulerChoice.choose(address -> links.connection(address) > 0, now);
+        String next = chosen.orElse(LOCAL_ADDRESS);
         int present = links.connection(next);
-        if (next.equals(attached) && present == connection) {
+        if (next.equals(attachedScheduler) && present == attachedConnection) {
             return chosen;
         }
-        String before = attached;
-        attached = next;
-        connection = present;
+        String before = attachedScheduler;
+        attachedScheduler = next;
+        attachedConnection = present;
         links.attend(next);
-        events.emit(EventCode.SCHEDULER, next, before, asked.size());
+        events.emit(EventCode.SCHEDULER, next, before, pending.size());
         if (chosen.isPresent()) {
-            links.send(next, new FleetMessage.Attach(entry, alone.held(SELF)));
+            links.send(next, new FleetMessage.Attach(entry, localScheduler.held(LOCAL_ENTRY)));
         }
-        if (!before.equals(ALONE)) {
+        if (!before.equals(LOCAL_ADDRESS)) {
             links.send(before, new FleetMessage.Detach());
-            askAgain(before, now);
+            resend(before, now);
         }
         return chosen;
     }
 
-    private void lose(String scheduler, String cause, long now) {
-        choice.failed(scheduler, now);
+    private void onSchedulerLost(String scheduler, String cause, long now) {
+        schedulerChoice.failed(scheduler, now);
         events.emit(EventCode.SCHEDULER_LOST, scheduler, cause);
-        if (scheduler.equals(attached)) {
+        if (scheduler.equals(attachedScheduler)) {
             attach(now);
         } else {
-            askAgain(scheduler, now);
+            resend(scheduler, now);
         }
     }
 
     /** Asks another scheduler for all that was asked of one and isn't decided. */
-    private void askAgain(String scheduler, long now) {
-        List<UpstreamSlot> undecided = asked.values().stream()
+    private void resend(String scheduler, long now) {
+        List<UpstreamSlot> undecided = pending.values().stream()
                 .filter(slot -> slot.scheduler().equals(scheduler))
                 .toList();
-        undecided.forEach(slot -> asked.remove(slot.id()));
+        undecided.forEach(slot -> pending.remove(slot.id()));
         undecided.forEach(slot -> send(slot, now));
     }
 
     private void release(String scheduler, long id) {
         SlotReport unused = new SlotReport.Ended(SlotOutcome.UNUSED);
-        if (scheduler.equals(ALONE)) {
-            alone.report(SELF, id, unused, EntryServices.now());
+        if (scheduler.equals(LOCAL_ADDRESS)) {
+            localScheduler.report(LOCAL_ENTRY, id, unused, EntryServices.now());
         } else {
             links.send(scheduler, new FleetMessage.Report(id, unused));
         }
     }
 
     /** Takes what the own scheduler decides. */
-    private final class OwnReplies implements SlotScheduler.Listener {
+    private final class LocalReplies implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
         public void onReply(String self, long id, SlotReply reply) {
-            UpstreamSlot slot = asked.get(id);
+            UpstreamSlot slot = pending.get(id);
             if (slot == null || reply instanceof SlotReply.Queued) {
                 return;
             }
-            asked.remove(id);
+            pending.remove(id);
             if (reply instanceof SlotReply.Granted granted) {
                 UpstreamLoad upstream = pools.dispatcher(granted.upstream().pool())
                         .upstreams()
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -26,10 +26,10 @@
  */
 final class UpstreamAttempt implements UpstreamListener {
     /** Plain answers up to this size are held until they are whole, so that a broken one can be got again, in bytes. */
-    private static final int HELD_BYTES = 256 << 10;
+    private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
     /** After so many events a stream tells the pace of an upstream that is not known yet, before its end does. */
-    private static final long FIRST_EVENTS = 6;
+    private static final long EARLY_REPORT_EVENTS = 6;
 
     private final CallerExchange caller;
     private final EntryServices services;
@@ -39,21 +39,21 @@
     private Phase phase = Phase.CONNECTING;
     private long sentAt;
     private long lastByteAt;
-    private HttpResponse answer;
+    private HttpResponse responseHead;
     private AnswerKind kind;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private boolean answered;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+    private boolean firstByteReceived;
     private boolean eventTimeReported;
     private long firstByteAt;
-    private long longestPause;
-    private final long eventsBefore;
+    private long longestGapMillis;
+    private final long eventsBeforeAttempt;
 
     UpstreamAttempt(CallerExchange caller, EntryServices services, UpstreamSlot slot) {
         this.caller = caller;
         this.services = services;
         this.slot = slot;
         this.upstream = slot.upstream();
-        this.eventsBefore = caller.splitter().events();
+        this.eventsBeforeAttempt = caller.splitter().eventCount();
     }
 
     void start() {
@@ -84,7 +84,7 @@
         lastByteAt = sentAt;
         caller.onSent();
         logSent();
-        exchange.write(forwarded());
+        exchange.write(forwardedRequest());
         exchange.read();
     }
 
@@ -97,17 +97,17 @@
                             upstream.upstream().id(),
                             upstream.inProgress(),
                             sentAt - caller.arrivedAt(),
-                            caller.millisLeft(),
+                            caller.remainingMillis(),
                             services.view().revision());
         }
     }
 
-    private FullHttpRequest forwarded() {
+    private FullHttpRequest forwardedRequest() {
         FullHttpRequest copy = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 caller.request().method(),
                 caller.request().uri(),
-                caller.bodyCopy());
+                caller.retainedBody());
         HttpHeaders headers = copy.headers();
         UpstreamHeaders.INSTANCE.copyEndToEnd(caller.request().headers(), headers);
         boolean hasBody = copy.content().isReadable() || HttpUtil.isContentLengthSet(caller.request());
@@ -116,7 +116,7 @@
             HttpUtil.setContentLength(copy, copy.content().readableBytes());
         }
         long resumeAfter = caller.route().kind() == RequestKind.STREAM
-                ? caller.splitter().lastId()
+                ? caller.splitter().lastEventId()
                 : caller.head().resumeAfter();
         services.dialect()
                 .prepare(
@@ -124,7 +124,7 @@
                         new Forward(
                                 upstream.upstream().id(),
                                 caller.organisation().map(OrganisationRule::name),
-                                caller.millisLeft(),
+                                caller.remainingMillis(),
                                 resumeAfter));
         return copy;
     }
@@ -147,12 +147,12 @@
         }
         kind = services.dialect().judge(response, caller.head().request());
         if (kind == AnswerKind.OTHER_REQUEST) {
-            exchange.skipAnswer();
+            exchange.skipResponse();
             return;
         }
         long now = EntryServices.now();
         lastByteAt = now;
-        answer = response;
+        responseHead = response;
         switch (kind) {
             case SUCCESS -> onSuccess();
             case FAILURE -> onFailure();
@@ -162,39 +162,39 @@
             default -> {
                 exchange.abort();
                 endAnswered(false);
-                caller.onBroken("spoilt");
+                caller.onAttemptFailed("spoilt");
             }
         }
     }
 
     private void onSuccess() {
-        if (passesEvents()) {
-            caller.answer().writeHead(answer, !caller.route().resumable());
+        if (isEventStream()) {
+            caller.response().writeHead(responseHead, !caller.route().resumable());
         } else {
-            held = Unpooled.buffer();
+            buffered = Unpooled.buffer();
         }
     }
 
     private void onFailure() {
-        boolean server = answer.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        if (caller.answer().isHeadWritten()) {
+        boolean server = responseHead.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        if (caller.response().isHeadWritten()) {
             // Guards against a short answer that looks complete: the caller has the head and some events of an earlier
             // run, and the text of a failure behind them would end the answer as if it were whole.
             endAnswered(!server);
             exchange.abort();
-            caller.onBroken("failure after the answer had begun");
+            caller.onAttemptFailed("failure after the answer had begun");
             return;
         }
-        if (server && caller.triesElsewhere()) {
+        if (server && caller.tryTakeRetry()) {
             endAnswered(false);
             phase = Phase.DRAINING;
-            caller.again("upstream-failure");
+            caller.retry("upstream-failure");
             return;
         }
-        held = Unpooled.buffer();
+        buffered = Unpooled.buffer();
     }
 
-    private boolean passesEvents() {
+    private boolean isEventStream() {
         return kind == AnswerKind.SUCCESS && caller.route().kind() == RequestKind.STREAM;
     }
 
@@ -202,19 +202,19 @@
     @Override
     public void onContent(ByteBuf content) {
         try {
-            if (phase != Phase.RUNNING || answer == null) {
+            if (phase != Phase.RUNNING || responseHead == null) {
                 return;
             }
-            noteBytes();
-            if (passesEvents()) {
-                ByteBuf whole = caller.splitter().take(content);
-                noteFirstEvents();
-                caller.answer().writeContent(caller.route().resumable() ? whole : content.retain());
+            recordBytes();
+            if (isEventStream()) {
+                ByteBuf whole = caller.splitter().split(content);
+                reportFirstEventTime();
+                caller.response().writeContent(caller.route().resumable() ? whole : content.retain());
                 if (!caller.route().resumable()) {
                     whole.release();
                 }
             } else {
-                hold(content);
+                buffer(content);
             }
         } finally {
             content.release();
@@ -222,39 +222,39 @@
     }
 
     /** Learns the pace of a new upstream in the middle of a stream, so that others needn't wait for its end to be known. */
-    private void noteFirstEvents() {
-        long events = caller.splitter().events() - eventsBefore;
-        if (slot.isEventTimeWanted() && !eventTimeReported && events >= FIRST_EVENTS) {
+    private void reportFirstEventTime() {
+        long events = caller.splitter().eventCount() - eventsBeforeAttempt;
+        if (slot.isEventTimeRequested() && !eventTimeReported && events >= EARLY_REPORT_EVENTS) {
             eventTimeReported = true;
             slot.report(new SlotReport.FirstEventTime((double) (EntryServices.now() - firstByteAt) / (events - 1)));
         }
     }
 
-    private void hold(ByteBuf content) {
-        if (caller.answer().isHeadWritten()) {
-            caller.answer().writeContent(content.retain());
+    private void buffer(ByteBuf content) {
+        if (caller.response().isHeadWritten()) {
+            caller.response().writeContent(content.retain());
             return;
         }
-        held.writeBytes(content);
-        if (held.readableBytes() > HELD_BYTES) {
-            caller.answer().writeHead(answer, true);
-            caller.answer().writeContent(held);
-            held = Unpooled.EMPTY_BUFFER;
+        buffered.writeBytes(content);
+        if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+            caller.response().writeHead(responseHead, true);
+            caller.response().writeContent(buffered);
+            buffered = Unpooled.EMPTY_BUFFER;
         }
     }
 
-    private void noteBytes() {
+    private void recordBytes() {
         long now = EntryServices.now();
-        if (answered) {
-            longestPause = Math.max(longestPause, now - lastByteAt);
+        if (firstByteReceived) {
+            longestGapMillis = Math.max(longestGapMillis, now - lastByteAt);
         }
         lastByteAt = now;
         upstream.recordBytes(now);
-        if (!answered) {
-            answered = true;
+        if (!firstByteReceived) {
+            firstByteReceived = true;
             firstByteAt = now;
             slot.report(new SlotReport.FirstByte(now - sentAt));
-            caller.noteFirst(now - sentAt);
+            caller.recordFirstByte(now - sentAt);
         }
     }
 
@@ -262,8 +262,8 @@
     @Override
     public void onPause() {
         if (phase == Phase.RUNNING) {
-            caller.answer().flush();
-            if (caller.answer().isWritable()) {
+            caller.response().flush();
+            if (caller.response().isWritable()) {
                 exchange.read();
             }
         } else if (phase == Phase.DRAINING) {
@@ -282,76 +282,76 @@
     public void onEnd() {
         Phase before = phase;
         if (before == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
-            notRun();
+            endNotRun();
             return;
         }
         if (before != Phase.RUNNING) {
             return;
         }
-        boolean good = answer.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        endWhole(good);
-        caller.logAnswered(answer.status().code(), upstream, longestPause);
-        if (passesEvents()) {
-            caller.answer()
-                    .writeContent(caller.route().resumable() ? caller.splitter().rest() : Unpooled.EMPTY_BUFFER);
+        boolean good = responseHead.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        endComplete(good);
+        caller.logAnswered(responseHead.status().code(), upstream, longestGapMillis);
+        if (isEventStream()) {
+            caller.response()
+                    .writeContent(caller.route().resumable() ? caller.splitter().takeRest() : Unpooled.EMPTY_BUFFER);
             caller.writeEnd();
-        } else if (caller.answer().isHeadWritten()) {
+        } else if (caller.response().isHeadWritten()) {
             caller.writeEnd();
         } else {
-            ByteBuf whole = held;
-            held = Unpooled.EMPTY_BUFFER;
-            caller.writeWhole(answer, whole);
+            ByteBuf whole = buffered;
+            buffered = Unpooled.EMPTY_BUFFER;
+            caller.writeFull(responseHead, whole);
         }
     }
 
-    private void notRun() {
+    private void endNotRun() {
         end(kind == AnswerKind.WRONG_INSTANCE ? SlotOutcome.REPLACED : SlotOutcome.NOT_RUN);
         caller.onNotRun(kind == AnswerKind.NOT_RUN ? "not-run" : "wrong-instance", true);
     }
 
     /** Ends the attempt after a whole answer, with the times that are learnt from a good one. */
-    private void endWhole(boolean good) {
+    private void endComplete(boolean good) {
         if (!good) {
             endAnswered(false);
             return;
         }
         long now = EntryServices.now();
-        long events = passesEvents() ? caller.splitter().events() - eventsBefore : 0;
-        double pace = passesEvents() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
-        noteAnswer(true);
+        long events = isEventStream() ? caller.splitter().eventCount() - eventsBeforeAttempt : 0;
+        double pace = isEventStream() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
+        recordResponse(true);
         end(new SlotReport.Ended(
                 SlotOutcome.SUCCESS,
                 now - sentAt,
-                passesEvents() && events <= 1 ? 0 : pace,
-                eventsBefore == 0 ? events : 0,
+                isEventStream() && events <= 1 ? 0 : pace,
+                eventsBeforeAttempt == 0 ? events : 0,
                 caller.expectedTokens()));
     }
 
     private void endAnswered(boolean good) {
-        noteAnswer(good);
+        recordResponse(good);
         end(good ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
     }
 
-    private void noteAnswer(boolean good) {
-        long first = answered ? lastByteAt - sentAt : EntryServices.now() - sentAt;
-        services.onAnswer(upstream.upstream(), caller.route().name(), good, first);
+    private void recordResponse(boolean good) {
+        long first = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
+        services.recordResponse(upstream.upstream(), caller.route().name(), good, first);
     }
 
     /** {@inheritDoc} */
     @Override
     public void onBroken(Throwable cause) {
         if (phase == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
-            notRun();
+            endNotRun();
             return;
         }
         if (phase != Phase.RUNNING) {
             return;
         }
         if (upstream.isNewBreak(EntryServices.now())) {
-            noteAnswer(false);
+            recordResponse(false);
         }
         end(SlotOutcome.BROKEN);
-        caller.onBroken("broken: " + cause.getMessage());
+        caller.onAttemptFailed("broken: " + cause.getMessage());
     }
 
     boolean isSilent(long now) {
@@ -360,7 +360,7 @@
     }
 
     /** Gives the attempt up: cancels the request at the upstream and gives its place back. */
-    void giveUp() {
+    void abandon() {
         if (phase == Phase.ENDED) {
             return;
         }
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -14,22 +14,22 @@
 final class UpstreamSlot {
     private final SlotClient client;
     private final Listener listener;
-    private final long askedAt;
+    private final long requestedAt;
     private SlotRequest request;
     private long id;
     private String scheduler = "";
     private long sentAt;
     private boolean replied;
-    private int grantsDeclined;
-    private State state = State.ASKED;
+    private int declinedGrants;
+    private State state = State.PENDING;
     private UpstreamLoad upstream;
-    private boolean eventTimeWanted;
+    private boolean eventTimeRequested;
 
     UpstreamSlot(SlotClient client, SlotRequest request, Listener listener, long now) {
         this.client = client;
         this.request = request;
         this.listener = listener;
-        this.askedAt = now;
+        this.requestedAt = now;
     }
 
     /** Returns the upstream whose slot it is, once it is granted. */
@@ -38,15 +38,15 @@
     }
 
     /** Returns whether the scheduler doesn't know yet how fast the upstream is. */
-    boolean isEventTimeWanted() {
-        return eventTimeWanted;
+    boolean isEventTimeRequested() {
+        return eventTimeRequested;
     }
 
     /** Gives up a request that has no slot yet. */
-    void withdraw() {
-        if (state == State.ASKED) {
+    void cancel() {
+        if (state == State.PENDING) {
             state = State.ENDED;
-            client.withdraw(this);
+            client.cancel(this);
         }
     }
 
@@ -68,8 +68,8 @@
         end(new SlotReport.Ended(outcome));
     }
 
-    boolean isAsked() {
-        return state == State.ASKED;
+    boolean isPending() {
+        return state == State.PENDING;
     }
 
     long id() {
@@ -82,11 +82,11 @@
 
     /** Returns the request as it stands now. */
     SlotRequest request(long now) {
-        return request.after(now - askedAt);
+        return request.after(now - requestedAt);
     }
 
     /** Notes that the request is sent to a scheduler, under a number of its own. */
-    void sentTo(String address, long number, long now) {
+    void markSent(String address, long number, long now) {
         scheduler = address;
         id = number;
         sentAt = now;
@@ -104,10 +104,10 @@
 
     /** Returns whether the queueing deadline passed so long ago. */
     boolean isOverdue(long millis, long now) {
-        return now - askedAt > request.waitMillis() + millis;
+        return now - requestedAt > request.waitMillis() + millis;
     }
 
-    HeldSlot heldAt(Upstream granted) {
+    HeldSlot toHeldSlot(Upstream granted) {
         return new HeldSlot(
                 id,
                 request.pool(),
@@ -119,13 +119,13 @@
     /** Keeps the request from an upstream that was granted but can't be used, and counts how often that was so. */
     int decline(Upstream granted) {
         request = request.withoutUpstream(granted.run());
-        return ++grantsDeclined;
+        return ++declinedGrants;
     }
 
     void grant(UpstreamLoad granted, boolean wantsEventTime) {
         state = State.GRANTED;
         upstream = granted;
-        eventTimeWanted = wantsEventTime;
+        eventTimeRequested = wantsEventTime;
         listener.onGranted(this);
     }
 
@@ -137,7 +137,7 @@
     /** Names how far the slot is. */
     private enum State {
         /** It was asked for. */
-        ASKED,
+        PENDING,
         /** It is held. */
         GRANTED,
         /** It was rejected, withdrawn or given back. */
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -25,38 +25,38 @@
     private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d{1,6})");
 
     /** How long before the upstream closes an idle connection it is no longer used; covers a slow way there. */
-    private static final long KEEP_MARGIN_MILLIS = 1_000;
+    private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
-    private final UpstreamConnections pool;
+    private final UpstreamConnections connections;
     private final String address;
     private Channel channel;
     private UpstreamListener listener;
-    private boolean requestWhole;
-    private boolean answerWhole;
+    private boolean requestComplete;
+    private boolean responseComplete;
     private boolean reusable;
-    private boolean skipping;
-    private long allowedMillis;
+    private boolean skippingResponse;
+    private long maxIdleMillis;
 
     UpstreamConnection(UpstreamConnections pool, String address) {
         super(false);
-        this.pool = pool;
+        this.connections = pool;
         this.address = address;
     }
 
     void begin(Channel connected, UpstreamListener receiver) {
         channel = connected;
         listener = receiver;
-        requestWhole = false;
-        answerWhole = false;
+        requestComplete = false;
+        responseComplete = false;
         reusable = true;
-        skipping = false;
-        allowedMillis = Long.MAX_VALUE;
+        skippingResponse = false;
+        maxIdleMillis = Long.MAX_VALUE;
     }
 
     /** {@inheritDoc} */
     @Override
     public ChannelFuture write(HttpObject part) {
-        requestWhole |= part instanceof LastHttpContent;
+        requestComplete |= part instanceof LastHttpContent;
         return channel.writeAndFlush(part);
     }
 
@@ -68,8 +68,8 @@
 
     /** {@inheritDoc} */
     @Override
-    public void skipAnswer() {
-        skipping = true;
+    public void skipResponse() {
+        skippingResponse = true;
         reusable = false;
     }
 
@@ -85,14 +85,14 @@
     /** {@inheritDoc} */
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.forget(address, this);
-        broken(new java.nio.channels.ClosedChannelException());
+        connections.remove(address, this);
+        fail(new java.nio.channels.ClosedChannelException());
     }
 
     /** {@inheritDoc} */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        broken(cause);
+        fail(cause);
         context.close();
     }
 
@@ -109,7 +109,7 @@
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
         if (listener == null || part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
-            broken(new java.net.ProtocolException("unexpected bytes from the upstream"));
+            fail(new java.net.ProtocolException("unexpected bytes from the upstream"));
             context.close();
             return;
         }
@@ -118,20 +118,20 @@
                 return;
             }
             reusable &= HttpUtil.isKeepAlive(response);
-            allowedMillis = keepAliveMillis(response);
+            maxIdleMillis = keepAliveMillis(response);
             listener.onHead(response);
         }
         if (part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
-            if (listener != null && !skipping) {
+            if (listener != null && !skippingResponse) {
                 listener.onContent(content.content());
             } else {
                 content.release();
             }
-            if (last && skipping) {
-                skipping = false;
+            if (last && skippingResponse) {
+                skippingResponse = false;
             } else if (last && listener != null) {
-                end();
+                complete();
             }
         }
     }
@@ -140,23 +140,23 @@
     private static long keepAliveMillis(HttpResponse response) {
         Matcher stated = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
         return stated.find()
-                ? Math.max(0, Long.parseLong(stated.group(1)) * 1_000 - KEEP_MARGIN_MILLIS)
+                ? Math.max(0, Long.parseLong(stated.group(1)) * 1_000 - KEEP_ALIVE_MARGIN_MILLIS)
                 : Long.MAX_VALUE;
     }
 
-    private void end() {
-        answerWhole = true;
+    private void complete() {
+        responseComplete = true;
         UpstreamListener receiver = listener;
         listener = null;
-        if (requestWhole && answerWhole && reusable) {
-            pool.keep(address, this, channel, allowedMillis);
+        if (requestComplete && responseComplete && reusable) {
+            connections.returnIdle(address, this, channel, maxIdleMillis);
         } else {
             channel.close();
         }
         receiver.onEnd();
     }
 
-    private void broken(Throwable cause) {
+    private void fail(Throwable cause) {
         UpstreamListener receiver = listener;
         listener = null;
         if (receiver != null) {
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
@@ -55,14 +55,14 @@
         return connect(address, listener);
     }
 
-    void keep(String address, UpstreamConnection connection, Channel channel, long allowedMillis) {
+    void returnIdle(String address, UpstreamConnection connection, Channel channel, long allowedMillis) {
         long keepUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(keepMillis, allowedMillis));
         idle.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(new Idle(connection, channel, keepUntil));
         // Reading on is what shows that the upstream has closed the connection, before it is used again.
         channel.read();
     }
 
-    void forget(String address, UpstreamConnection connection) {
+    void remove(String address, UpstreamConnection connection) {
         Deque<Idle> waiting = idle.get(address);
         if (waiting != null) {
             waiting.removeIf(candidate -> candidate.connection() == connection);
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
@@ -24,7 +24,7 @@
      * <p>Guards against an upstream that answers a request twice: the second copy stands where the next answer on the
      * connection is due, and must not reach the caller of that one.
      */
-    void skipAnswer();
+    void skipResponse();
 
     /** Gives the exchange up and closes the connection; the listener receives nothing more. */
     void abort();
--- a/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
+++ b/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
@@ -46,16 +46,16 @@
  */
 final class EntryFixture implements AutoCloseable {
     private static final long DEADLINE_MILLIS = 10_000;
-    private static final HostPort NOWHERE = HostPort.parse("127.0.0.1:1");
+    private static final HostPort UNUSED_ADDRESS = HostPort.parse("127.0.0.1:1");
 
     private final EmbeddedChannel caller = new EmbeddedChannel();
     private final EventLog events = new EventLog("entry", new PrintStream(OutputStream.nullOutputStream()));
     private final FleetLinks links = new FleetLinks(caller.eventLoop(), (sender, message) -> {});
-    private final List<PlayedExchange> exchanges = new ArrayList<>();
+    private final List<FakeExchange> exchanges = new ArrayList<>();
     private final EntryServices services;
     private final Catalogue catalogue;
     private final HostList hosts;
-    private boolean connecting = true;
+    private boolean connectsAutomatically = true;
 
     EntryFixture(RequestKind kind, boolean resumable, int upstreams) {
         FleetSettings.Bounds bounds =
@@ -63,20 +63,20 @@
         FleetSettings settings = new FleetSettings(
                 "entry",
                 "a",
-                NOWHERE,
-                Optional.of(NOWHERE),
-                Optional.of(NOWHERE),
+                UNUSED_ADDRESS,
+                Optional.of(UNUSED_ADDRESS),
+                Optional.of(UNUSED_ADDRESS),
                 Optional.empty(),
                 0,
                 List.of(),
                 false,
                 Optional.empty(),
-                NOWHERE,
+                UNUSED_ADDRESS,
                 Optional.empty(),
                 bounds);
         services = new EntryServices(
                 settings,
-                new PlainDialect(),
+                new FakeDialect(),
                 events,
                 new EntryMetrics(),
                 new EntryServices.Transport(caller.eventLoop(), this::open, links),
@@ -101,20 +101,20 @@
             listed.add(new Upstream("u" + number, 1, "pool", "127.0.0.1:" + (number + 1), "a", "v1", 4, false, false));
         }
         hosts = new HostList(1, 1, listed);
-        view(Set.of(), Moment.now());
-        FrontServer front = new FrontServer(NOWHERE, caller.eventLoop(), services);
+        applyView(Set.of(), Moment.now());
+        FrontServer front = new FrontServer(UNUSED_ADDRESS, caller.eventLoop(), services);
         caller.pipeline().addLast(new FrontConnection(services, front));
     }
 
     /** Puts a view in force. */
-    void view(Set<String> evacuated, Moment confirmedAt) {
+    void applyView(Set<String> evacuated, Moment confirmedAt) {
         services.onView(
                 new ConfirmedView(Optional.of(catalogue), hosts, List.of(), 1, List.of(), evacuated, confirmedAt));
     }
 
     /** Lets connections to upstreams wait until the test makes them. */
-    void holdConnections() {
-        connecting = false;
+    void delayConnections() {
+        connectsAutomatically = false;
     }
 
     /** Sends a request as the caller. */
@@ -125,7 +125,7 @@
     }
 
     /** Returns the exchange with an upstream that began as the given one, counted from 0. */
-    PlayedExchange exchange(int number) {
+    FakeExchange exchange(int number) {
         caller.runPendingTasks();
         return exchanges.get(number);
     }
@@ -140,7 +140,7 @@
     }
 
     /** Takes what the caller has got since the last call. */
-    CallerView received() {
+    ReceivedResponse received() {
         caller.runPendingTasks();
         StringBuilder text = new StringBuilder();
         int status = 0;
@@ -155,13 +155,13 @@
             }
             whole |= part instanceof LastHttpContent;
         }
-        return new CallerView(status, text.toString(), whole);
+        return new ReceivedResponse(status, text.toString(), whole);
     }
 
     private UpstreamExchange open(String address, UpstreamListener listener) {
-        PlayedExchange exchange = new PlayedExchange(listener);
+        FakeExchange exchange = new FakeExchange(listener);
         exchanges.add(exchange);
-        if (connecting) {
+        if (connectsAutomatically) {
             caller.eventLoop().execute(listener::onConnected);
         }
         return exchange;
@@ -180,42 +180,42 @@
      *
      * @param status the status, 0 where no head came.
      * @param body the bytes of the body.
-     * @param whole whether the answer came to its end.
+     * @param complete whether the answer came to its end.
      */
-    record CallerView(int status, String body, boolean whole) {}
+    record ReceivedResponse(int status, String body, boolean complete) {}
 
     /** Plays the part of an upstream in one exchange. */
-    static final class PlayedExchange implements UpstreamExchange {
+    static final class FakeExchange implements UpstreamExchange {
         private final UpstreamListener listener;
         private boolean aborted;
-        private boolean sent;
+        private boolean requestSent;
 
-        PlayedExchange(UpstreamListener listener) {
+        FakeExchange(UpstreamListener listener) {
             this.listener = listener;
         }
 
-        void connects() {
+        void connect() {
             listener.onConnected();
         }
 
-        boolean isSent() {
-            return sent;
+        boolean isRequestSent() {
+            return requestSent;
         }
 
-        void answersHead(int status) {
+        void sendHead(int status) {
             listener.onHead(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)));
         }
 
-        void answersBody(String text) {
+        void sendBody(String text) {
             listener.onContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             listener.onPause();
         }
 
-        void ends() {
+        void complete() {
             listener.onEnd();
         }
 
-        void breaks() {
+        void loseConnection() {
             listener.onBroken(new java.io.IOException("reset"));
         }
 
@@ -226,7 +226,7 @@
         /** {@inheritDoc} */
         @Override
         public ChannelFuture write(HttpObject part) {
-            sent = true;
+            requestSent = true;
             io.netty.util.ReferenceCountUtil.release(part);
             return null;
         }
@@ -237,7 +237,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void skipAnswer() {}
+        public void skipResponse() {}
 
         /** {@inheritDoc} */
         @Override
@@ -247,7 +247,7 @@
     }
 
     /** Reads requests without headers, and answers by their status alone. */
-    private static final class PlainDialect implements CallerDialect {
+    private static final class FakeDialect implements CallerDialect {
         /** {@inheritDoc} */
         @Override
         public RequestHead read(HttpRequest request) {
--- a/node/src/test/java/org/radishspur/node/entry/AnswerHeadTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/ErrorResponsesTest.java
@@ -15,14 +15,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class AnswerHeadTest {
+class ErrorResponsesTest {
     @Nested
     class Body {
         /** Guards against a refusal that callers can't parse, or that says the wrong thing about whether it ran. */
         @ParameterizedTest
         @EnumSource
-        void namesTheReasonAndWhetherTheRequestRan(EndReason reason) {
-            String body = AnswerHead.of(reason, 0).content().toString(StandardCharsets.UTF_8);
+        void statesTheReasonAndWhetherTheRequestRan(EndReason reason) {
+            String body = ErrorResponses.of(reason, 0).content().toString(StandardCharsets.UTF_8);
             JsonNode problem = Json.INSTANCE.readTree(body, ErrorCode.CALL_INVALID);
             assertThat(problem.path("reason").asText()).isEqualTo(reason.code());
             assertThat(problem.path("notRun").asBoolean()).isEqualTo(reason.isNotRun());
@@ -34,13 +34,13 @@
         @ParameterizedTest
         @CsvSource({"1, 0.001", "50, 0.050", "1179, 1.179", "60000, 60.000"})
         void isInSeconds(long millis, String seconds) {
-            FullHttpResponse response = AnswerHead.of(EndReason.OVERLOAD, millis);
+            FullHttpResponse response = ErrorResponses.of(EndReason.OVERLOAD, millis);
             assertThat(response.headers().get(HttpHeaderNames.RETRY_AFTER)).isEqualTo(seconds);
         }
 
         @Test
-        void isLeftOutWhereTimeChangesNothing() {
-            assertThat(AnswerHead.of(EndReason.KEY_UNKNOWN, 0).headers().contains(HttpHeaderNames.RETRY_AFTER))
+        void isOmittedWhenARetryCannotSucceed() {
+            assertThat(ErrorResponses.of(EndReason.KEY_UNKNOWN, 0).headers().contains(HttpHeaderNames.RETRY_AFTER))
                     .isFalse();
         }
     }
--- a/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
@@ -8,12 +8,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class RetryBudgetsTest {
-    private static final double SHARE = 0.2;
+    private static final double RETRY_SHARE = 0.2;
 
-    private static int atOnce(int entries, int slack) {
-        RetryBudgets budgets = new RetryBudgets(SHARE, slack);
+    private static int burst(int entries, int slack) {
+        RetryBudgets budgets = new RetryBudgets(RETRY_SHARE, slack);
         budgets.entries(entries);
-        RetryBudget budget = budgets.of("pool");
+        RetryBudget budget = budgets.forPool("pool");
         for (int request = 0; request < 10_000; request++) {
             budget.requested();
         }
@@ -27,13 +27,13 @@
     /** Guards against retries of all entries at once that together exceed what is allowed. */
     @ParameterizedTest
     @CsvSource({"7, 54", "9, 58", "54, 150", "91, 222"})
-    void staysWithinTheSlackOverAllEntries(int entries, int slack) {
-        assertThat(atOnce(entries, slack) * entries).isLessThanOrEqualTo(slack);
+    void staysWithinTheSlackAcrossAllEntries(int entries, int slack) {
+        assertThat(burst(entries, slack) * entries).isLessThanOrEqualTo(slack);
     }
 
     /** Guards against a call that fails for good because the same entry has repeated another one just before. */
     @Test
-    void letsOneOfManyEntriesRepeatTwoCallsInARow() {
-        assertThat(atOnce(91, 222)).isGreaterThanOrEqualTo(2);
+    void allowsOneOfManyEntriesTwoRetriesInARow() {
+        assertThat(burst(91, 222)).isGreaterThanOrEqualTo(2);
     }
 }
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -43,12 +43,12 @@
     private static final Upstream UNLISTED = new Upstream("x", 1, "pool", "127.0.0.1:8", "a", "v1", 4, false, false);
 
     private final EventLog events = new EventLog("entry", new PrintStream(OutputStream.nullOutputStream()));
-    private final PlayedLinks links = new PlayedLinks();
-    private final Requester requester = new Requester();
+    private final FakeLinks links = new FakeLinks();
+    private final RecordingListener listener = new RecordingListener();
     private final SlotClient client = new SlotClient(settings(), links, events);
 
     @BeforeEach
-    void knowsTwoSchedulers() {
+    void applyViewWithTwoSchedulers() {
         Catalogue catalogue = new Catalogue(
                 1, List.of(), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.STANDARD);
         client.onView(
@@ -64,7 +64,7 @@
     }
 
     @AfterEach
-    void closesTheLog() {
+    void closeLog() {
         events.close();
     }
 
@@ -87,7 +87,7 @@
                 bounds);
     }
 
-    private UpstreamSlot ask(long now) {
+    private UpstreamSlot requestSlot(long now) {
         SlotRequest request = new SlotRequest(
                 "pool",
                 "",
@@ -101,12 +101,12 @@
                 8_000,
                 new SlotRequest.Work(100, 20, 0, 0, "", 0),
                 List.of());
-        UpstreamSlot slot = client.request(request, requester, now);
+        UpstreamSlot slot = client.request(request, listener, now);
         client.send(slot, now);
         return slot;
     }
 
-    private void replies(String scheduler, UpstreamSlot slot, SlotReply reply, long now) {
+    private void reply(String scheduler, UpstreamSlot slot, SlotReply reply, long now) {
         client.onReply(scheduler, new FleetMessage.Reply(slot.id(), reply), now);
     }
 
@@ -115,10 +115,10 @@
     }
 
     @Nested
-    class WithItsScheduler {
+    class AttachedScheduler {
         @Test
-        void attachesBeforeItAsks() {
-            ask(0);
+        void receivesAnAttachBeforeTheFirstRequest() {
+            requestSlot(0);
             assertThat(links.sentTo(NEAR)).hasSize(2);
             assertThat(links.sentTo(NEAR).get(0)).isInstanceOf(FleetMessage.Attach.class);
             assertThat(links.sentTo(NEAR).get(1)).isInstanceOf(FleetMessage.Ask.class);
@@ -126,94 +126,94 @@
         }
 
         @Test
-        void usesWhatIsGrantedAndReportsItsEnd() {
-            UpstreamSlot slot = ask(0);
-            replies(NEAR, slot, granted(ENGINE), 1);
-            assertThat(requester.granted).containsExactly(slot);
+        void receivesAReportWhenAGrantedSlotEnds() {
+            UpstreamSlot slot = requestSlot(0);
+            reply(NEAR, slot, granted(ENGINE), 1);
+            assertThat(listener.granted).containsExactly(slot);
             slot.end(SlotOutcome.SUCCESS);
-            assertThat(links.ended(NEAR)).containsExactly(SlotOutcome.SUCCESS);
+            assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.SUCCESS);
         }
 
         /** Guards against a slot that stays taken because its request was withdrawn while the grant was on its way. */
         @Test
-        void givesBackWhatIsGrantedToARequestThatWasWithdrawn() {
-            UpstreamSlot slot = ask(0);
-            slot.withdraw();
-            replies(NEAR, slot, granted(ENGINE), 1);
-            assertThat(requester.granted).isEmpty();
-            assertThat(links.ended(NEAR)).contains(SlotOutcome.UNUSED);
+        void getsBackASlotGrantedToACancelledRequest() {
+            UpstreamSlot slot = requestSlot(0);
+            slot.cancel();
+            reply(NEAR, slot, granted(ENGINE), 1);
+            assertThat(listener.granted).isEmpty();
+            assertThat(links.outcomes(NEAR)).contains(SlotOutcome.UNUSED);
         }
 
         /** Guards against a request that is sent to an upstream which this entry knows to be gone. */
         @Test
-        void declinesAnUpstreamThatItDoesntKnow() {
-            UpstreamSlot slot = ask(0);
-            replies(NEAR, slot, granted(UNLISTED), 1);
-            assertThat(requester.granted).isEmpty();
-            assertThat(links.ended(NEAR)).containsExactly(SlotOutcome.UNUSED);
+        void receivesANewRequestWhenItGrantsAnUnlistedUpstream() {
+            UpstreamSlot slot = requestSlot(0);
+            reply(NEAR, slot, granted(UNLISTED), 1);
+            assertThat(listener.granted).isEmpty();
+            assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.UNUSED);
             assertThat(links.lastAsk(NEAR).request().avoided()).containsExactly(UNLISTED.run());
         }
 
         @Test
-        void waitsAsLongAsTheSchedulerSaysThatItIsQueued() {
-            UpstreamSlot slot = ask(0);
-            replies(NEAR, slot, new SlotReply.Queued(100), 1);
-            client.look(150);
+        void keepsARequestThatItReportsAsQueued() {
+            UpstreamSlot slot = requestSlot(0);
+            reply(NEAR, slot, new SlotReply.Queued(100), 1);
+            client.checkPending(150);
             assertThat(links.sentTo(FAR)).isEmpty();
-            assertThat(requester.rejected).isEmpty();
+            assertThat(listener.rejected).isEmpty();
         }
 
         /** Guards against a caller that waits for ever because its queued request was lost with its scheduler. */
         @Test
-        void endsAQueuedRequestThatTheSchedulerNeverDecides() {
-            UpstreamSlot slot = ask(0);
-            replies(NEAR, slot, new SlotReply.Queued(100), 1);
-            client.look(301);
-            assertThat(requester.rejected).hasSize(1);
+        void losesAQueuedRequestThatIsOverdue() {
+            UpstreamSlot slot = requestSlot(0);
+            reply(NEAR, slot, new SlotReply.Queued(100), 1);
+            client.checkPending(301);
+            assertThat(listener.rejected).hasSize(1);
         }
     }
 
     @Nested
-    class WithoutAnAnswer {
-        private static final long NOTICED_MILLIS = SlotClient.REPLY_MILLIS + 1;
+    class UnresponsiveScheduler {
+        private static final long AFTER_TIMEOUT_MILLIS = SlotClient.REPLY_TIMEOUT_MILLIS + 1;
 
         /** Guards against requests that wait for a scheduler that is frozen or cut off. */
         @Test
-        void asksAnotherScheduler() {
-            ask(0);
-            client.look(NOTICED_MILLIS);
-            assertThat(links.lastAsk(FAR).request().waitMillis()).isEqualTo(200 - NOTICED_MILLIS);
+        void isReplacedByAnotherScheduler() {
+            requestSlot(0);
+            client.checkPending(AFTER_TIMEOUT_MILLIS);
+            assertThat(links.lastAsk(FAR).request().waitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
         }
 
         /** Guards against engines that look empty to a scheduler whose new entries hold half of their slots. */
         @Test
-        void bringsAlongTheSlotsThatItHolds() {
-            UpstreamSlot held = ask(0);
-            replies(NEAR, held, granted(ENGINE), 1);
-            ask(10);
-            client.look(10 + NOTICED_MILLIS);
+        void isReplacedByASchedulerThatLearnsOfTheHeldSlots() {
+            UpstreamSlot held = requestSlot(0);
+            reply(NEAR, held, granted(ENGINE), 1);
+            requestSlot(10);
+            client.checkPending(10 + AFTER_TIMEOUT_MILLIS);
             FleetMessage.Attach attach = (FleetMessage.Attach) links.sentTo(FAR).get(0);
             assertThat(attach.held()).hasSize(1);
             held.end(SlotOutcome.SUCCESS);
-            assertThat(links.ended(FAR)).containsExactly(SlotOutcome.SUCCESS);
+            assertThat(links.outcomes(FAR)).containsExactly(SlotOutcome.SUCCESS);
         }
 
         /** Guards against two grants for one request after its scheduler has woken up. */
         @Test
-        void givesBackALateGrantOfTheFormerScheduler() {
-            UpstreamSlot slot = ask(0);
+        void getsBackASlotThatItGrantsTooLate() {
+            UpstreamSlot slot = requestSlot(0);
             long formerId = slot.id();
-            client.look(NOTICED_MILLIS);
-            client.onReply(NEAR, new FleetMessage.Reply(formerId, granted(ENGINE)), NOTICED_MILLIS + 5);
-            assertThat(requester.granted).isEmpty();
-            assertThat(links.ended(NEAR)).contains(SlotOutcome.UNUSED);
-            replies(FAR, slot, granted(ENGINE), NOTICED_MILLIS + 6);
-            assertThat(requester.granted).containsExactly(slot);
+            client.checkPending(AFTER_TIMEOUT_MILLIS);
+            client.onReply(NEAR, new FleetMessage.Reply(formerId, granted(ENGINE)), AFTER_TIMEOUT_MILLIS + 5);
+            assertThat(listener.granted).isEmpty();
+            assertThat(links.outcomes(NEAR)).contains(SlotOutcome.UNUSED);
+            reply(FAR, slot, granted(ENGINE), AFTER_TIMEOUT_MILLIS + 6);
+            assertThat(listener.granted).containsExactly(slot);
         }
 
         @Test
-        void asksAnotherSchedulerAtOnceWhenTheConnectionIsLost() {
-            ask(0);
+        void isReplacedAtOnceWhenItsConnectionIsLost() {
+            requestSlot(0);
             links.connected.remove(NEAR);
             client.onLinkLost(NEAR, 5);
             assertThat(links.lastAsk(FAR)).isNotNull();
@@ -221,10 +221,10 @@
 
         /** Guards against a scheduler that has forgotten an entry whose connection was made anew meanwhile. */
         @Test
-        void attachesAnewOverANewConnection() {
-            ask(0);
+        void receivesAnotherAttachOverANewConnection() {
+            requestSlot(0);
             links.connected.put(NEAR, 2);
-            ask(10);
+            requestSlot(10);
             assertThat(links.sentTo(NEAR))
                     .filteredOn(FleetMessage.Attach.class::isInstance)
                     .hasSize(2);
@@ -232,36 +232,36 @@
     }
 
     @Nested
-    class Alone {
+    class LocalScheduler {
         /** Guards against an entry that serves nobody while all control hosts restart. */
         @Test
-        void grantsSlotsItselfWhereNoSchedulerIsReachable() {
+        void grantsSlotsWhenNoOtherSchedulerIsReachable() {
             links.connected.clear();
-            ask(0);
-            assertThat(requester.granted).hasSize(1);
+            requestSlot(0);
+            assertThat(listener.granted).hasSize(1);
         }
 
         @Test
-        void grantsSlotsItselfWhereNoSchedulerIsReady() {
-            UpstreamSlot slot = ask(0);
-            replies(NEAR, slot, new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0), 1);
-            replies(FAR, slot, new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0), 2);
-            assertThat(requester.granted).containsExactly(slot);
+        void grantsSlotsWhenNoOtherSchedulerIsReady() {
+            UpstreamSlot slot = requestSlot(0);
+            reply(NEAR, slot, new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0), 1);
+            reply(FAR, slot, new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0), 2);
+            assertThat(listener.granted).containsExactly(slot);
         }
 
         @Test
-        void tellsTheNextSchedulerWhatItHasGrantedItself() {
+        void reportsItsGrantsToTheNextScheduler() {
             links.connected.clear();
-            ask(0);
+            requestSlot(0);
             links.connected.put(FAR, 1);
-            ask(10);
+            requestSlot(10);
             FleetMessage.Attach attach = (FleetMessage.Attach) links.sentTo(FAR).get(0);
             assertThat(attach.held()).hasSize(1);
         }
     }
 
     /** Keeps what became of requests. */
-    private static final class Requester implements UpstreamSlot.Listener {
+    private static final class RecordingListener implements UpstreamSlot.Listener {
         private final List<UpstreamSlot> granted = new ArrayList<>();
         private final List<SlotReply.Rejected> rejected = new ArrayList<>();
 
@@ -279,7 +279,7 @@
     }
 
     /** Keeps what is sent over connections that a test makes and loses. */
-    private static final class PlayedLinks implements FleetSender {
+    private static final class FakeLinks implements FleetSender {
         private final Map<String, Integer> connected = new HashMap<>(Map.of(NEAR, 1, FAR, 1));
         private final Map<String, List<FleetMessage>> sent = new HashMap<>();
 
@@ -295,7 +295,7 @@
             return last;
         }
 
-        List<SlotOutcome> ended(String address) {
+        List<SlotOutcome> outcomes(String address) {
             List<SlotOutcome> outcomes = new ArrayList<>();
             for (FleetMessage message : sentTo(address)) {
                 if (message instanceof FleetMessage.Report report
