--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -16,15 +16,14 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Carries one exchange at a time over one connection.
+ * A connection to an upstream, which carries one exchange at a time.
  *
- * <p>Guards against an answer that reaches the wrong caller: a connection whose exchange did not end cleanly is closed,
- * so that whatever the upstream still sends on it has nobody to reach.
+ * <p>A connection whose exchange did not end cleanly is closed, so that a late response can't reach another caller.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamExchange {
     private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d{1,6})");
 
-    /** How long before the upstream closes an idle connection it is no longer used; covers a slow way there. */
+    /** How long before the upstream closes an idle connection it is no longer reused, in milliseconds; covers network delay. */
     private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
     private final UpstreamConnections connections;
@@ -37,12 +36,13 @@
     private boolean skippingResponse;
     private long maxIdleMillis;
 
-    UpstreamConnection(UpstreamConnections pool, String address) {
+    UpstreamConnection(UpstreamConnections connections, String address) {
         super(false);
-        this.connections = pool;
+        this.connections = connections;
         this.address = address;
     }
 
+    /** Starts an exchange on a new or idle connection. */
     void begin(Channel connected, UpstreamListener receiver) {
         channel = connected;
         listener = receiver;
@@ -136,14 +136,15 @@
         }
     }
 
-    /** Returns for how long the upstream keeps the idle connection, less a margin for a request on its way. */
+    /** Returns how long the idle connection may be reused, in milliseconds: the stated Keep-Alive timeout less a margin. */
     private static long keepAliveMillis(HttpResponse response) {
-        Matcher stated = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
-        return stated.find()
-                ? Math.max(0, Long.parseLong(stated.group(1)) * 1_000 - KEEP_ALIVE_MARGIN_MILLIS)
+        Matcher timeout = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
+        return timeout.find()
+                ? Math.max(0, Long.parseLong(timeout.group(1)) * 1_000 - KEEP_ALIVE_MARGIN_MILLIS)
                 : Long.MAX_VALUE;
     }
 
+    /** Ends the exchange, and keeps the connection for reuse where request and response are complete. */
     private void complete() {
         responseComplete = true;
         UpstreamListener receiver = listener;
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
@@ -17,8 +17,8 @@
 import org.radishspur.node.settings.HostPort;
 
 /**
- * Keeps the connections of one traffic thread to all upstreams, and begins exchanges over idle ones or new ones. Since each thread has its own, an exchange never leaves
- * the thread of its caller.
+ * Holds the connections of one traffic thread to all upstreams, and starts exchanges on idle or new ones. As each traffic thread
+ * has an instance of its own, an exchange runs on the thread of its caller.
  */
 public final class UpstreamConnections implements UpstreamExchange.Factory {
     private final EventLoop loop;
@@ -29,9 +29,9 @@
     /**
      * Creates an empty set of connections.
      *
-     * @param loop the traffic thread, on which every method must be called.
-     * @param connectMillis how long making a connection may take, in milliseconds.
-     * @param keepMillis how long an unused connection is kept at most, in milliseconds.
+     * @param loop the event loop of the traffic thread, on which every method must be called.
+     * @param connectMillis how long connecting may take, in milliseconds.
+     * @param keepMillis how long an idle connection is kept at most, in milliseconds; an upstream may state a shorter time.
      */
     public UpstreamConnections(EventLoop loop, long connectMillis, long keepMillis) {
         this.loop = loop;
@@ -42,9 +42,9 @@
     /** {@inheritDoc} */
     @Override
     public UpstreamExchange open(String address, UpstreamListener listener) {
-        Deque<Idle> waiting = idle.getOrDefault(address, new ArrayDeque<>());
-        while (!waiting.isEmpty()) {
-            Idle candidate = waiting.removeLast();
+        Deque<Idle> candidates = idle.getOrDefault(address, new ArrayDeque<>());
+        while (!candidates.isEmpty()) {
+            Idle candidate = candidates.removeLast();
             if (candidate.channel().isActive() && System.nanoTime() < candidate.keepUntil()) {
                 candidate.connection().begin(candidate.channel(), listener);
                 loop.execute(listener::onConnected);
@@ -55,18 +55,20 @@
         return connect(address, listener);
     }
 
-    void returnIdle(String address, UpstreamConnection connection, Channel channel, long allowedMillis) {
-        long keepUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(keepMillis, allowedMillis));
+    /** Makes a connection available for reuse, for a time in milliseconds that the upstream has stated. */
+    void returnIdle(String address, UpstreamConnection connection, Channel channel, long maxIdleMillis) {
+        long keepUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(keepMillis, maxIdleMillis));
         idle.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(new Idle(connection, channel, keepUntil));
-        // Reading on is what shows that the upstream has closed the connection, before it is used again.
+        // A pending read detects that the upstream closes the idle connection, before it is reused.
         channel.read();
     }
 
+    /** Removes a closed connection. */
     void remove(String address, UpstreamConnection connection) {
-        Deque<Idle> waiting = idle.get(address);
-        if (waiting != null) {
-            waiting.removeIf(candidate -> candidate.connection() == connection);
-            if (waiting.isEmpty()) {
+        Deque<Idle> candidates = idle.get(address);
+        if (candidates != null) {
+            candidates.removeIf(candidate -> candidate.connection() == connection);
+            if (candidates.isEmpty()) {
                 idle.remove(address);
             }
         }
@@ -99,11 +101,11 @@
     }
 
     /**
-     * Holds an idle connection.
+     * An idle connection.
      *
-     * @param connection its handler.
-     * @param channel its channel.
-     * @param keepUntil when it is too old to be used again, by the nanosecond clock.
+     * @param connection the handler of the connection.
+     * @param channel the channel of the connection.
+     * @param keepUntil until when it may be reused, by {@link System#nanoTime()}.
      */
     private record Idle(UpstreamConnection connection, Channel channel, long keepUntil) {}
 }
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
@@ -4,41 +4,41 @@
 import io.netty.handler.codec.http.HttpObject;
 
 /**
- * Lets the holder of an exchange write its request and pace its answer.
+ * One request to an upstream and its response. The holder writes the request and controls how fast the response is read.
  */
 public interface UpstreamExchange {
     /**
      * Writes a part of the request.
      *
-     * @param part the part.
-     * @return tells when the part has gone out.
+     * @param part the head, a part of the body, or a full request; released once written.
+     * @return a future that completes when the part has been written to the socket.
      */
     ChannelFuture write(HttpObject part);
 
-    /** Asks for more of the answer. */
+    /** Requests one more read of the response; nothing is read otherwise. */
     void read();
 
     /**
-     * Drops the answer whose head has just come and waits for the next one, after which the connection is closed.
+     * Discards the response whose head has just been received and waits for the next one, after which the connection is closed.
      *
-     * <p>Guards against an upstream that answers a request twice: the second copy stands where the next answer on the
-     * connection is due, and must not reach the caller of that one.
+     * <p>This handles an upstream that responds to a request twice: the second copy arrives where the response to the next
+     * request on the connection is expected, and must not reach its caller.
      */
     void skipResponse();
 
-    /** Gives the exchange up and closes the connection; the listener receives nothing more. */
+    /** Aborts the exchange and closes the connection; the listener is not invoked again. */
     void abort();
 
     /**
-     * Begins exchanges with upstreams.
+     * Starts exchanges with upstreams.
      */
     interface Factory {
         /**
-         * Begins an exchange.
+         * Starts an exchange.
          *
-         * @param address the address of the upstream.
-         * @param listener receives what happens.
-         * @return the exchange, on which nothing may be written before the listener is notified of the connection.
+         * @param address the host and port of the upstream.
+         * @param listener the listener of the exchange.
+         * @return the exchange, to which nothing may be written before {@link UpstreamListener#onConnected()}.
          */
         UpstreamExchange open(String address, UpstreamListener listener);
     }
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamHeaders.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamHeaders.java
@@ -9,37 +9,37 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Names the headers of the upstreams' edge.
+ * Defines the headers between radishspur-node and upstreams, and copies end-to-end headers for both programs.
  */
 public enum UpstreamHeaders {
-    /** The only instance; the names are constants. */
+    /** The only instance; it has no state. */
     INSTANCE;
 
-    /** The header in which an upstream says that it did not admit a request. */
+    /** The response header by which an upstream states that it did not admit a request. */
     public static final String ADMISSION = "Radishspur-Admission";
 
-    /** The value that says that the upstream took nothing of the request. */
+    /** The value of {@link #ADMISSION} for a request that was not admitted. */
     public static final String ADMISSION_REFUSED = "refused";
 
-    /** The value that says the same, and that the upstream is leaving. */
+    /** The value of {@link #ADMISSION} for a request that was not admitted because the upstream is shutting down. */
     public static final String ADMISSION_DRAINING = "draining";
 
-    /** The header in which an upstream says how many requests it runs. */
+    /** The response header with the number of requests that the upstream is running. */
     public static final String LOAD_RUNNING = "Radishspur-Load-Running";
 
-    /** The header in which an upstream says how many requests wait inside it. */
+    /** The response header with the number of requests that are queued inside the upstream. */
     public static final String LOAD_WAITING = "Radishspur-Load-Waiting";
 
-    /** The header in which an upstream says that it is leaving, while it still finishes what it runs. */
+    /** The response header of an upstream that is shutting down, and completes the requests that it is running. */
     public static final String LEAVING = "Radishspur-Leaving";
 
-    /** The header in which an upstream says which run of its process answers. */
+    /** The response header with the number of the run of the upstream's process. */
     public static final String INCARNATION = "Radishspur-Incarnation";
 
-    /** The header that names the attempt, for the upstream's log. */
+    /** The header with the identifier of the attempt, for the upstream's log; responses to callers carry that of the request. */
     public static final String REQUEST = "Radishspur-Request";
 
-    /** The header that says how long the answer keeps its value, in milliseconds. */
+    /** The request header with the time until the deadline, in milliseconds. */
     public static final String REMAINING_MILLIS = "Radishspur-Remaining-Millis";
 
     private static final Pattern INCARNATION_NUMBER = Pattern.compile("\\d{1,18}");
@@ -56,31 +56,31 @@
             "expect");
 
     /**
-     * Copies the headers that are meant for the far end.
+     * Copies end-to-end headers, which are all but hop-by-hop headers and those that the Connection header names.
      *
-     * @param from the headers of one connection.
-     * @param to the headers of the other connection.
+     * @param from the headers received on one connection.
+     * @param to the headers to be sent on the other connection.
      */
     public void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
-        Set<String> named = new java.util.HashSet<>();
+        Set<String> connectionHeaders = new java.util.HashSet<>();
         for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
             for (String token : value.split(",")) {
-                named.add(token.strip().toLowerCase(java.util.Locale.ROOT));
+                connectionHeaders.add(token.strip().toLowerCase(java.util.Locale.ROOT));
             }
         }
         from.forEach(header -> {
             String name = header.getKey().toLowerCase(java.util.Locale.ROOT);
-            if (!HOP_BY_HOP.contains(name) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name) && !connectionHeaders.contains(name)) {
                 to.add(header.getKey(), header.getValue());
             }
         });
     }
 
     /**
-     * Tells what an upstream says about having admitted a request.
+     * Returns what an upstream states about the admission of a request.
      *
-     * @param response the head of its answer.
-     * @return whether the request was admitted.
+     * @param response the head of its response.
+     * @return the admission; only a response with status 503 can state that the request was not admitted.
      */
     public Admission admissionOf(HttpResponse response) {
         String value = response.headers().get(ADMISSION, "");
@@ -95,10 +95,10 @@
     }
 
     /**
-     * Tells which run of an upstream's process has answered.
+     * Returns which run of an upstream's process has responded.
      *
-     * @param headers the headers of its answer.
-     * @return the number of the run, or 0 where the upstream doesn't say or says no number.
+     * @param headers the headers of its response.
+     * @return the number of the run, or 0 where the header is missing or not a number of up to 18 digits.
      */
     public long incarnationOf(HttpHeaders headers) {
         String value = headers.get(INCARNATION, "");
@@ -106,14 +106,14 @@
     }
 
     /**
-     * Names what an upstream may say about a request.
+     * What an upstream may state about the admission of a request.
      */
     public enum Admission {
-        /** It took the request. */
+        /** The request was admitted. */
         ADMITTED,
-        /** It took nothing of the request. */
+        /** The request was not admitted. */
         REFUSED,
-        /** It took nothing of the request, because it is leaving. */
+        /** The request was not admitted, because the upstream is shutting down. */
         DRAINING
     }
 }
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
@@ -4,39 +4,39 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Receives what happens on one exchange with an upstream, on the traffic thread of the exchange.
+ * Receives the events of one exchange with an upstream, on the traffic thread of the exchange.
  */
 public interface UpstreamListener {
-    /** Learns that the connection is there and that the request may be written. */
+    /** Invoked when the connection is established, so that the request may be written. */
     void onConnected();
 
-    /** Learns that no connection could be made, so that no byte can have arrived. */
+    /** Invoked when no connection could be established, so that no byte can have reached the upstream. */
     void onConnectFailed();
 
     /**
-     * Takes the head of the answer.
+     * Invoked when the head of the response has been received.
      *
-     * @param response the head.
+     * @param response the status and the headers.
      */
     void onHead(HttpResponse response);
 
     /**
-     * Takes a part of the body.
+     * Invoked for each part of the body.
      *
-     * @param content the part, which the listener has to release.
+     * @param content the bytes of the part, which the listener has to release.
      */
     void onContent(ByteBuf content);
 
-    /** Learns that all that has arrived so far was passed on. */
+    /** Invoked when a read is complete: what it has received was passed on, and more is read only on request. */
     void onPause();
 
-    /** Learns that the answer is whole. */
+    /** Invoked when the response is complete. */
     void onEnd();
 
     /**
-     * Learns that the connection broke before the answer was whole.
+     * Invoked when the connection was lost, or invalid bytes were received, before the response was complete.
      *
-     * @param cause what broke it.
+     * @param cause the failure.
      */
     void onBroken(Throwable cause);
 }
