--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -28,34 +28,42 @@
 import org.radishspur.node.schedule.ConfirmedView;
 
 /**
- * Brings one request from its head to its one final answer. All of it happens on the traffic thread.
+ * Processes one request from the arrival of its head to its only response: it reads the body, finds the route and the
+ * organisation, requests a slot, sends the request to the granted upstream and retries on others where the route allows that.
+ * The traffic thread owns it.
  */
 final class CallerExchange implements UpstreamSlot.Listener {
-    /** The part of a route's target time that a request may wait for a place; the rest is for the answer. */
+    /** The share of the route's target latency that a caller's first try may wait for a slot; the rest is for the response. */
     private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
-    /** The part of its remaining time that a request may wait that can't be on time any more. */
+    /**
+     * The share of the time until its deadline that a request may wait for a slot where no target latency applies: the route
+     * has none, or the caller or this entry is retrying.
+     */
     private static final double RETRY_WAIT_SHARE = 0.4;
 
     /**
-     * The part of its time that a request waits for the catalogue to be confirmed; a caller that is sent away sooner spends
-     * its only retry on coming back too soon.
+     * The share of its deadline that a request waits for the view to be confirmed. A caller that is refused sooner spends its
+     * only retry before the confirmation.
      */
     private static final double CONFIRMATION_WAIT_SHARE = 0.2;
 
     /**
-     * The longest time that a request waits for a place, in milliseconds. Callers of streams hang up after some two seconds
-     * without an event; the rest is for the upstream's first one.
+     * The maximum time that a request waits for a slot, in milliseconds. Callers of streams disconnect after about two seconds
+     * without an event; the rest is for the upstream's first event.
      */
     private static final long MAX_WAIT_MILLIS = 1_200;
 
-    /** The time a caller has that states none, in milliseconds, where its route's timeout doesn't end it sooner. */
+    /** The deadline of a request that states none, in milliseconds from its arrival; a route's timeout may end it sooner. */
     private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
 
-    /** To how many upstreams a request is offered at most that none has run; each offer takes a way there and back. */
+    /**
+     * The maximum number of slots that are requested for one request while upstreams don't run it; each slot costs a round
+     * trip.
+     */
     private static final int MAX_SLOT_REQUESTS = 4;
 
-    /** With less time than this left another upstream isn't tried, in milliseconds. */
+    /** The minimum time until the deadline for another attempt, in milliseconds. */
     private static final long MIN_RETRY_MILLIS = 60;
 
     private final EntryServices services;
@@ -120,9 +128,9 @@
             body.writeBytes(content.content());
             if (content instanceof LastHttpContent) {
                 bodyComplete = true;
-                // Guards against work for callers who have left: after a stall, a request and the close behind it
-                // wait in the socket together. The connection is closed before this task runs, since the front reads
-                // to the end of what has come.
+                // Avoids work for disconnected callers: after a pause of the process, a request and the close that
+                // follows it are read together. As the server reads until the socket is empty, the close is handled
+                // before this task runs.
                 services.loop().execute(this::handleRequest);
             }
         } finally {
@@ -139,30 +147,34 @@
             refuse(EndReason.MALFORMED, 0, false);
             return;
         }
-        long stated = head.deadlineMillis() > 0 ? head.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
-        deadlineAt = arrivedAt + stated;
+        long statedMillis = head.deadlineMillis() > 0 ? head.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
+        deadlineAt = arrivedAt + statedMillis;
         if (services.isConfirmed()) {
-            route(stated);
+            matchRoute(statedMillis);
         } else {
-            awaitConfirmation(stated);
+            awaitConfirmation(statedMillis);
         }
     }
 
     /**
-     * Waits a moment for the catalogue to be confirmed. After a restart or the loss of the control leader that takes about
-     * a second, and a caller that is sent away at once spends its only retry on coming back too soon.
+     * Waits for the view to be confirmed before the request is routed. After a restart or the loss of the control leader that
+     * takes about a second; a caller that is refused at once would spend its only retry before it.
      */
-    private void awaitConfirmation(long stated) {
-        long wait = Math.min(MAX_WAIT_MILLIS, (long) (stated * CONFIRMATION_WAIT_SHARE));
+    private void awaitConfirmation(long statedMillis) {
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, (long) (statedMillis * CONFIRMATION_WAIT_SHARE));
         timer = services.loop()
-                .schedule(() -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false), wait, TimeUnit.MILLISECONDS);
+                .schedule(
+                        () -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false),
+                        waitMillis,
+                        TimeUnit.MILLISECONDS);
         services.awaitConfirmation(this, () -> {
             timer.cancel(false);
-            route(stated);
+            matchRoute(statedMillis);
         });
     }
 
-    private void route(long stated) {
+    /** Finds the route and checks the key, then sets the deadline and requests the first slot. */
+    private void matchRoute(long statedMillis) {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         Optional<RouteRule> matched = catalogue.match(head.host(), head.path());
         if (matched.isEmpty()) {
@@ -176,12 +188,13 @@
             return;
         }
         deadlineAt = Math.min(deadlineAt, arrivedAt + route.timeoutMillis());
-        callerRetry = services.isCallerRetry(route.name(), stated);
+        callerRetry = services.isCallerRetry(route.name(), statedMillis);
         timer = services.loop()
                 .schedule(this::onDeadline, Math.max(1, deadlineAt - EntryServices.now()), TimeUnit.MILLISECONDS);
         requestFirstSlot();
     }
 
+    /** Draws a pool of the route by its shares and requests a slot there. */
     private void requestFirstSlot() {
         poolName = route.choosePool(ThreadLocalRandom.current().nextDouble());
         services.retryBudget(poolName).requested();
@@ -189,30 +202,37 @@
                 .map(OrganisationRule::priority)
                 .filter(priority -> priority >= 0)
                 .orElse(0);
-        double wait = callerRetry || route.targetLatencyMillis() <= 0
+        double waitMillis = callerRetry || route.targetLatencyMillis() <= 0
                 ? (deadlineAt - arrivedAt) * RETRY_WAIT_SHARE
                 : route.targetLatencyMillis() * FIRST_TRY_WAIT_SHARE;
         splitter = new EventSplitter(head.resumeAfter());
-        requestSlot(arrivedAt + (long) wait, true);
+        requestSlot(arrivedAt + (long) waitMillis, true);
     }
 
-    private void requestSlot(long waitUntil, boolean mayTry) {
+    /**
+     * Requests a slot in the pool. The upstream of the last attempt and unreachable ones serve only if no other can.
+     *
+     * @param waitUntil until when to wait for the slot, by {@link EntryServices#now()}.
+     * @param trialAllowed whether an upstream of a version under trial may run the request.
+     */
+    private void requestSlot(long waitUntil, boolean trialAllowed) {
         slotRequests++;
         long now = EntryServices.now();
-        long wait = Math.min(MAX_WAIT_MILLIS, Math.min(waitUntil, deadlineAt) - now);
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, Math.min(waitUntil, deadlineAt) - now);
         List<String> avoided = new ArrayList<>(services.slots().unreachable(poolName, now));
         if (attempt != null) {
             avoided.add(attempt.upstream().run());
         }
         attempt = null;
-        slot = services.slots().request(buildSlotRequest(Math.max(0, wait), mayTry, avoided, now), this, now);
+        slot = services.slots()
+                .request(buildSlotRequest(Math.max(0, waitMillis), trialAllowed, avoided, now), this, now);
         services.slots().send(slot, now);
         services.scheduleCheck();
     }
 
-    private SlotRequest buildSlotRequest(long waitMillis, boolean mayTry, List<String> avoided, long now) {
-        // The target counts from the caller's first try, which a retry has behind it.
-        long target = callerRetry
+    private SlotRequest buildSlotRequest(long waitMillis, boolean trialAllowed, List<String> avoided, long now) {
+        // The target latency counts from the caller's first try, so a retry of the caller has missed it.
+        long targetMillis = callerRetry
                 ? 0
                 : route.targetLatencyMillis() > 0 ? arrivedAt + route.targetLatencyMillis() - now : deadlineAt - now;
         return new SlotRequest(
@@ -222,9 +242,9 @@
                 possibleRuns == 0 ? quotaCost() : 0,
                 organisationRank,
                 callerRetry,
-                mayTry,
+                trialAllowed,
                 waitMillis,
-                Math.max(0, target),
+                Math.max(0, targetMillis),
                 deadlineAt - now,
                 buildWork(),
                 avoided);
@@ -247,7 +267,7 @@
                 head.prefixTokens());
     }
 
-    /** Returns how many tokens the caller expects; its estimate may lie beyond the limit that it sets itself. */
+    /** Returns how many tokens the caller expects, bounded by its own limit of output tokens, which its estimate may exceed. */
     long expectedTokens() {
         return head.outputTokens() > 0 ? Math.min(head.expectedTokens(), head.outputTokens()) : head.expectedTokens();
     }
@@ -267,12 +287,13 @@
         response.writeError(reason, retryAfterMillis, false);
     }
 
-    /** Returns when a caller should retry for whom there may be room after a time, apart from others like it. */
-    private long spreadRetryAfter(long roomAfter) {
+    /** Returns the retry-after in milliseconds, spread at random so that callers refused together don't retry together. */
+    private long spreadRetryAfter(long capacityAfterMillis) {
         double draw = ThreadLocalRandom.current().nextDouble();
-        return RetryAfterPolicy.INSTANCE.spread(deadlineAt - EntryServices.now(), roomAfter, draw);
+        return RetryAfterPolicy.INSTANCE.spread(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
     }
 
+    /** Returns the longest sensible retry-after in milliseconds, for refusals that tell nothing about capacity. */
     private long latestRetryAfter() {
         return RetryAfterPolicy.INSTANCE.latest(deadlineAt - EntryServices.now());
     }
@@ -282,7 +303,7 @@
     public void onGranted(UpstreamSlot granted) {
         slot = null;
         if (!services.isConfirmed() || !isStillAllowed()) {
-            // Guards against a pause of the whole process between the check on arrival and this moment.
+            // The view may have changed or expired since the check on arrival, also by a pause of the whole process.
             granted.end(SlotOutcome.UNUSED);
             refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
             return;
@@ -294,14 +315,14 @@
         attempt.start();
     }
 
-    /** Returns whether what is in force now still lets the request go to the upstream that it was granted. */
+    /** Returns whether the current view still allows the request to be sent to the granted upstream. */
     boolean mayStillBeSent(UpstreamLoad upstream) {
         boolean unchanged = services.view().saysTheSame(viewAtGrant);
         return services.isConfirmed()
                 && (unchanged || isStillAllowed() && services.slots().mayUse(upstream));
     }
 
-    /** Learns that the request was not sent, because what is in force has changed since its slot was granted. */
+    /** Requests another slot, or refuses the request, after the current view no longer allows its granted upstream. */
     void onOutdated() {
         if (services.isConfirmed() && isStillAllowed()) {
             onNotRun("outdated", false);
@@ -310,7 +331,7 @@
         }
     }
 
-    /** Returns whether the catalogue in force now still lets this caller's request go to its pool. */
+    /** Returns whether the current catalogue still routes the request to its pool and still knows its key. */
     private boolean isStillAllowed() {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         boolean routed = catalogue
@@ -327,7 +348,7 @@
         return routed && known;
     }
 
-    /** Looks whether an answer has stopped coming that another upstream may give as well. */
+    /** Abandons the attempt and retries if its upstream has stopped sending and the request may run again. */
     void checkSilence(long now) {
         if (!done && attempt != null && isRetryAllowed() && attempt.isSilent(now)) {
             attempt.abandon();
@@ -335,6 +356,7 @@
         }
     }
 
+    /** Returns whether the request may be sent to another upstream although it may have run already. */
     private boolean isRetryAllowed() {
         return route.mayRepeat()
                 && possibleRuns < route.maximumUpstreams()
@@ -342,25 +364,31 @@
                 && deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS;
     }
 
-    /** Learns that the request is on its way, so that from now on it may run. */
+    /** Counts the request as possibly run, since it is being sent. */
     void onSent() {
         possibleRuns++;
     }
 
-    /** Learns that the upstream has provably not run the request. */
-    void onNotRun(String reason, boolean arrived) {
-        possibleRuns -= arrived ? 1 : 0;
-        boolean allowed = possibleRuns == 0 ? deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS : isRetryAllowed();
-        if (allowed
+    /**
+     * Retries or refuses a request that its upstream is certain not to have run.
+     *
+     * @param reason why not, for the log and the metrics.
+     * @param wasSent whether the request was sent, in which case the retry counts against the budget.
+     */
+    void onNotRun(String reason, boolean wasSent) {
+        possibleRuns -= wasSent ? 1 : 0;
+        boolean retryAllowed =
+                possibleRuns == 0 ? deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS : isRetryAllowed();
+        if (retryAllowed
                 && slotRequests < MAX_SLOT_REQUESTS
-                && (!arrived || services.retryBudget(poolName).take())) {
+                && (!wasSent || services.retryBudget(poolName).take())) {
             retry(reason);
         } else {
             refuse(EndReason.NOT_TAKEN, latestRetryAfter(), false);
         }
     }
 
-    /** Learns that the upstream has failed in a way that leaves open whether the request has run. */
+    /** Retries or fails a request after a failure that leaves open whether its upstream has run it. */
     void onAttemptFailed(String reason) {
         if (isRetryAllowed() && services.retryBudget(poolName).take()) {
             splitter.discardPartial();
@@ -370,18 +398,18 @@
         }
     }
 
-    /** Returns whether a failure that the upstream answers with should be tried elsewhere instead. */
+    /** Takes a retry from the budget if the request may be retried, and returns whether it did. */
     boolean tryTakeRetry() {
         return !response.isHeadWritten()
                 && isRetryAllowed()
                 && services.retryBudget(poolName).take();
     }
 
-    /** Sends the request to another upstream. */
+    /** Requests a slot at another upstream. */
     void retry(String reason) {
         log.retried(reason, upstreamName(), slotRequests);
-        long left = deadlineAt - EntryServices.now();
-        requestSlot(EntryServices.now() + (long) (left * RETRY_WAIT_SHARE), false);
+        long remaining = deadlineAt - EntryServices.now();
+        requestSlot(EntryServices.now() + (long) (remaining * RETRY_WAIT_SHARE), false);
     }
 
     private void onDeadline() {
@@ -409,25 +437,26 @@
         }
     }
 
-    /** Returns what is written to the caller. */
+    /** Returns the response to the caller. */
     CallerResponse response() {
         return response;
     }
 
-    /** Writes a whole answer of the upstream, and ends the request. */
+    /** Writes the complete response of an upstream and ends the request. */
     void writeFull(HttpResponse upstreamHead, ByteBuf content) {
         response.writeFull(upstreamHead, content);
         release();
         response.onWritten();
     }
 
-    /** Ends an answer that was passed on part by part, and the request with it. */
+    /** Ends a response that was written in parts, and the request with it. */
     void writeEnd() {
         response.writeEnd();
         release();
         response.onWritten();
     }
 
+    /** Records the time from the arrival of the request to the first byte of its first response. */
     void recordFirstByte(long millis) {
         if (!firstByteReceived) {
             firstByteReceived = true;
@@ -439,14 +468,15 @@
         log.answered(status, upstream.upstream().id(), firstMillis, longestPauseMillis);
     }
 
-    /** Returns the upstream that has the request, or an empty text. */
+    /** Returns the identifier of the upstream of the current attempt, or an empty text where there is none. */
     private String upstreamName() {
         return attempt == null ? "" : attempt.upstream().upstream().id();
     }
 
+    /** Ends the request with a response that states that it has not run, unless it may have run. */
     private void refuse(EndReason reason, long retryAfterMillis, boolean close) {
         if (possibleRuns > 0) {
-            // A refusal says that nothing has run, which would not be true here.
+            // A refusal states that the request has not run, which is not certain here.
             fail(EndReason.UPSTREAM_FAILED, reason.code());
             return;
         }
@@ -455,18 +485,19 @@
         response.writeError(reason, retryAfterMillis, close);
     }
 
+    /** Ends a request that may have run with an error response, or aborts its response if a part was sent. */
     private void fail(EndReason reason, String cause) {
         log.failed(reason, upstreamName(), cause);
         release();
         if (response.isHeadWritten()) {
-            // The answer has begun: an end that does not look complete is all that can still be said.
+            // The status is sent already; only an incomplete response can still show the failure.
             response.abort();
             return;
         }
         response.writeError(reason, 0, false);
     }
 
-    /** Gives everything back that the request holds. */
+    /** Releases the timer, the slot, the attempt and the body of the request, once. */
     private void release() {
         if (done) {
             return;
@@ -493,6 +524,7 @@
         return request;
     }
 
+    /** Returns the body with a reference count of its own, which the caller of this method releases. */
     ByteBuf retainedBody() {
         return body.retainedDuplicate();
     }
@@ -513,19 +545,22 @@
         return splitter;
     }
 
+    /** Returns the time until the deadline in milliseconds, at least 1. */
     long remainingMillis() {
         return Math.max(1, deadlineAt - EntryServices.now());
     }
 
+    /** Returns when the request arrived, by {@link EntryServices#now()}. */
     long arrivedAt() {
         return arrivedAt;
     }
 
+    /** Returns the priority of the organisation; 0 is the most urgent, and holds also for unknown organisations. */
     int organisationRank() {
         return organisationRank;
     }
 
-    /** Returns whether the caller retries after a refusal. */
+    /** Returns whether the caller is retrying after a refusal. */
     boolean isCallerRetry() {
         return callerRetry;
     }
--- a/node/src/main/java/org/radishspur/node/entry/CallerResponse.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerResponse.java
@@ -17,7 +17,8 @@
 import org.radishspur.node.upstream.UpstreamHeaders;
 
 /**
- * Writes the one answer to a request, an upstream's or our own, and closes the connection behind it where that is due.
+ * Writes the one response to a request, an upstream's or an error response of this entry, and closes the connection after it
+ * where the caller doesn't keep it alive or the entry is stopping.
  */
 final class CallerResponse {
     private final EntryServices services;
@@ -35,7 +36,7 @@
         this.request = request;
     }
 
-    /** Tells the caller to send its body. */
+    /** Writes the interim response 100, after which the caller sends its body. */
     void writeContinue() {
         context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
     }
@@ -44,7 +45,7 @@
         return headWritten;
     }
 
-    /** Returns whether the caller is still connected; the request is notified of its leaving a moment later. */
+    /** Returns whether the caller is connected; the request is notified of a disconnect slightly later. */
     boolean isOpen() {
         return context.channel().isActive();
     }
@@ -53,7 +54,7 @@
         return context.channel().isWritable();
     }
 
-    /** Writes the head of the upstream's answer, once. */
+    /** Writes the head of the upstream's response, unless one has been written. */
     void writeHead(HttpResponse upstreamHead, boolean keepLength) {
         if (headWritten) {
             return;
@@ -69,7 +70,7 @@
         context.write(response);
     }
 
-    /** Writes a part of the answer, which is passed on at the next flush. */
+    /** Writes a part of the body, which is sent at the next flush. */
     void writeContent(ByteBuf content) {
         if (content.isReadable()) {
             context.write(new DefaultHttpContent(content));
@@ -82,7 +83,7 @@
         context.flush();
     }
 
-    /** Writes a whole answer of the upstream. */
+    /** Writes the complete response of an upstream. */
     void writeFull(HttpResponse upstreamHead, ByteBuf content) {
         headWritten = true;
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, upstreamHead.status(), content);
@@ -92,12 +93,12 @@
         writeLast(response, isKeepAlive());
     }
 
-    /** Ends an answer that was passed on part by part. */
+    /** Ends a response that was written in parts. */
     void writeEnd() {
         writeLast(LastHttpContent.EMPTY_LAST_CONTENT, isKeepAlive());
     }
 
-    /** Writes an answer of our own, after which the next request on the connection may begin. */
+    /** Writes an error response of this entry, after which the next request on the connection may start. */
     void writeError(EndReason reason, long retryAfterMillis, boolean close) {
         FullHttpResponse response = ErrorResponses.of(reason, retryAfterMillis);
         boolean keep = isKeepAlive() && !close;
@@ -106,21 +107,21 @@
         onWritten();
     }
 
-    /** Closes the connection in the middle of an answer, so that it can't look complete. */
+    /** Closes the connection in the middle of a response, so that the caller can't take it for a complete one. */
     void abort() {
         context.close();
     }
 
-    /** Lets the next request on the connection begin. */
+    /** Lets the next request on the connection start. */
     void onWritten() {
         connection.onResponseWritten(context, !keepAlive);
     }
 
     private void writeLast(Object last, boolean keep) {
         keepAlive = keep;
-        var written = context.writeAndFlush(last);
+        var future = context.writeAndFlush(last);
         if (!keep) {
-            written.addListener(ChannelFutureListener.CLOSE);
+            future.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/EndReason.java
+++ b/node/src/main/java/org/radishspur/node/entry/EndReason.java
@@ -3,30 +3,31 @@
 import java.util.Locale;
 
 /**
- * Lists why the system ends a request by itself, each with its HTTP status.
+ * The reasons for which an entry ends a request with an error response of its own. The code of a reason is its name in lower case with
+ * hyphens; it is sent to callers, logged and part of metric names.
  */
 enum EndReason {
-    /** The bytes are no request, or a part that the system needs is missing. */
+    /** The request is malformed, or a required header is missing. */
     MALFORMED(400, true),
-    /** The body is larger than callers may send. */
+    /** The body exceeds the limit of the catalogue. */
     BODY_TOO_LARGE(413, true),
-    /** No key came with the request, or one that nobody holds. */
+    /** The request has no key, or one that no organisation holds. */
     KEY_UNKNOWN(401, true),
     /** No route matches. */
     ROUTE_UNKNOWN(404, true),
-    /** The organisation has used up its limit. */
+    /** The quota of the organisation is exhausted. */
     QUOTA(429, true),
-    /** The entry can't be sure what is in force. */
+    /** The view of the entry was not confirmed recently enough, or no longer allows the request. */
     UNCONFIRMED(503, true),
-    /** No place will be free while an answer is worth waiting for. */
+    /** No slot becomes free in time. */
     OVERLOAD(503, true),
-    /** The time ran out before the request was sent to an upstream. */
+    /** The deadline passed before the request was sent to an upstream. */
     EXPIRED(503, true),
-    /** No upstream took the request. */
+    /** No upstream accepted the request. */
     NOT_TAKEN(503, true),
-    /** The time ran out after the request was sent. */
+    /** The deadline passed after the request was sent. */
     TIMEOUT(504, false),
-    /** The connection to the upstream broke, or its answer can't be used. */
+    /** The connection to the upstream was lost or its response was invalid, and the request can't be retried. */
     UPSTREAM_FAILED(502, false);
 
     private final int status;
@@ -39,15 +40,17 @@
         code = name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
+    /** Returns the HTTP status. */
     int status() {
         return status;
     }
 
-    /** Returns whether the request provably has not run and never will. */
+    /** Returns whether the request is certain not to have run and not to run later. */
     boolean isNotRun() {
         return notRun;
     }
 
+    /** Returns the code under which the reason is sent and logged. */
     String code() {
         return code;
     }
--- a/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
@@ -6,13 +6,14 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Counts what an entry does, by reason, and measures how long it takes.
+ * Holds the metrics of an entry: counters of refused, failed and retried requests by reason, and timers of slot waits and
+ * responses.
  */
 final class EntryMetrics {
     private final MetricRegistry registry = new MetricRegistry();
     private final Timer firstByteTime = registry.timer("answers.first-byte");
     private final Timer responseTime = registry.timer("answers.whole");
-    private final Timer recordSlotWait = registry.timer("requests.waited");
+    private final Timer slotWait = registry.timer("requests.waited");
 
     MetricRegistry registry() {
         return registry;
@@ -31,7 +32,7 @@
     }
 
     void recordSlotWait(long millis) {
-        recordSlotWait.update(millis, TimeUnit.MILLISECONDS);
+        slotWait.update(millis, TimeUnit.MILLISECONDS);
     }
 
     void recordAnswered(long firstMillis, long millis) {
--- a/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
@@ -30,22 +30,26 @@
 import org.radishspur.node.upstream.UpstreamExchange;
 
 /**
- * Runs an entry: the traffic thread, the control thread and the edges, under one supervisor.
+ * Runs an entry process: the traffic thread, the control thread, and the servers for callers, health checks and metrics,
+ * which a supervisor restarts when they fail.
  */
 public final class EntryProcess implements FleetInbox, AutoCloseable {
-    /** How often a planned stop looks whether it is done, in milliseconds. */
+    /** How often a planned stop checks whether all requests have ended, in milliseconds. */
     private static final long DRAIN_POLL_MILLIS = 50;
 
-    /** How long callers may still arrive after the balancer was told, in milliseconds: it asks once a second, twice. */
+    /**
+     * How long the load balancer may still route callers here after the ready check fails, in milliseconds: it checks once a
+     * second and acts on the second failure.
+     */
     private static final long BALANCER_UPDATE_MILLIS = 2_300;
 
-    /** How long before the end of the grace a planned stop ends in any case, in milliseconds. */
+    /** How long before the end of the grace period a planned stop ends even with requests in flight, in milliseconds. */
     private static final long GRACE_MARGIN_MILLIS = 400;
 
-    /** How long a connection to an upstream may take, in milliseconds; the ways take a few. */
+    /** How long connecting to an upstream may take, in milliseconds; the network itself takes a few. */
     private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
-    /** How long an idle connection to an upstream is kept, in milliseconds. */
+    /** How long an idle connection to an upstream is kept open, in milliseconds. */
     private static final long MAX_IDLE_MILLIS = 8_000;
 
     private final FleetSettings settings;
@@ -64,10 +68,10 @@
     /**
      * Starts an entry.
      *
-     * @param settings the settings of the process.
-     * @param callers reads callers' requests and upstreams' answers.
+     * @param settings the settings of the process, with the addresses for callers and for the ready check.
+     * @param callers reads the requests of callers and the responses of upstreams.
      * @param operators reads catalogues.
-     * @param events takes structured events.
+     * @param events the log of structured events.
      */
     public EntryProcess(FleetSettings settings, CallerDialect callers, OperatorDialect operators, EventLog events) {
         this.settings = settings;
@@ -75,16 +79,21 @@
         control.onFailure(cause -> failed.countDown());
         events.emit(EventCode.STARTED, "entry", settings.failureDomain(), settings.founding());
         EntryMetrics metrics = new EntryMetrics();
-        VersionCounters tallies = new VersionCounters();
+        VersionCounters versionCounters = new VersionCounters();
         links = new FleetLinks(traffic, this);
         UpstreamExchange.Factory exchanges = new UpstreamConnections(traffic, CONNECT_TIMEOUT_MILLIS, MAX_IDLE_MILLIS);
         services = new EntryServices(
-                settings, callers, events, metrics, new EntryServices.Transport(traffic, exchanges, links), tallies);
+                settings,
+                callers,
+                events,
+                metrics,
+                new EntryServices.Transport(traffic, exchanges, links),
+                versionCounters);
         metrics.registry().register("requests.in_progress", (Gauge<Integer>) services::inProgress);
         metrics.registry().register("catalogue.revision", (Gauge<Long>)
                 () -> services.view().revision());
         follower = new ControlFollower(
-                control, links, operators, events, settings.peerAddress().toString(), tallies, view -> {
+                control, links, operators, events, settings.peerAddress().toString(), versionCounters, view -> {
                     if (!services.applyConfirmation(view)) {
                         traffic.execute(() -> services.onView(view));
                     }
@@ -100,7 +109,7 @@
                         "metrics-server", () -> new MetricsServer(address, eventLoops, metrics.registry())));
         supervisor.start(cause -> failed.countDown());
         control.execute(() -> follower.seeds(addresses(settings.seeds())));
-        // The first reading loads the JSON parser; an entry that has just started waits for the control leader anyway.
+        // Loads the JSON parser now, while the entry waits for the control leader, and not at the first catalogue.
         control.execute(() -> Json.INSTANCE.readTree("{}", ErrorCode.TABLE_INVALID));
     }
 
@@ -111,8 +120,8 @@
             services.onReply(sender.peer(), reply);
         } else if (message instanceof FleetMessage.Document document) {
             control.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.Followed answer) {
-            control.execute(() -> follower.onFollowed(answer));
+        } else if (message instanceof FleetMessage.Followed followed) {
+            control.execute(() -> follower.onFollowed(followed));
         }
     }
 
@@ -123,9 +132,9 @@
     }
 
     /**
-     * Takes over settings that have changed while the process runs.
+     * Applies settings that have changed while the process runs.
      *
-     * @param changed the new settings; only the seeds may differ.
+     * @param changed the new settings, of which only the seeds are used.
      */
     public void reload(FleetSettings changed) {
         events.emit(EventCode.RELOADED, changed.seeds());
@@ -133,7 +142,7 @@
     }
 
     /**
-     * Waits until a part of the process has failed for good.
+     * Waits until the control thread has failed or the supervisor has stopped restarting a failed server.
      *
      * @throws InterruptedException if the waiting thread is interrupted.
      */
@@ -142,20 +151,20 @@
     }
 
     /**
-     * Stops as planned: tells the balancer first, goes on serving until it has turned callers away, and lets every request
-     * in progress end.
+     * Performs a planned stop. The ready check fails first, while requests are still served until the load balancer routes
+     * callers elsewhere; then no connection is accepted, and requests in flight may end within the grace period.
      */
     public void shutDown() {
         events.emit(EventCode.STOPPING, services.inProgress());
         services.stop();
-        long beganAt = System.nanoTime();
-        long latest = settings.bounds().graceMillis() - GRACE_MARGIN_MILLIS;
-        long elapsed = 0;
-        while (elapsed < latest && (elapsed < BALANCER_UPDATE_MILLIS || services.inProgress() > 0)) {
+        long startedAtNanos = System.nanoTime();
+        long maxMillis = settings.bounds().graceMillis() - GRACE_MARGIN_MILLIS;
+        long elapsedMillis = 0;
+        while (elapsedMillis < maxMillis && (elapsedMillis < BALANCER_UPDATE_MILLIS || services.inProgress() > 0)) {
             pause();
-            elapsed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt);
-            if (elapsed >= BALANCER_UPDATE_MILLIS) {
-                // A request that comes later might not end within the grace; its caller finds another entry.
+            elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+            if (elapsedMillis >= BALANCER_UPDATE_MILLIS) {
+                // A later request might not end within the grace period; its caller connects to another entry.
                 traffic.execute(frontServer::stopAccepting);
             }
         }
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -24,19 +24,21 @@
 import org.radishspur.node.upstream.UpstreamExchange;
 
 /**
- * Holds what the exchanges of one entry share. The traffic thread owns it.
+ * Holds the state and the services that all requests of one entry share: the confirmed view, the slot client, the retry
+ * budgets and the periodic check of requests in flight. The traffic thread owns it; other threads may call
+ * {@link #applyConfirmation} and the getters of volatile fields.
  */
 final class EntryServices {
     /**
-     * How much of the time until a revoked key must not work is used up before an unconfirmed entry serves no one, so that
-     * the rest covers a request on its way to the upstream.
+     * The share of the time limit for key revocation within which the view must have been confirmed for a request to be
+     * served. The rest of the limit covers the time until a request reaches its upstream.
      */
     private static final double SERVING_CONFIRMATION_SHARE = 0.8;
 
-    /** An entry that was not confirmed for this share of that time asks the balancer for no more callers. */
+    /** The share of the same limit within which the view must have been confirmed for the ready check to succeed. */
     private static final double READY_CONFIRMATION_SHARE = 0.5;
 
-    /** How often waiting requests and silent answers are looked after, in milliseconds. */
+    /** How often queued requests and stalled responses are checked, in milliseconds. */
     private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final FleetSettings settings;
@@ -62,21 +64,21 @@
             EventLog events,
             EntryMetrics metrics,
             Transport transport,
-            VersionCounters tallies) {
+            VersionCounters versionCounters) {
         this.settings = settings;
         this.dialect = dialect;
         this.events = events;
         this.metrics = metrics;
         this.transport = transport;
-        this.versionCounters = tallies;
+        this.versionCounters = versionCounters;
         slots = new SlotClient(settings, transport.schedulers(), events);
         retryBudgets = new RetryBudgets(
                 settings.bounds().retryShare(), settings.bounds().retrySlack());
     }
 
     /**
-     * Takes over a view that does no more than confirm the present one, on any thread, and returns whether that was all. It saves
-     * the traffic thread of an idle entry a wake-up for each confirmation.
+     * Applies a view that only confirms the current one, and returns whether it did; otherwise the traffic thread has to apply
+     * the view. Any thread may call this, so that a confirmation doesn't wake the traffic thread of an idle entry.
      */
     boolean applyConfirmation(ConfirmedView newer) {
         if (confirmationAwaited || !view.saysTheSame(newer)) {
@@ -86,6 +88,7 @@
         return true;
     }
 
+    /** Applies a view to the retry budgets and to the slot client, and resumes requests that waited for a confirmation. */
     void onView(ConfirmedView newer) {
         boolean same = view.saysTheSame(newer);
         view = newer;
@@ -104,7 +107,7 @@
         slots.onLinkLost(address, now());
     }
 
-    /** Begins to look after requests that wait and answers that have stopped coming, as long as there are any. */
+    /** Schedules the next check of queued requests and of responses, unless one is scheduled already. */
     void scheduleCheck() {
         if (!checkScheduled) {
             checkScheduled = true;
@@ -112,6 +115,7 @@
         }
     }
 
+    /** Checks queued requests and responses, and schedules the next check while there are any. */
     private void check() {
         checkScheduled = false;
         long now = now();
@@ -124,11 +128,12 @@
         }
     }
 
-    /** Returns whether the catalogue was confirmed so lately that it may be acted on. */
+    /** Returns whether the view was confirmed recently enough to serve requests by it. */
     boolean isConfirmed() {
         return isConfirmedWithin(SERVING_CONFIRMATION_SHARE);
     }
 
+    /** Returns whether the load balancer may route callers to this entry. */
     boolean isReady() {
         return !stopping && isConfirmedWithin(READY_CONFIRMATION_SHARE);
     }
@@ -137,12 +142,13 @@
         return view.isConfirmedWithin(settings.bounds().revokeMillis() * share);
     }
 
-    /** Returns whether a request has a deadline that shows that its caller has spent part of its time already. */
+    /** Returns whether a caller is retrying, as its deadline is short compared with the longest one of its route. */
     boolean isCallerRetry(String route, long deadlineMillis) {
         long longest = longestDeadlineMillis.merge(route, deadlineMillis, Math::max);
         return RetryAfterPolicy.INSTANCE.isReturning(deadlineMillis, longest);
     }
 
+    /** Runs an action once the view is confirmed, unless the request ends sooner. */
     void awaitConfirmation(CallerExchange exchange, Runnable action) {
         awaitingConfirmation.put(exchange, action);
         confirmationAwaited = true;
@@ -153,7 +159,7 @@
         confirmationAwaited = !awaitingConfirmation.isEmpty();
     }
 
-    /** Lets the requests go on that have waited for a confirmed catalogue. */
+    /** Runs the actions of requests that waited for a confirmed view. */
     private void resumeAwaiting() {
         if (!awaitingConfirmation.isEmpty() && isConfirmed()) {
             List<Runnable> actions = List.copyOf(awaitingConfirmation.values());
@@ -163,6 +169,7 @@
         }
     }
 
+    /** Includes a request in the periodic check for a stalled response. */
     void addRunning(CallerExchange exchange) {
         running.add(exchange);
         scheduleCheck();
@@ -172,11 +179,12 @@
         running.remove(exchange);
     }
 
-    /** Counts an answer of an upstream for the rollout of its version. */
-    void recordResponse(Upstream upstream, String route, boolean good, double millis) {
-        versionCounters.add(upstream.pool(), upstream.version(), route, good, millis, 0);
+    /** Counts a response of an upstream for the rollout of its version, with the time until its last byte in milliseconds. */
+    void recordResponse(Upstream upstream, String route, boolean good, double responseMillis) {
+        versionCounters.add(upstream.pool(), upstream.version(), route, good, responseMillis, 0);
     }
 
+    /** Returns the monotonic clock in milliseconds. */
     static long now() {
         return Moment.steadyNow();
     }
@@ -237,16 +245,17 @@
         inProgress--;
     }
 
+    /** Returns how many requests are in flight, from their heads on. */
     int inProgress() {
         return inProgress;
     }
 
     /**
-     * Holds the ways out of an entry, all on its traffic thread.
+     * Holds the event loop of the traffic thread and the outgoing connections that it serves.
      *
-     * @param loop the traffic thread.
-     * @param exchanges begins exchanges with upstreams.
-     * @param schedulers reaches the schedulers.
+     * @param loop the event loop of the traffic thread.
+     * @param exchanges starts exchanges with upstreams.
+     * @param schedulers sends messages to the schedulers.
      */
     record Transport(EventLoop loop, UpstreamExchange.Factory exchanges, FleetSender schedulers) {}
 }
--- a/node/src/main/java/org/radishspur/node/entry/ErrorResponses.java
+++ b/node/src/main/java/org/radishspur/node/entry/ErrorResponses.java
@@ -13,14 +13,14 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Makes the answers that the system gives by itself.
+ * Builds the error responses that an entry sends on its own behalf.
  */
 final class ErrorResponses {
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private ErrorResponses() {}
 
-    /** Makes an answer with a reason, and with the time to retry where that makes sense. */
+    /** Builds a response with a reason, and with Retry-After in decimal seconds where the time in milliseconds is positive. */
     static FullHttpResponse of(EndReason reason, long retryAfterMillis) {
         byte[] body = problemBody(reason).getBytes(StandardCharsets.UTF_8);
         FullHttpResponse response = new DefaultFullHttpResponse(
@@ -33,7 +33,7 @@
         return response;
     }
 
-    /** Answers bytes that are no request and closes the connection. */
+    /** Responds to a malformed request and closes the connection. */
     static void malformed(ChannelHandlerContext context) {
         FullHttpResponse response = of(EndReason.MALFORMED, 0);
         HttpUtil.setKeepAlive(response, false);
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Makes the body. Codes need no escaping; the general JSON mapper would be loaded at the first refusal of a process, and
-     * hold up all streams of that thread.
+     * Builds the JSON body by hand, as codes need no escaping. Loading the JSON mapper at the first refusal of a process would
+     * delay all streams of the traffic thread.
      */
     private static String problemBody(EndReason reason) {
         return "{\"reason\":\"" + reason.code() + "\",\"notRun\":" + reason.isNotRun() + '}';
--- a/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
+++ b/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
@@ -4,10 +4,10 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts the bytes of an event stream at the ends of events.
+ * Splits the bytes of an event stream into complete events and a partial one.
  *
- * <p>Guards against a broken stream whose last event is only half there: a resumed stream starts with a whole event, so
- * that the half one must not have reached the caller.
+ * <p>A partial event must not reach the caller: if the connection is lost, another upstream resumes the stream with a complete
+ * event.
  */
 final class EventSplitter {
     private static final byte[] ID_FIELD = {'i', 'd', ':'};
@@ -20,17 +20,17 @@
     /**
      * Creates a splitter.
      *
-     * @param lastId the number of the last event that the caller has, or a negative number.
+     * @param lastEventId the identifier of the last event that the caller has received, or a negative number.
      */
-    EventSplitter(long lastId) {
-        this.lastEventId = lastId;
+    EventSplitter(long lastEventId) {
+        this.lastEventId = lastEventId;
     }
 
     /**
-     * Takes bytes and returns the whole events among all that have come.
+     * Appends bytes of the stream and returns the events that they complete.
      *
-     * @param content the bytes, which are not released.
-     * @return whole events, perhaps none; the receiver releases them.
+     * @param content the bytes, whose reader index stays and which are not released.
+     * @return the bytes of complete events, empty where there are none; the caller of this method releases them.
      */
     ByteBuf split(ByteBuf content) {
         partial.writeBytes(content, content.readerIndex(), content.readableBytes());
@@ -38,33 +38,36 @@
         if (end == partial.readerIndex()) {
             return Unpooled.EMPTY_BUFFER;
         }
-        ByteBuf whole = Unpooled.copiedBuffer(partial.slice(partial.readerIndex(), end - partial.readerIndex()));
+        ByteBuf complete = Unpooled.copiedBuffer(partial.slice(partial.readerIndex(), end - partial.readerIndex()));
         partial.readerIndex(end);
         partial.discardSomeReadBytes();
-        return whole;
+        return complete;
     }
 
-    /** Returns what has come since the last whole event; the stream ends with it. */
+    /** Removes and returns the bytes after the last complete event, at the end of the stream. */
     ByteBuf takeRest() {
-        ByteBuf rest = Unpooled.copiedBuffer(partial);
+        ByteBuf remainder = Unpooled.copiedBuffer(partial);
         partial.clear();
-        return rest;
+        return remainder;
     }
 
-    /** Forgets the half event of a broken stream. */
+    /** Discards the partial event of a broken stream. */
     void discardPartial() {
         partial.clear();
         pendingEventId = -1;
     }
 
+    /** Returns the greatest identifier of a complete event, or the initial one. */
     long lastEventId() {
         return lastEventId;
     }
 
+    /** Returns how many complete events were received. */
     long eventCount() {
         return eventCount;
     }
 
+    /** Counts the complete events of the buffered bytes and returns the index after the last one. */
     private int scanEvents() {
         int end = partial.readerIndex();
         int lineStart = partial.readerIndex();
@@ -85,6 +88,7 @@
         return end;
     }
 
+    /** Remembers the identifier of the current event if a line contains one. */
     private void readEventId(int start, int end) {
         if (end - start <= ID_FIELD.length) {
             return;
--- a/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
+++ b/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
@@ -4,10 +4,10 @@
 import org.radishspur.node.log.EventCode;
 
 /**
- * Counts how one request ended, and tells it in the structured log with what decided it.
+ * Counts the outcome of one request in the metrics and writes it to the structured log.
  */
 final class ExchangeLog {
-    /** How many tiers of routes are told apart within the rank of an organisation. */
+    /** How many tiers of routes the logged rank distinguishes within each rank of organisations. */
     private static final int TIERS_PER_RANK = 16;
 
     private final EntryServices services;
@@ -95,16 +95,17 @@
         }
     }
 
-    /** Returns the caller's name for the request, or an empty text where its head was not read. */
+    /** Returns the caller's identifier of the request, or an empty text where its head was not read. */
     private String requestId() {
         return exchange.head() == null ? "" : exchange.head().request();
     }
 
+    /** Returns the time since the request arrived, in milliseconds. */
     private long elapsedMillis() {
         return EntryServices.now() - exchange.arrivedAt();
     }
 
-    /** Returns how many events of a stream have come. */
+    /** Returns how many complete events of the response stream were received. */
     private long eventCount() {
         return exchange.splitter() == null ? 0 : exchange.splitter().eventCount();
     }
--- a/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
@@ -12,10 +12,10 @@
 import org.radishspur.node.log.PartLog;
 
 /**
- * Carries one caller's connection: one exchange at a time, in the order of the requests.
+ * Handles the connection of one caller. Pipelined requests are served one at a time, in the order of their arrival.
  */
 final class FrontConnection extends ChannelInboundHandlerAdapter {
-    /** How many parts of later requests are kept while one is answered; a caller that sends more is cut off. */
+    /** How many parts of pipelined requests are queued while one is served; a caller that sends more is disconnected. */
     private static final int MAX_QUEUED_PARTS = 256;
 
     private final EntryServices services;
@@ -58,8 +58,8 @@
         if (part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
             closing = true;
-            PartLog.CALLER.info(
-                    "A caller sent what is no request: " + part.decoderResult().cause() + '.');
+            PartLog.CALLER.info("A caller sent a malformed HTTP request: "
+                    + part.decoderResult().cause() + '.');
             ErrorResponses.malformed(context);
             return;
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Learns that the answer is written; the next request on the connection may begin. */
+    /** Starts the next queued request once a response has been written, unless the connection is to be closed. */
     void onResponseWritten(ChannelHandlerContext context, boolean close) {
         exchange = null;
         idleSince = EntryServices.now();
@@ -93,6 +93,7 @@
         return exchange == null;
     }
 
+    /** Returns when the last response was written, by {@link EntryServices#now()}. */
     long idleSince() {
         return idleSince;
     }
@@ -113,9 +114,9 @@
         queuedParts.forEach(ReferenceCountUtil::release);
         queuedParts.clear();
         if (exchange != null) {
-            CallerExchange left = exchange;
+            CallerExchange abandoned = exchange;
             exchange = null;
-            left.onCallerDisconnected();
+            abandoned.onCallerDisconnected();
         }
     }
 
@@ -123,7 +124,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            PartLog.CALLER.error("A caller's connection failed.", cause);
+            PartLog.CALLER.error("The connection to a caller failed.", cause);
         }
         context.close();
     }
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -13,16 +13,19 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Takes callers' connections, and closes those that stay idle.
+ * Accepts the connections of callers and closes those that stay idle for too long.
  */
 final class FrontServer implements Child {
-    /** The greatest size of the first line and of all headers; callers keep to the catalogue's smaller limit. */
+    /** The maximum size of the request line, and also of all headers, in bytes; the catalogue asks callers for less. */
     private static final int MAX_HEAD_BYTES = 65_536;
 
+    /** The maximum size of a part of a body that the decoder passes on, in bytes. */
     private static final int MAX_CHUNK_BYTES = 16_384;
+
+    /** How often idle connections are checked, in milliseconds. */
     private static final long IDLE_CHECK_MILLIS = 1_000;
 
-    /** How often a connection is read before others get their turn; Netty's own number for connections. */
+    /** How many reads a connection gets before the event loop serves others; Netty's default for connections. */
     private static final int MAX_READS_PER_TURN = 16;
 
     private final HostPort address;
@@ -41,7 +44,7 @@
     @Override
     public void start(FailureListener listener) {
         channel = Listener.INSTANCE.listen(address, loop, accepted -> {
-            // Reads on until nothing is left, so that the close of a caller shows with its last request.
+            // Reads until the socket is empty, so that a close by the caller is seen together with its last request.
             accepted.config()
                     .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator()
                             .respectMaybeMoreData(false)
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Takes no further connection and closes those on which nothing is in progress, as late in a planned stop. */
+    /** Stops accepting connections and closes those without a request in flight, in the last phase of a planned stop. */
     void stopAccepting() {
         channel.close();
         connections.entrySet().stream()
@@ -85,10 +88,10 @@
 
     private void closeIdle() {
         long now = EntryServices.now();
-        long allowed = services.limits().idleMillis();
+        long maxIdleMillis = services.limits().idleMillis();
         connections.entrySet().stream()
                 .filter(entry ->
-                        entry.getValue().isIdle() && now - entry.getValue().idleSince() > allowed)
+                        entry.getValue().isIdle() && now - entry.getValue().idleSince() > maxIdleMillis)
                 .map(Map.Entry::getKey)
                 .toList()
                 .forEach(Channel::close);
--- a/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
@@ -23,9 +23,10 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Tells the balancer whether the entry takes callers, and anybody on the same address its metrics.
+ * Serves the ready check of the load balancer and, on the same address under {@code /metrics}, the metrics.
  */
 final class ReadyServer implements Child {
+    /** The maximum size of the body of a request, in bytes. */
     private static final int MAX_BODY_BYTES = 8_192;
 
     private final HostPort address;
@@ -59,24 +60,24 @@
     }
 
     /**
-     * Answers the questions of one connection.
+     * Responds to the requests of one connection.
      */
     private final class StatusHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean metrics = request.uri().startsWith("/metrics");
-            boolean well = metrics || services.isReady();
+            boolean ok = metrics || services.isReady();
             ByteBuf body = metrics
                     ? Unpooled.copiedBuffer(MetricsText.INSTANCE.write(registry()), StandardCharsets.UTF_8)
                     : Unpooled.EMPTY_BUFFER;
             FullHttpResponse response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, well ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, body);
+                    HttpVersion.HTTP_1_1, ok ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, body);
             HttpUtil.setContentLength(response, body.readableBytes());
             HttpUtil.setKeepAlive(response, HttpUtil.isKeepAlive(request));
-            var written = context.writeAndFlush(response);
+            var future = context.writeAndFlush(response);
             if (!HttpUtil.isKeepAlive(request)) {
-                written.addListener(io.netty.channel.ChannelFutureListener.CLOSE);
+                future.addListener(io.netty.channel.ChannelFutureListener.CLOSE);
             }
         }
 
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
@@ -6,19 +6,22 @@
 import org.radishspur.node.caller.RetryBudget;
 
 /**
- * Holds the budget of retries for each pool at one entry.
+ * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured limits.
  */
 final class RetryBudgets {
-    /** How many entries share the slack at least, where their number isn't known yet. */
+    /** The minimum number of entries among which the slack is divided, also while their number isn't known. */
     private static final int MIN_ENTRIES = 4;
 
     /**
-     * The part of the slack that all entries together may spend at once; the rest covers entries that have restarted, with a
-     * budget of their own each time.
+     * The share of the slack that all entries together may spend in a burst. The rest covers restarted entries, which start with
+     * a new budget each time.
      */
     private static final double BURST_SLACK_SHARE = 0.8;
 
-    /** The part of the allowed share of retries that entries earn by requests; the rest covers windows that begin busy. */
+    /**
+     * The share of the configured retry ratio that requests add to a budget. The rest covers measurement windows that start in
+     * the middle of a busy period.
+     */
     private static final double EARNED_RETRY_SHARE = 0.5;
 
     private final double retryShare;
@@ -31,11 +34,12 @@
         this.retrySlack = retrySlack;
     }
 
+    /** Sets the number of entries, which applies to budgets that are created later. */
     void entries(int number) {
         entries = Math.max(MIN_ENTRIES, number);
     }
 
-    /** Returns the budget of a pool. Each entry may spend its part of the slack at once, and earns more by its requests. */
+    /** Returns the budget of a pool. It allows a burst of this entry's share of the slack, and grows with each request. */
     RetryBudget forPool(String pool) {
         return budgets.computeIfAbsent(pool, name -> new RetryBudget(retryShare * EARNED_RETRY_SHARE, burst()));
     }
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -24,29 +24,29 @@
 import org.radishspur.node.settings.FleetSettings;
 
 /**
- * Gets slots for the requests of one entry from a scheduler, and from a small scheduler of its own where no other answers. The
- * traffic thread owns it.
+ * Requests slots for one entry from the scheduler of a control host, and from a local scheduler where no other is available.
+ * The traffic thread owns it.
  *
- * <p>The own scheduler counts every slot that this entry holds, whoever granted it. It so knows what to tell the next scheduler
- * on attaching to it, and has times of its own to go by when it must decide alone.
+ * <p>The local scheduler counts every slot that this entry holds, whichever scheduler granted it. This supplies the held slots
+ * that the entry reports when it attaches to another scheduler, and the measured times by which the local scheduler decides.
  */
 final class SlotClient {
     /**
-     * A scheduler that hasn't replied within this time gets no further request, in milliseconds; a reply takes one or two. A
-     * request whose scheduler is frozen or cut off so waits no longer than this and one look.
+     * How long a scheduler may take to reply, in milliseconds; usually it takes one or two. After that its pending requests are
+     * sent to another one, so that a frozen or unreachable scheduler delays a request by this time and one check interval at most.
      */
     static final long REPLY_TIMEOUT_MILLIS = 100;
 
-    /** How long after the end of its wait a request is rejected here, in milliseconds; its scheduler does so sooner. */
+    /** How long after its maximum wait a request is rejected here, in milliseconds; its scheduler normally does so sooner. */
     private static final long OVERDUE_MARGIN_MILLIS = 100;
 
-    /** After so many grants of upstreams that this entry can't use a request is rejected. */
+    /** The number of grants of unusable upstreams after which a request is rejected. */
     private static final int MAX_DECLINED_GRANTS = 4;
 
-    /** Names this entry to its own scheduler. */
+    /** The name of this entry at the local scheduler. */
     private static final String LOCAL_ENTRY = "";
 
-    /** Stands for the own scheduler among the addresses. */
+    /** The empty address, which stands for the local scheduler. */
     private static final String LOCAL_ADDRESS = "";
 
     private final FleetSender links;
@@ -65,12 +65,12 @@
         this.events = events;
         entry = settings.peerAddress().toString();
         pools = new PoolSet(entry, settings.failureDomain(), settings.bounds().greatestTrialShare());
-        // Alone it grants its part of the quotas and nothing of what they may be exceeded by, as others may do the
-        // same.
+        // No tolerance: other entries may use their local schedulers too, each granting its share of the quotas.
         localScheduler = new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), new LocalReplies());
         schedulerChoice = new SchedulerChoice(entry, settings.failureDomain());
     }
 
+    /** Applies a view to the upstreams, the quota shares and the choice of schedulers. */
     void onView(ConfirmedView view, long now) {
         pools.apply(view, Math.max(1, view.entries()), now);
         pools.quotaPart(1.0 / Math.max(1, view.entries()));
@@ -79,12 +79,12 @@
         localScheduler.advance(now);
     }
 
-    /** Asks for a slot; the answer may come before this method returns. */
+    /** Creates a slot in the pending state, which {@link #send} has still to request. */
     UpstreamSlot request(SlotRequest request, UpstreamSlot.Listener listener, long now) {
         return new UpstreamSlot(this, request, listener, now);
     }
 
-    /** Sends a request to a scheduler. */
+    /** Sends the request for a slot to a scheduler; the local one may grant or reject it before this method returns. */
     void send(UpstreamSlot slot, long now) {
         Optional<String> scheduler = attach(now);
         long id = ++nextId;
@@ -97,21 +97,23 @@
         }
     }
 
-    /** Returns the runs of upstreams to which this entry could not connect lately. */
+    /** Returns the runs of those upstreams to which this entry recently could not connect. */
     List<String> unreachable(String pool, long now) {
         return pools.dispatcher(pool).upstreams().unreachable(now);
     }
 
-    /** Returns whether nothing is known against sending a request to an upstream. */
+    /** Returns whether the current view allows requests to be sent to an upstream. */
     boolean mayUse(UpstreamLoad upstream) {
         return pools.mayUse(upstream);
     }
 
+    /** Cancels a request for a slot at its scheduler. */
     void cancel(UpstreamSlot slot) {
         pending.remove(slot.id());
         release(slot.scheduler(), slot.id());
     }
 
+    /** Sends a report on a granted slot to the local scheduler and to the attached one. */
     void report(UpstreamSlot slot, SlotReport report) {
         localScheduler.report(LOCAL_ENTRY, slot.id(), report, EntryServices.now());
         if (!attachedScheduler.equals(LOCAL_ADDRESS)) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Takes a reply of a scheduler. */
+    /** Handles a scheduler's reply; a slot granted to a request that is no longer pending is released. */
     void onReply(String scheduler, FleetMessage.Reply reply, long now) {
         UpstreamSlot slot = pending.get(reply.id());
         if (slot == null) {
@@ -145,7 +147,7 @@
             slot.grant(upstream.get(), !granted.eventTimeKnown());
             return;
         }
-        // The scheduler's view is older or newer than this entry's, which answers for what it sends.
+        // The scheduler's view is older or newer than this entry's, and the entry decides where it sends requests.
         localScheduler.report(LOCAL_ENTRY, slot.id(), new SlotReport.Ended(SlotOutcome.UNUSED), now);
         release(slot.scheduler(), slot.id());
         if (slot.decline(granted.upstream()) < MAX_DECLINED_GRANTS) {
@@ -167,19 +169,19 @@
         }
     }
 
-    /** Learns that the connection to a scheduler is gone. */
+    /** Switches to another scheduler if the connection to the attached one is lost. */
     void onLinkLost(String scheduler, long now) {
         if (scheduler.equals(attachedScheduler)) {
             onSchedulerLost(scheduler, "connection", now);
         }
     }
 
-    /** Returns whether a request waits for a slot. */
+    /** Returns whether any request for a slot is pending. */
     boolean hasPending() {
         return !pending.isEmpty();
     }
 
-    /** Looks after requests whose scheduler has fallen silent, and lets those go on that wait here. */
+    /** Replaces schedulers that have not replied in time, rejects overdue requests and advances the local scheduler. */
     void checkPending(long now) {
         localScheduler.advance(now);
         for (UpstreamSlot slot : List.copyOf(pending.values())) {
@@ -195,25 +197,25 @@
         }
     }
 
-    /** Returns the scheduler to ask, and attaches to it where it isn't the one of the last request. */
+    /** Chooses a scheduler and returns its address, empty for the local one; attaches to it if it or its connection is new. */
     private Optional<String> attach(long now) {
         Optional<String> chosen = schedulerChoice.choose(address -> links.connection(address) > 0, now);
         String next = chosen.orElse(LOCAL_ADDRESS);
-        int present = links.connection(next);
-        if (next.equals(attachedScheduler) && present == attachedConnection) {
+        int connection = links.connection(next);
+        if (next.equals(attachedScheduler) && connection == attachedConnection) {
             return chosen;
         }
-        String before = attachedScheduler;
+        String previous = attachedScheduler;
         attachedScheduler = next;
-        attachedConnection = present;
+        attachedConnection = connection;
         links.attend(next);
-        events.emit(EventCode.SCHEDULER, next, before, pending.size());
+        events.emit(EventCode.SCHEDULER, next, previous, pending.size());
         if (chosen.isPresent()) {
             links.send(next, new FleetMessage.Attach(entry, localScheduler.held(LOCAL_ENTRY)));
         }
-        if (!before.equals(LOCAL_ADDRESS)) {
-            links.send(before, new FleetMessage.Detach());
-            resend(before, now);
+        if (!previous.equals(LOCAL_ADDRESS)) {
+            links.send(previous, new FleetMessage.Detach());
+            resend(previous, now);
         }
         return chosen;
     }
@@ -228,15 +230,16 @@
         }
     }
 
-    /** Asks another scheduler for all that was asked of one and isn't decided. */
+    /** Sends the pending requests of one scheduler to the current one. */
     private void resend(String scheduler, long now) {
-        List<UpstreamSlot> undecided = pending.values().stream()
+        List<UpstreamSlot> moved = pending.values().stream()
                 .filter(slot -> slot.scheduler().equals(scheduler))
                 .toList();
-        undecided.forEach(slot -> pending.remove(slot.id()));
-        undecided.forEach(slot -> send(slot, now));
+        moved.forEach(slot -> pending.remove(slot.id()));
+        moved.forEach(slot -> send(slot, now));
     }
 
+    /** Releases a slot, or a pending request for one, at the scheduler that it was sent to. */
     private void release(String scheduler, long id) {
         SlotReport unused = new SlotReport.Ended(SlotOutcome.UNUSED);
         if (scheduler.equals(LOCAL_ADDRESS)) {
@@ -246,11 +249,11 @@
         }
     }
 
-    /** Takes what the own scheduler decides. */
+    /** Handles the replies of the local scheduler. */
     private final class LocalReplies implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
-        public void onReply(String self, long id, SlotReply reply) {
+        public void onReply(String entryName, long id, SlotReply reply) {
             UpstreamSlot slot = pending.get(id);
             if (slot == null || reply instanceof SlotReply.Queued) {
                 return;
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -22,13 +22,14 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Carries a request to one upstream and its answer back.
+ * Sends a request to the upstream of one slot and passes its response to the caller. The slot is released at the end of the
+ * attempt, with what the attempt shows about the upstream.
  */
 final class UpstreamAttempt implements UpstreamListener {
-    /** Plain answers up to this size are held until they are whole, so that a broken one can be got again, in bytes. */
+    /** Plain responses up to this size, in bytes, are buffered until complete, so that an interrupted one can be retried. */
     private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
-    /** After so many events a stream tells the pace of an upstream that is not known yet, before its end does. */
+    /** The number of events of a stream after which the event time of a not yet measured upstream is reported early. */
     private static final long EARLY_REPORT_EVENTS = 6;
 
     private final CallerExchange caller;
@@ -72,8 +73,8 @@
             return;
         }
         if (!caller.mayStillBeSent(upstream)) {
-            // Guards against a pause of the whole process while the connection was made: a key may have been revoked
-            // or the failure domain evacuated meanwhile.
+            // A key may have been revoked or the failure domain evacuated while the connection was made, for instance
+            // during a pause of the whole process.
             exchange.abort();
             end(SlotOutcome.UNUSED);
             caller.onOutdated();
@@ -102,6 +103,7 @@
         }
     }
 
+    /** Builds the request to the upstream, which resumes a stream after the last complete event. */
     private FullHttpRequest forwardedRequest() {
         FullHttpRequest copy = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -176,16 +178,16 @@
     }
 
     private void onFailure() {
-        boolean server = responseHead.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        boolean serverError = responseHead.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
         if (caller.response().isHeadWritten()) {
-            // Guards against a short answer that looks complete: the caller has the head and some events of an earlier
-            // run, and the text of a failure behind them would end the answer as if it were whole.
-            endAnswered(!server);
+            // The caller has the head and some events from an earlier upstream. An error text after them would make the
+            // truncated response look complete.
+            endAnswered(!serverError);
             exchange.abort();
             caller.onAttemptFailed("failure after the answer had begun");
             return;
         }
-        if (server && caller.tryTakeRetry()) {
+        if (serverError && caller.tryTakeRetry()) {
             endAnswered(false);
             phase = Phase.DRAINING;
             caller.retry("upstream-failure");
@@ -207,11 +209,11 @@
             }
             recordBytes();
             if (isEventStream()) {
-                ByteBuf whole = caller.splitter().split(content);
+                ByteBuf complete = caller.splitter().split(content);
                 reportFirstEventTime();
-                caller.response().writeContent(caller.route().resumable() ? whole : content.retain());
+                caller.response().writeContent(caller.route().resumable() ? complete : content.retain());
                 if (!caller.route().resumable()) {
-                    whole.release();
+                    complete.release();
                 }
             } else {
                 buffer(content);
@@ -221,7 +223,7 @@
         }
     }
 
-    /** Learns the pace of a new upstream in the middle of a stream, so that others needn't wait for its end to be known. */
+    /** Reports the event time of a new upstream in the middle of a stream, so that schedulers know it before the end. */
     private void reportFirstEventTime() {
         long events = caller.splitter().eventCount() - eventsBeforeAttempt;
         if (slot.isEventTimeRequested() && !eventTimeReported && events >= EARLY_REPORT_EVENTS) {
@@ -230,6 +232,7 @@
         }
     }
 
+    /** Buffers a part of a plain response, or writes it to the caller where the response has become too large for that. */
     private void buffer(ByteBuf content) {
         if (caller.response().isHeadWritten()) {
             caller.response().writeContent(content.retain());
@@ -243,6 +246,7 @@
         }
     }
 
+    /** Records the arrival of bytes: times and gaps, and the first byte for the scheduler. */
     private void recordBytes() {
         long now = EntryServices.now();
         if (firstByteReceived) {
@@ -271,6 +275,7 @@
         }
     }
 
+    /** Reads more of the response, once the caller has received what was written. */
     void read() {
         if (phase == Phase.RUNNING) {
             exchange.read();
@@ -298,9 +303,9 @@
         } else if (caller.response().isHeadWritten()) {
             caller.writeEnd();
         } else {
-            ByteBuf whole = buffered;
+            ByteBuf complete = buffered;
             buffered = Unpooled.EMPTY_BUFFER;
-            caller.writeFull(responseHead, whole);
+            caller.writeFull(responseHead, complete);
         }
     }
 
@@ -309,7 +314,7 @@
         caller.onNotRun(kind == AnswerKind.NOT_RUN ? "not-run" : "wrong-instance", true);
     }
 
-    /** Ends the attempt after a whole answer, with the times that are learnt from a good one. */
+    /** Ends the attempt after a complete response, and reports the measured times unless it is a failure of the upstream. */
     private void endComplete(boolean good) {
         if (!good) {
             endAnswered(false);
@@ -317,24 +322,26 @@
         }
         long now = EntryServices.now();
         long events = isEventStream() ? caller.splitter().eventCount() - eventsBeforeAttempt : 0;
-        double pace = isEventStream() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
+        double eventMillis = isEventStream() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
         recordResponse(true);
         end(new SlotReport.Ended(
                 SlotOutcome.SUCCESS,
                 now - sentAt,
-                isEventStream() && events <= 1 ? 0 : pace,
+                isEventStream() && events <= 1 ? 0 : eventMillis,
                 eventsBeforeAttempt == 0 ? events : 0,
                 caller.expectedTokens()));
     }
 
+    /** Ends the attempt with a success or failure of the upstream, without measured times. */
     private void endAnswered(boolean good) {
         recordResponse(good);
         end(good ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
     }
 
+    /** Counts the response for the version of the upstream, with the time from sending the request to the last byte so far. */
     private void recordResponse(boolean good) {
-        long first = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
-        services.recordResponse(upstream.upstream(), caller.route().name(), good, first);
+        long responseMillis = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
+        services.recordResponse(upstream.upstream(), caller.route().name(), good, responseMillis);
     }
 
     /** {@inheritDoc} */
@@ -354,19 +361,20 @@
         caller.onAttemptFailed("broken: " + cause.getMessage());
     }
 
+    /** Returns whether the upstream seems to hang and has sent no part of this response for a while either. */
     boolean isSilent(long now) {
-        boolean waits = phase == Phase.RUNNING && upstream.isSilent(now);
-        return waits && now - lastByteAt > UpstreamLoad.SHORTEST_SILENCE_MILLIS;
+        boolean upstreamSilent = phase == Phase.RUNNING && upstream.isSilent(now);
+        return upstreamSilent && now - lastByteAt > UpstreamLoad.SHORTEST_SILENCE_MILLIS;
     }
 
-    /** Gives the attempt up: cancels the request at the upstream and gives its place back. */
+    /** Ends the attempt early: cancels the request at the upstream and releases the slot. */
     void abandon() {
         if (phase == Phase.ENDED) {
             return;
         }
-        boolean drains = phase == Phase.DRAINING;
+        boolean draining = phase == Phase.DRAINING;
         end(phase == Phase.CONNECTING ? SlotOutcome.UNUSED : SlotOutcome.ABANDONED);
-        if (!drains && exchange != null) {
+        if (!draining && exchange != null) {
             exchange.abort();
         }
     }
@@ -380,15 +388,15 @@
         slot.end(ended);
     }
 
-    /** Names how far the attempt is. */
+    /** The phases of an attempt. */
     private enum Phase {
-        /** Nothing was sent yet. */
+        /** The connection is being made; nothing has been sent. */
         CONNECTING,
-        /** The request was sent. */
+        /** The request has been sent, and the response is passed on. */
         RUNNING,
-        /** The rest of an answer comes that nobody is to get. */
+        /** The rest of a response is read and discarded. */
         DRAINING,
-        /** Nothing is to be expected any more. */
+        /** The slot has been released. */
         ENDED
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -9,7 +9,7 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Stands for the slot of one attempt: asked for, then granted or rejected, then free again. The traffic thread owns it.
+ * The slot of one attempt, which is requested, then granted or rejected, and released in the end. The traffic thread owns it.
  */
 final class UpstreamSlot {
     private final SlotClient client;
@@ -32,17 +32,17 @@
         this.requestedAt = now;
     }
 
-    /** Returns the upstream whose slot it is, once it is granted. */
+    /** Returns the upstream of a granted slot, null before the grant. */
     UpstreamLoad upstream() {
         return upstream;
     }
 
-    /** Returns whether the scheduler doesn't know yet how fast the upstream is. */
+    /** Returns whether the scheduler wants an early report of the event time, as it has no measurement of the upstream yet. */
     boolean isEventTimeRequested() {
         return eventTimeRequested;
     }
 
-    /** Gives up a request that has no slot yet. */
+    /** Cancels a request that is still pending. */
     void cancel() {
         if (state == State.PENDING) {
             state = State.ENDED;
@@ -50,20 +50,20 @@
         }
     }
 
-    /** Reports how the attempt goes. */
+    /** Sends a report on the attempt to the scheduler, if the slot is granted. */
     void report(SlotReport report) {
         if (state == State.GRANTED) {
             client.report(this, report);
         }
     }
 
-    /** Gives the slot back. */
+    /** Releases the slot with a final report. */
     void end(SlotReport.Ended ended) {
         report(ended);
         state = State.ENDED;
     }
 
-    /** Gives the slot back without times to learn from. */
+    /** Releases the slot with an outcome but without measured times. */
     void end(SlotOutcome outcome) {
         end(new SlotReport.Ended(outcome));
     }
@@ -72,20 +72,22 @@
         return state == State.PENDING;
     }
 
+    /** Returns the number under which the request was last sent to a scheduler. */
     long id() {
         return id;
     }
 
+    /** Returns the address of the scheduler that the request was last sent to; the local one has an empty address. */
     String scheduler() {
         return scheduler;
     }
 
-    /** Returns the request as it stands now. */
+    /** Returns the request with its times reduced by the time that has passed since it was made. */
     SlotRequest request(long now) {
         return request.after(now - requestedAt);
     }
 
-    /** Notes that the request is sent to a scheduler, under a number of its own. */
+    /** Records that the request is sent to a scheduler under a new number, and that this one has not replied. */
     void markSent(String address, long number, long now) {
         scheduler = address;
         id = number;
@@ -97,16 +99,17 @@
         replied = true;
     }
 
-    /** Returns whether the scheduler has not replied at all for so long. */
+    /** Returns whether the scheduler has not replied for longer than a time in milliseconds. */
     boolean isUnanswered(long millis, long now) {
         return !replied && now - sentAt > millis;
     }
 
-    /** Returns whether the queueing deadline passed so long ago. */
+    /** Returns whether the maximum wait for the slot passed more than a time in milliseconds ago. */
     boolean isOverdue(long millis, long now) {
         return now - requestedAt > request.waitMillis() + millis;
     }
 
+    /** Describes this slot for schedulers that have not granted it. */
     HeldSlot toHeldSlot(Upstream granted) {
         return new HeldSlot(
                 id,
@@ -116,16 +119,16 @@
                 request.work().tier());
     }
 
-    /** Keeps the request from an upstream that was granted but can't be used, and counts how often that was so. */
+    /** Excludes an upstream that was granted but is unusable, and returns how many grants were declined. */
     int decline(Upstream granted) {
         request = request.withoutUpstream(granted.run());
         return ++declinedGrants;
     }
 
-    void grant(UpstreamLoad granted, boolean wantsEventTime) {
+    void grant(UpstreamLoad granted, boolean eventTimeWanted) {
         state = State.GRANTED;
         upstream = granted;
-        eventTimeRequested = wantsEventTime;
+        eventTimeRequested = eventTimeWanted;
         listener.onGranted(this);
     }
 
@@ -134,31 +137,31 @@
         listener.onRejected(rejected);
     }
 
-    /** Names how far the slot is. */
+    /** The states of a slot. */
     private enum State {
-        /** It was asked for. */
+        /** It was requested. */
         PENDING,
-        /** It is held. */
+        /** It is granted and not yet released. */
         GRANTED,
-        /** It was rejected, withdrawn or given back. */
+        /** Its request was rejected or cancelled, or the slot was released. */
         ENDED
     }
 
     /**
-     * Takes the answer to a request for a slot.
+     * Receives the decision on a request for a slot.
      */
     interface Listener {
         /**
-         * Takes the slot.
+         * Invoked when the slot is granted; the listener has to end it.
          *
-         * @param slot the slot.
+         * @param slot the granted slot.
          */
         void onGranted(UpstreamSlot slot);
 
         /**
-         * Learns that there is no slot.
+         * Invoked when the request is rejected.
          *
-         * @param rejected why not.
+         * @param rejected the reason, and when to retry.
          */
         void onRejected(SlotReply.Rejected rejected);
     }
--- a/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
+++ b/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
@@ -9,24 +9,27 @@
 import org.radishspur.node.schedule.ControlFollower;
 
 /**
- * Counts what this entry sees of the versions of each pool, by route.
+ * Counts the responses of each version of a pool by route, for the reports on rollouts to the control leader. It may be called
+ * from any thread.
  */
 final class VersionCounters implements ControlFollower.CountSource {
     private final Map<String, VersionCounts> counts = new HashMap<>();
 
-    synchronized void add(String pool, String version, String route, boolean good, double first, double pace) {
-        String name = pool + '\n' + version + '\n' + route;
-        VersionCounts before = counts.getOrDefault(name, new VersionCounts(pool, version, route, 0, 0, 0, 0));
+    /** Adds one response, with its times to the first byte and for one event in milliseconds. */
+    synchronized void add(
+            String pool, String version, String route, boolean good, double firstMillis, double eventMillis) {
+        String key = pool + '\n' + version + '\n' + route;
+        VersionCounts before = counts.getOrDefault(key, new VersionCounts(pool, version, route, 0, 0, 0, 0));
         counts.put(
-                name,
+                key,
                 new VersionCounts(
                         pool,
                         version,
                         route,
                         before.answers() + 1,
                         before.failures() + (good ? 0 : 1),
-                        before.firstMillis() + first,
-                        before.eventMillis() + pace));
+                        before.firstMillis() + firstMillis,
+                        before.eventMillis() + eventMillis));
     }
 
     /** {@inheritDoc} */
--- a/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
+++ b/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
@@ -42,7 +42,7 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Runs the exchanges of one entry without a network: one caller, and upstreams whose answers a test plays by hand.
+ * Runs one entry without a network: a test sends requests as its caller and controls the responses of its upstreams.
  */
 final class EntryFixture implements AutoCloseable {
     private static final long DEADLINE_MILLIS = 10_000;
@@ -106,13 +106,13 @@
         caller.pipeline().addLast(new FrontConnection(services, front));
     }
 
-    /** Puts a view in force. */
+    /** Applies a view with the given evacuated failure domains and time of confirmation. */
     void applyView(Set<String> evacuated, Moment confirmedAt) {
         services.onView(
                 new ConfirmedView(Optional.of(catalogue), hosts, List.of(), 1, List.of(), evacuated, confirmedAt));
     }
 
-    /** Lets connections to upstreams wait until the test makes them. */
+    /** Leaves connections to upstreams pending until {@link FakeExchange#connect()}. */
     void delayConnections() {
         connectsAutomatically = false;
     }
@@ -124,7 +124,7 @@
         caller.runPendingTasks();
     }
 
-    /** Returns the exchange with an upstream that began as the given one, counted from 0. */
+    /** Returns an exchange with an upstream by its number, in the order of their start from 0. */
     FakeExchange exchange(int number) {
         caller.runPendingTasks();
         return exchanges.get(number);
@@ -139,12 +139,12 @@
         return caller.isActive();
     }
 
-    /** Takes what the caller has got since the last call. */
+    /** Returns what the caller has received since the last call. */
     ReceivedResponse received() {
         caller.runPendingTasks();
         StringBuilder text = new StringBuilder();
         int status = 0;
-        boolean whole = false;
+        boolean complete = false;
         for (Object part = caller.readOutbound(); part != null; part = caller.readOutbound()) {
             if (part instanceof HttpResponse response) {
                 status = response.status().code();
@@ -153,9 +153,9 @@
                 text.append(content.content().toString(StandardCharsets.UTF_8));
                 content.release();
             }
-            whole |= part instanceof LastHttpContent;
+            complete |= part instanceof LastHttpContent;
         }
-        return new ReceivedResponse(status, text.toString(), whole);
+        return new ReceivedResponse(status, text.toString(), complete);
     }
 
     private UpstreamExchange open(String address, UpstreamListener listener) {
@@ -176,15 +176,15 @@
     }
 
     /**
-     * Holds what a caller has got.
+     * What a caller has received.
      *
-     * @param status the status, 0 where no head came.
-     * @param body the bytes of the body.
-     * @param complete whether the answer came to its end.
+     * @param status the status, 0 where no head was received.
+     * @param body the body as text.
+     * @param complete whether the end of the response was received.
      */
     record ReceivedResponse(int status, String body, boolean complete) {}
 
-    /** Plays the part of an upstream in one exchange. */
+    /** An exchange in which the test acts as the upstream. */
     static final class FakeExchange implements UpstreamExchange {
         private final UpstreamListener listener;
         private boolean aborted;
@@ -246,7 +246,7 @@
         }
     }
 
-    /** Reads requests without headers, and answers by their status alone. */
+    /** Returns the same head for every request and classifies responses by their status alone. */
     private static final class FakeDialect implements CallerDialect {
         /** {@inheritDoc} */
         @Override
--- a/node/src/test/java/org/radishspur/node/entry/EventSplitterTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/EventSplitterTest.java
@@ -12,10 +12,10 @@
     private final EventSplitter splitter = new EventSplitter(-1);
 
     private String split(String text) {
-        ByteBuf whole = splitter.split(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        String taken = whole.toString(StandardCharsets.UTF_8);
-        whole.release();
-        return taken;
+        ByteBuf complete = splitter.split(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        String events = complete.toString(StandardCharsets.UTF_8);
+        complete.release();
+        return events;
     }
 
     @Test
@@ -26,8 +26,8 @@
     }
 
     /**
-     * An upstream crashes in the middle of an event. The caller would get the half event and then, from the upstream that
-     * resumes the stream, the whole one.
+     * Guards against a caller that receives a partial event from an upstream that crashes, followed by the complete one from
+     * the upstream that resumes the stream.
      */
     @Test
     void holdsAPartialEventUntilItIsComplete() {
@@ -44,7 +44,7 @@
         assertThat(split("id: 7\ndata: c\n\n")).isEqualTo("id: 7\ndata: c\n\n");
     }
 
-    /** The bytes are passed on by the caller of the splitter as well, which must find them unread. */
+    /** The attempt forwards the same buffer to the caller where the route does not resume streams. */
     @Test
     void doesNotConsumeItsInput() {
         ByteBuf bytes = Unpooled.copiedBuffer("id: 1\ndata: a\n\n", StandardCharsets.UTF_8);
--- a/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
@@ -24,14 +24,14 @@
         return taken;
     }
 
-    /** Guards against retries of all entries at once that together exceed what is allowed. */
+    /** Guards against bursts of retries at all entries at once that together exceed the slack. */
     @ParameterizedTest
     @CsvSource({"7, 54", "9, 58", "54, 150", "91, 222"})
     void staysWithinTheSlackAcrossAllEntries(int entries, int slack) {
         assertThat(burst(entries, slack) * entries).isLessThanOrEqualTo(slack);
     }
 
-    /** Guards against a call that fails for good because the same entry has repeated another one just before. */
+    /** Guards against a request that fails because its entry has just spent its only retry on another one. */
     @Test
     void allowsOneOfManyEntriesTwoRetriesInARow() {
         assertThat(burst(91, 222)).isGreaterThanOrEqualTo(2);
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -115,9 +115,9 @@
     }
 
     @Nested
-    class AttachedScheduler {
+    class WithAttachedScheduler {
         @Test
-        void receivesAnAttachBeforeTheFirstRequest() {
+        void attachesBeforeTheFirstRequest() {
             requestSlot(0);
             assertThat(links.sentTo(NEAR)).hasSize(2);
             assertThat(links.sentTo(NEAR).get(0)).isInstanceOf(FleetMessage.Attach.class);
@@ -126,7 +126,7 @@
         }
 
         @Test
-        void receivesAReportWhenAGrantedSlotEnds() {
+        void reportsTheEndOfAGrantedSlot() {
             UpstreamSlot slot = requestSlot(0);
             reply(NEAR, slot, granted(ENGINE), 1);
             assertThat(listener.granted).containsExactly(slot);
@@ -134,9 +134,9 @@
             assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.SUCCESS);
         }
 
-        /** Guards against a slot that stays taken because its request was withdrawn while the grant was on its way. */
+        /** Guards against a slot that stays occupied because its request was cancelled while the grant was in transit. */
         @Test
-        void getsBackASlotGrantedToACancelledRequest() {
+        void releasesASlotGrantedToACancelledRequest() {
             UpstreamSlot slot = requestSlot(0);
             slot.cancel();
             reply(NEAR, slot, granted(ENGINE), 1);
@@ -144,9 +144,9 @@
             assertThat(links.outcomes(NEAR)).contains(SlotOutcome.UNUSED);
         }
 
-        /** Guards against a request that is sent to an upstream which this entry knows to be gone. */
+        /** Guards against a request that is sent to an upstream which is no longer in the host list of this entry. */
         @Test
-        void receivesANewRequestWhenItGrantsAnUnlistedUpstream() {
+        void declinesAnUnlistedUpstream() {
             UpstreamSlot slot = requestSlot(0);
             reply(NEAR, slot, granted(UNLISTED), 1);
             assertThat(listener.granted).isEmpty();
@@ -155,7 +155,7 @@
         }
 
         @Test
-        void keepsARequestThatItReportsAsQueued() {
+        void keepsWaitingForARequestReportedAsQueued() {
             UpstreamSlot slot = requestSlot(0);
             reply(NEAR, slot, new SlotReply.Queued(100), 1);
             client.checkPending(150);
@@ -163,9 +163,9 @@
             assertThat(listener.rejected).isEmpty();
         }
 
-        /** Guards against a caller that waits for ever because its queued request was lost with its scheduler. */
+        /** Guards against a request that waits forever because the scheduler that queued it never decides. */
         @Test
-        void losesAQueuedRequestThatIsOverdue() {
+        void rejectsAQueuedRequestThatIsOverdue() {
             UpstreamSlot slot = requestSlot(0);
             reply(NEAR, slot, new SlotReply.Queued(100), 1);
             client.checkPending(301);
@@ -174,20 +174,20 @@
     }
 
     @Nested
-    class UnresponsiveScheduler {
+    class WithUnresponsiveScheduler {
         private static final long AFTER_TIMEOUT_MILLIS = SlotClient.REPLY_TIMEOUT_MILLIS + 1;
 
-        /** Guards against requests that wait for a scheduler that is frozen or cut off. */
+        /** Guards against requests that wait for a frozen or unreachable scheduler. */
         @Test
-        void isReplacedByAnotherScheduler() {
+        void sendsTheRequestToAnotherScheduler() {
             requestSlot(0);
             client.checkPending(AFTER_TIMEOUT_MILLIS);
             assertThat(links.lastAsk(FAR).request().waitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
         }
 
-        /** Guards against engines that look empty to a scheduler whose new entries hold half of their slots. */
+        /** Guards against a scheduler that grants slots again which its newly attached entries hold already. */
         @Test
-        void isReplacedByASchedulerThatLearnsOfTheHeldSlots() {
+        void reportsHeldSlotsToTheNextScheduler() {
             UpstreamSlot held = requestSlot(0);
             reply(NEAR, held, granted(ENGINE), 1);
             requestSlot(10);
@@ -198,13 +198,13 @@
             assertThat(links.outcomes(FAR)).containsExactly(SlotOutcome.SUCCESS);
         }
 
-        /** Guards against two grants for one request after its scheduler has woken up. */
+        /** Guards against two grants for one request after a frozen scheduler resumes. */
         @Test
-        void getsBackASlotThatItGrantsTooLate() {
+        void releasesALateGrantOfThePreviousScheduler() {
             UpstreamSlot slot = requestSlot(0);
-            long formerId = slot.id();
+            long previousId = slot.id();
             client.checkPending(AFTER_TIMEOUT_MILLIS);
-            client.onReply(NEAR, new FleetMessage.Reply(formerId, granted(ENGINE)), AFTER_TIMEOUT_MILLIS + 5);
+            client.onReply(NEAR, new FleetMessage.Reply(previousId, granted(ENGINE)), AFTER_TIMEOUT_MILLIS + 5);
             assertThat(listener.granted).isEmpty();
             assertThat(links.outcomes(NEAR)).contains(SlotOutcome.UNUSED);
             reply(FAR, slot, granted(ENGINE), AFTER_TIMEOUT_MILLIS + 6);
@@ -212,16 +212,16 @@
         }
 
         @Test
-        void isReplacedAtOnceWhenItsConnectionIsLost() {
+        void sendsTheRequestAtOnceWhenTheConnectionIsLost() {
             requestSlot(0);
             links.connected.remove(NEAR);
             client.onLinkLost(NEAR, 5);
             assertThat(links.lastAsk(FAR)).isNotNull();
         }
 
-        /** Guards against a scheduler that has forgotten an entry whose connection was made anew meanwhile. */
+        /** Guards against requests to a scheduler that detached this entry when its previous connection closed. */
         @Test
-        void receivesAnotherAttachOverANewConnection() {
+        void attachesAgainOverANewConnection() {
             requestSlot(0);
             links.connected.put(NEAR, 2);
             requestSlot(10);
@@ -232,8 +232,8 @@
     }
 
     @Nested
-    class LocalScheduler {
-        /** Guards against an entry that serves nobody while all control hosts restart. */
+    class WithLocalScheduler {
+        /** Guards against an entry that serves no requests while all control hosts restart. */
         @Test
         void grantsSlotsWhenNoOtherSchedulerIsReachable() {
             links.connected.clear();
@@ -250,7 +250,7 @@
         }
 
         @Test
-        void reportsItsGrantsToTheNextScheduler() {
+        void reportsItsOwnGrantsToTheNextScheduler() {
             links.connected.clear();
             requestSlot(0);
             links.connected.put(FAR, 1);
@@ -260,7 +260,7 @@
         }
     }
 
-    /** Keeps what became of requests. */
+    /** Records the decisions on requests. */
     private static final class RecordingListener implements UpstreamSlot.Listener {
         private final List<UpstreamSlot> granted = new ArrayList<>();
         private final List<SlotReply.Rejected> rejected = new ArrayList<>();
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Keeps what is sent over connections that a test makes and loses. */
+    /** Records the messages sent; a test sets which connections exist. */
     private static final class FakeLinks implements FleetSender {
         private final Map<String, Integer> connected = new HashMap<>(Map.of(NEAR, 1, FAR, 1));
         private final Map<String, List<FleetMessage>> sent = new HashMap<>();
--- a/node/src/test/java/org/radishspur/node/entry/UpstreamAttemptTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/UpstreamAttemptTest.java
@@ -37,7 +37,7 @@
             }
         }
 
-        /** Guards against a short answer that looks complete, with the text of an error behind it. */
+        /** Guards against a truncated stream that looks complete because an error text ends it. */
         @ParameterizedTest
         @ValueSource(ints = {500, 400})
         void abortsWhenTheSecondUpstreamRespondsWithAFailure(int status) {
@@ -62,7 +62,7 @@
 
     @Nested
     class DelayedConnection {
-        /** Guards against a key that was revoked while the process stood still between the grant and the connection. */
+        /** Guards against serving a key that was revoked while the process was paused between the grant and the connection. */
         @Test
         void sendsNothingWhenTheCatalogueIsNoLongerConfirmed() {
             try (EntryFixture entry = new EntryFixture(RequestKind.UNSAFE, false, 1)) {
@@ -75,7 +75,7 @@
             }
         }
 
-        /** Guards against a request that runs in a failure domain which was evacuated in the meantime. */
+        /** Guards against a request that runs in a failure domain evacuated between the grant and the connection. */
         @Test
         void sendsNothingToAnEvacuatedFailureDomain() {
             try (EntryFixture entry = new EntryFixture(RequestKind.UNSAFE, false, 1)) {
