--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -131,7 +131,7 @@
             return;
         }
         schedulerChoice.answered(scheduler);
-        slot.replied();
+        slot.markReplied();
         if (reply.reply() instanceof SlotReply.Granted granted) {
             pending.remove(reply.id());
             onGranted(slot, granted, now);
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -95,7 +95,7 @@
         replied = false;
     }
 
-    void replied() {
+    void markReplied() {
         replied = true;
     }
 
--- a/node/src/test/java/org/radishspur/node/entry/ErrorResponsesTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/ErrorResponsesTest.java
@@ -33,7 +33,7 @@
     class RetryAfter {
         @ParameterizedTest
         @CsvSource({"1, 0.001", "50, 0.050", "1179, 1.179", "60000, 60.000"})
-        void isInSeconds(long millis, String seconds) {
+        void isSentInDecimalSeconds(long millis, String seconds) {
             FullHttpResponse response = ErrorResponses.of(EndReason.OVERLOAD, millis);
             assertThat(response.headers().get(HttpHeaderNames.RETRY_AFTER)).isEqualTo(seconds);
         }
