--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -29,11 +29,11 @@
 
 /**
  * Processes one request from the arrival of its head to its only response: it reads the body, finds the route and the
- * organisation, requests a slot, sends the request to the granted upstream and retries on others where the route allows that.
- * The traffic thread owns it.
+ * organisation, requests a slot, sends the request to the granted upstream and retries on others where the route allows
+ * that. The traffic thread owns it.
  */
 final class CallerExchange implements UpstreamSlot.Listener {
-    /** The share of the route's target latency that a caller's first try may wait for a slot; the rest is for the response. */
+    /** The share of the target latency that a caller's first try may wait for a slot; the rest is for the response. */
     private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
     /**
@@ -43,14 +43,14 @@
     private static final double RETRY_WAIT_SHARE = 0.4;
 
     /**
-     * The share of its deadline that a request waits for the view to be confirmed. A caller that is refused sooner spends its
-     * only retry before the confirmation.
+     * The share of its deadline that a request waits for the view to be confirmed. A caller that is refused sooner
+     * spends its only retry before the confirmation.
      */
     private static final double CONFIRMATION_WAIT_SHARE = 0.2;
 
     /**
-     * The maximum time that a request waits for a slot, in milliseconds. Callers of streams disconnect after about two seconds
-     * without an event; the rest is for the upstream's first event.
+     * The maximum time that a request waits for a slot, in milliseconds. Callers of streams disconnect after about two
+     * seconds without an event; the rest is for the upstream's first event.
      */
     private static final long MAX_WAIT_MILLIS = 1_200;
 
@@ -157,8 +157,8 @@
     }
 
     /**
-     * Waits for the view to be confirmed before the request is routed. After a restart or the loss of the control leader that
-     * takes about a second; a caller that is refused at once would spend its only retry before it.
+     * Waits for the view to be confirmed before the request is routed. After a restart or the loss of the control
+     * leader that takes about a second; a caller that is refused at once would spend its only retry before it.
      */
     private void awaitConfirmation(long statedMillis) {
         long waitMillis = Math.min(MAX_WAIT_MILLIS, (long) (statedMillis * CONFIRMATION_WAIT_SHARE));
@@ -267,7 +267,7 @@
                 head.prefixTokens());
     }
 
-    /** Returns how many tokens the caller expects, bounded by its own limit of output tokens, which its estimate may exceed. */
+    /** Returns how many tokens the caller expects, at most its own output limit, which its estimate may exceed. */
     long expectedTokens() {
         return head.outputTokens() > 0 ? Math.min(head.expectedTokens(), head.outputTokens()) : head.expectedTokens();
     }
--- a/node/src/main/java/org/radishspur/node/entry/EndReason.java
+++ b/node/src/main/java/org/radishspur/node/entry/EndReason.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * The reasons for which an entry ends a request with an error response of its own. The code of a reason is its name in lower case with
- * hyphens; it is sent to callers, logged and part of metric names.
+ * The reasons for which an entry ends a request with an error response of its own. The code of a reason is its name in
+ * lower case with hyphens; it is sent to callers, logged and part of metric names.
  */
 enum EndReason {
     /** The request is malformed, or a required header is missing. */
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -77,8 +77,9 @@
     }
 
     /**
-     * Applies a view that only confirms the current one, and returns whether it did; otherwise the traffic thread has to apply
-     * the view. Any thread may call this, so that a confirmation doesn't wake the traffic thread of an idle entry.
+     * Applies a view that only confirms the current one, and returns whether it did; otherwise the traffic thread has
+     * to apply the view. Any thread may call this, so that a confirmation doesn't wake the traffic thread of an idle
+     * entry.
      */
     boolean applyConfirmation(ConfirmedView newer) {
         if (confirmationAwaited || !view.saysTheSame(newer)) {
@@ -179,7 +180,7 @@
         running.remove(exchange);
     }
 
-    /** Counts a response of an upstream for the rollout of its version, with the time until its last byte in milliseconds. */
+    /** Counts a response for the rollout of its version, with the time until its last byte in milliseconds. */
     void recordResponse(Upstream upstream, String route, boolean good, double responseMillis) {
         versionCounters.add(upstream.pool(), upstream.version(), route, good, responseMillis, 0);
     }
--- a/node/src/main/java/org/radishspur/node/entry/ErrorResponses.java
+++ b/node/src/main/java/org/radishspur/node/entry/ErrorResponses.java
@@ -20,7 +20,7 @@
 
     private ErrorResponses() {}
 
-    /** Builds a response with a reason, and with Retry-After in decimal seconds where the time in milliseconds is positive. */
+    /** Builds a response with a reason, and with Retry-After in decimal seconds if the time is positive. */
     static FullHttpResponse of(EndReason reason, long retryAfterMillis) {
         byte[] body = problemBody(reason).getBytes(StandardCharsets.UTF_8);
         FullHttpResponse response = new DefaultFullHttpResponse(
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Builds the JSON body by hand, as codes need no escaping. Loading the JSON mapper at the first refusal of a process would
-     * delay all streams of the traffic thread.
+     * Builds the JSON body by hand, as codes need no escaping. Loading the JSON mapper at the first refusal of a
+     * process would delay all streams of the traffic thread.
      */
     private static String problemBody(EndReason reason) {
         return "{\"reason\":\"" + reason.code() + "\",\"notRun\":" + reason.isNotRun() + '}';
--- a/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
+++ b/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
@@ -6,8 +6,8 @@
 /**
  * Splits the bytes of an event stream into complete events and a partial one.
  *
- * <p>A partial event must not reach the caller: if the connection is lost, another upstream resumes the stream with a complete
- * event.
+ * <p>A partial event must not reach the caller: if the connection is lost, another upstream resumes the stream with a
+ * complete event.
  */
 final class EventSplitter {
     private static final byte[] ID_FIELD = {'i', 'd', ':'};
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
@@ -13,14 +13,14 @@
     private static final int MIN_ENTRIES = 4;
 
     /**
-     * The share of the slack that all entries together may spend in a burst. The rest covers restarted entries, which start with
-     * a new budget each time.
+     * The share of the slack that all entries together may spend in a burst. The rest covers restarted entries, which
+     * start with a new budget each time.
      */
     private static final double BURST_SLACK_SHARE = 0.8;
 
     /**
-     * The share of the configured retry ratio that requests add to a budget. The rest covers measurement windows that start in
-     * the middle of a busy period.
+     * The share of the configured retry ratio that requests add to a budget. The rest covers measurement windows that
+     * start in the middle of a busy period.
      */
     private static final double EARNED_RETRY_SHARE = 0.5;
 
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -27,17 +27,19 @@
  * Requests slots for one entry from the scheduler of a control host, and from a local scheduler where no other is available.
  * The traffic thread owns it.
  *
- * <p>The local scheduler counts every slot that this entry holds, whichever scheduler granted it. This supplies the held slots
- * that the entry reports when it attaches to another scheduler, and the measured times by which the local scheduler decides.
+ * <p>The local scheduler counts every slot that this entry holds, whichever scheduler granted it. This supplies the
+ * held slots that the entry reports when it attaches to another scheduler, and the measured times by which the local
+ * scheduler decides.
  */
 final class SlotClient {
     /**
-     * How long a scheduler may take to reply, in milliseconds; usually it takes one or two. After that its pending requests are
-     * sent to another one, so that a frozen or unreachable scheduler delays a request by this time and one check interval at most.
+     * How long a scheduler may take to reply, in milliseconds; usually it takes one or two. After that its pending
+     * requests are sent to another one, so that a frozen or unreachable scheduler delays a request by this time and one
+     * check interval at most.
      */
     static final long REPLY_TIMEOUT_MILLIS = 100;
 
-    /** How long after its maximum wait a request is rejected here, in milliseconds; its scheduler normally does so sooner. */
+    /** How long after its maximum wait a request is rejected here, in milliseconds, if its scheduler hasn't. */
     private static final long OVERDUE_MARGIN_MILLIS = 100;
 
     /** The number of grants of unusable upstreams after which a request is rejected. */
@@ -197,7 +199,7 @@
         }
     }
 
-    /** Chooses a scheduler and returns its address, empty for the local one; attaches to it if it or its connection is new. */
+    /** Returns the address of the chosen scheduler, empty for the local one, and attaches to it if needed. */
     private Optional<String> attach(long now) {
         Optional<String> chosen = schedulerChoice.choose(address -> links.connection(address) > 0, now);
         String next = chosen.orElse(LOCAL_ADDRESS);
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -338,7 +338,7 @@
         end(good ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
     }
 
-    /** Counts the response for the version of the upstream, with the time from sending the request to the last byte so far. */
+    /** Counts the response for the version of the upstream, with the time until the last byte so far. */
     private void recordResponse(boolean good) {
         long responseMillis = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
         services.recordResponse(upstream.upstream(), caller.route().name(), good, responseMillis);
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -9,7 +9,8 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * The slot of one attempt, which is requested, then granted or rejected, and released in the end. The traffic thread owns it.
+ * The slot of one attempt, which is requested, then granted or rejected, and released in the end. The traffic thread
+ * owns it.
  */
 final class UpstreamSlot {
     private final SlotClient client;
@@ -37,7 +38,7 @@
         return upstream;
     }
 
-    /** Returns whether the scheduler wants an early report of the event time, as it has no measurement of the upstream yet. */
+    /** Returns whether the scheduler wants the event time early, as it has not measured the upstream. */
     boolean isEventTimeRequested() {
         return eventTimeRequested;
     }
--- a/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
+++ b/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
@@ -9,8 +9,8 @@
 import org.radishspur.node.schedule.ControlFollower;
 
 /**
- * Counts the responses of each version of a pool by route, for the reports on rollouts to the control leader. It may be called
- * from any thread.
+ * Counts the responses of each version of a pool by route, for the reports on rollouts to the control leader. It may be
+ * called from any thread.
  */
 final class VersionCounters implements ControlFollower.CountSource {
     private final Map<String, VersionCounts> counts = new HashMap<>();
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -23,7 +23,7 @@
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamExchange {
     private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d{1,6})");
 
-    /** How long before the upstream closes an idle connection it is no longer reused, in milliseconds; covers network delay. */
+    /** How long before its timeout an idle connection is no longer reused, in milliseconds; covers network delay. */
     private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
     private final UpstreamConnections connections;
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
@@ -17,8 +17,8 @@
 import org.radishspur.node.settings.HostPort;
 
 /**
- * Holds the connections of one traffic thread to all upstreams, and starts exchanges on idle or new ones. As each traffic thread
- * has an instance of its own, an exchange runs on the thread of its caller.
+ * Holds the connections of one traffic thread to all upstreams, and starts exchanges on idle or new ones. As each
+ * traffic thread has an instance of its own, an exchange runs on the thread of its caller.
  */
 public final class UpstreamConnections implements UpstreamExchange.Factory {
     private final EventLoop loop;
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
@@ -19,7 +19,8 @@
     void read();
 
     /**
-     * Discards the response whose head has just been received and waits for the next one, after which the connection is closed.
+     * Discards the response whose head has just been received and waits for the next one, after which the connection is
+     * closed.
      *
      * <p>This handles an upstream that responds to a request twice: the second copy arrives where the response to the next
      * request on the connection is expected, and must not reach its caller.
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamHeaders.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamHeaders.java
@@ -36,7 +36,7 @@
     /** The response header with the number of the run of the upstream's process. */
     public static final String INCARNATION = "Radishspur-Incarnation";
 
-    /** The header with the identifier of the attempt, for the upstream's log; responses to callers carry that of the request. */
+    /** The header with the identifier of an attempt, for the upstream's log, or of a request, for its caller. */
     public static final String REQUEST = "Radishspur-Request";
 
     /** The request header with the time until the deadline, in milliseconds. */
--- a/node/src/test/java/org/radishspur/node/entry/UpstreamAttemptTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/UpstreamAttemptTest.java
@@ -62,7 +62,10 @@
 
     @Nested
     class DelayedConnection {
-        /** Guards against serving a key that was revoked while the process was paused between the grant and the connection. */
+        /**
+         * Guards against serving a key that was revoked while the process was paused between the grant and the
+         * connection.
+         */
         @Test
         void sendsNothingWhenTheCatalogueIsNoLongerConfirmed() {
             try (EntryFixture entry = new EntryFixture(RequestKind.UNSAFE, false, 1)) {
