--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -7,8 +7,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class MoveTrialTest {
-    private static final double PER_MINUTE = 50;
-    private static final double BUSY_PER_MINUTE = 500;
+    private static final double REQUESTS_PER_MINUTE = 50;
+    private static final double BUSY_REQUESTS_PER_MINUTE = 500;
     private static final int SEEDS = 10;
 
     @ParameterizedTest
@@ -16,9 +16,11 @@
             value = VersionKind.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"GOOD", "GOOD_AFTER_A_START", "GOOD_WITH_STALLS", "WRONG_1_IN_100"})
-    void aBadVersionIsTakenBack(VersionKind kind) {
+    void aMoveToABadVersionIsTakenBack(VersionKind kind) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            assertThat(new MoveTrial(kind, PER_MINUTE, true, seed).run().takenBack())
+            assertThat(new MoveTrial(kind, REQUESTS_PER_MINUTE, true, seed)
+                            .run()
+                            .takenBack())
                     .as("seed " + seed)
                     .isTrue();
         }
@@ -28,9 +30,9 @@
     @EnumSource(
             value = VersionKind.class,
             names = {"GOOD", "GOOD_AFTER_A_START", "GOOD_WITH_STALLS", "FAILS_ON_ONE_ROUTE"})
-    void aVersionThatIsGoodOnItsRouteIsCompletedInTime(VersionKind kind) {
+    void aMoveToAVersionThatIsGoodOnItsRouteCompletesInTime(VersionKind kind) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            MoveOutcome outcome = new MoveTrial(kind, PER_MINUTE, false, seed).run();
+            MoveOutcome outcome = new MoveTrial(kind, REQUESTS_PER_MINUTE, false, seed).run();
             assertThat(outcome.completedInTime()).as("seed " + seed).isTrue();
             assertThat(outcome.takenBack()).as("seed " + seed).isFalse();
         }
@@ -38,9 +40,10 @@
 
     /** Guards against a good version taken back for a stall in which a busy route has many answers. */
     @Test
-    void aVersionWhoseHostStallsIsCompletedInTimeOnABusyRoute() {
+    void aMoveToAVersionWhoseHostStallsCompletesInTimeOnABusyRoute() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            MoveOutcome outcome = new MoveTrial(VersionKind.GOOD_WITH_STALLS, BUSY_PER_MINUTE, false, seed).run();
+            MoveOutcome outcome =
+                    new MoveTrial(VersionKind.GOOD_WITH_STALLS, BUSY_REQUESTS_PER_MINUTE, false, seed).run();
             assertThat(outcome.completedInTime()).as("seed " + seed).isTrue();
             assertThat(outcome.takenBack()).as("seed " + seed).isFalse();
         }
@@ -48,9 +51,9 @@
 
     @ParameterizedTest
     @EnumSource(value = VersionKind.class, names = "FAILS_OUTRIGHT")
-    void aVersionThatFailsOutrightGetsNextToNothing(VersionKind kind) {
+    void aVersionThatFailsEveryRequestReceivesOnlyOne(VersionKind kind) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            MoveOutcome outcome = new MoveTrial(kind, PER_MINUTE, false, seed).run();
+            MoveOutcome outcome = new MoveTrial(kind, REQUESTS_PER_MINUTE, false, seed).run();
             assertThat(outcome.toNew()).isEqualTo(1);
             assertThat(outcome.afterFirstFault()).isZero();
         }
--- a/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
@@ -24,8 +24,8 @@
  * Sends what no well-behaved caller or peer sends.
  */
 class BadInputTest {
-    private static final int TIMEOUT_MILLIS = 10_000;
-    private static final String ORGANISATION = "Radishspur-Organisation: o\r\n";
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
+    private static final String ORGANISATION_HEADER = "Radishspur-Organisation: o\r\n";
 
     @TempDir
     static Path folder;
@@ -47,16 +47,16 @@
 
     private static String exchange(int port, byte[] bytes) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             OutputStream out = socket.getOutputStream();
             out.write(bytes);
             out.flush();
-            return readAll(socket.getInputStream());
+            return readResponse(socket.getInputStream());
         }
     }
 
     /** Reads until the other side closes, or until a whole problem or answer has come. */
-    private static String readAll(InputStream in) throws IOException {
+    private static String readResponse(InputStream in) throws IOException {
         StringBuilder read = new StringBuilder();
         byte[] buffer = new byte[4_096];
         try {
@@ -74,8 +74,8 @@
         return read.toString();
     }
 
-    private static void assertStillServing() throws IOException {
-        String request = "POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION + "Content-Length: 2\r\n\r\nhi";
+    private static void assertServesRequests() throws IOException {
+        String request = "POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION_HEADER + "Content-Length: 2\r\n\r\nhi";
         assertThat(exchange(cluster.callerPort("a"), request.getBytes(StandardCharsets.ISO_8859_1)))
                 .contains("200 OK")
                 .contains(StandInUpstream.token("hi", 0).strip());
@@ -97,46 +97,46 @@
                 "POST /stream HTTP/1.1;Host: h;Radishspur-Organisation: o;Content-Length: 1;Content-Length: 2"
                         + " | malformed-request",
             })
-    void aBadRequestGetsATypedProblemAtOnce(String lines, String code) throws IOException {
+    void anInvalidRequestIsAnsweredWithATypedProblem(String lines, String code) throws IOException {
         String request = lines.replace(";", "\r\n") + "\r\n\r\n";
         String answer = exchange(cluster.callerPort("a"), request.getBytes(StandardCharsets.ISO_8859_1));
         assertThat(answer).contains("\"code\":\"" + code + "\"").contains("\"run\":\"not-run\"");
-        assertThat(cluster.get("a", "/metrics")).containsPattern("refusals\\." + code + "\":\\{\"count\":[1-9]");
-        assertStillServing();
+        assertThat(cluster.getAdmin("a", "/metrics")).containsPattern("refusals\\." + code + "\":\\{\"count\":[1-9]");
+        assertServesRequests();
     }
 
     @Test
-    void oversizedHeadersGetATypedProblem() throws IOException {
+    void oversizedHeadersAreAnsweredWithATypedProblem() throws IOException {
         String request = "GET /stream HTTP/1.1\r\nHost: h\r\nX: " + "x".repeat(40_000) + "\r\n\r\n";
         assertThat(exchange(cluster.callerPort("a"), request.getBytes(StandardCharsets.ISO_8859_1)))
                 .contains("headers-too-large");
-        assertStillServing();
+        assertServesRequests();
     }
 
     /** Guards against a failure in which a caller's request hangs until its deadline although the system is idle. */
     @Test
-    void aBodyMayComeLongAfterItsHead() throws Exception {
+    void aRequestWhoseBodyArrivesAfterItsHeadersIsAnswered() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("b"))) {
-            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             OutputStream out = socket.getOutputStream();
-            out.write(("POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION + "Content-Length: 4\r\n\r\n")
+            out.write(("POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION_HEADER + "Content-Length: 4\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
             java.util.concurrent.locks.LockSupport.parkNanos(100_000_000L);
             out.write("late".getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
-            assertThat(readAll(socket.getInputStream()))
+            assertThat(readResponse(socket.getInputStream()))
                     .contains(StandInUpstream.token("late", 0).strip());
         }
     }
 
     @Test
-    void requestsSentAheadOnOneConnectionAreAnsweredInOrder() throws IOException {
-        String one = "POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION + "Content-Length: 3\r\n\r\none";
-        String two = "POST /stream HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + ORGANISATION
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
+        String one = "POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION_HEADER + "Content-Length: 3\r\n\r\none";
+        String two = "POST /stream HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + ORGANISATION_HEADER
                 + "Content-Length: 3\r\n\r\ntwo";
         try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("c"))) {
-            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream().write((one + two).getBytes(StandardCharsets.ISO_8859_1));
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             int first = answers.indexOf(StandInUpstream.token("one", 0).strip());
@@ -147,18 +147,18 @@
     }
 
     @Test
-    void aPeerWithoutTheKeyIsRefusedAndCounted() throws IOException {
+    void aPeerWithoutTheSharedKeyIsRefusedAndCounted() throws IOException {
         byte[] frame = {0, 0, 0, 5, (byte) 0x81, (byte) 0xa1, 't', (byte) 0xa1, 'x'};
         exchange(cluster.peerPort("a"), frame);
-        assertThat(cluster.get("a", "/metrics"))
+        assertThat(cluster.getAdmin("a", "/metrics"))
                 .containsPattern("errors\\.(frame-invalid|peer-refused)\":\\{\"count\":[1-9]");
-        assertStillServing();
+        assertServesRequests();
     }
 
     @Test
     void anOversizedFrameIsRefusedAndCounted() throws IOException {
         exchange(cluster.peerPort("b"), new byte[] {0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff, 1, 2, 3});
-        assertThat(cluster.get("b", "/metrics")).containsPattern("errors\\.frame-invalid\":\\{\"count\":[1-9]");
-        assertStillServing();
+        assertThat(cluster.getAdmin("b", "/metrics")).containsPattern("errors\\.frame-invalid\":\\{\"count\":[1-9]");
+        assertServesRequests();
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
@@ -27,25 +27,25 @@
     @TempDir
     Path folder;
 
-    private static TableEdit edit(int number) {
+    private static TableEdit createPoolEdit(int number) {
         PoolRow row = new PoolRow("pool-" + number, PoolKind.SERVICE, List.of(), number + 1, 1, Map.of());
         return new TableEdit("change-" + number, List.of(new RowChange.PutPool(row, 0)));
     }
 
     /** Sends an edit to one node after the other until it has an answer, as an operator's script would. */
-    private static void editUntilAnswered(ProcessCluster cluster, int number) {
+    private static void submitUntilAccepted(ProcessCluster cluster, int number) {
         int[] tries = {number};
         ProcessCluster.await(() -> {
             String node = ProcessCluster.NODES.get(tries[0]++ % 3);
-            return cluster.isAlive(node) && cluster.edit(node, edit(number)) == 200;
+            return cluster.isAlive(node) && cluster.submitEdit(node, createPoolEdit(number)) == 200;
         });
     }
 
-    private static void assertAllInForce(ProcessCluster cluster, int edits) {
+    private static void assertEditsAppliedOnLiveNodes(ProcessCluster cluster, int edits) {
         for (String node : ProcessCluster.NODES) {
             if (cluster.isAlive(node)) {
                 ProcessCluster.await(() -> cluster.revision(node) == edits);
-                String tables = cluster.get(node, "/v1/tables");
+                String tables = cluster.getAdmin(node, "/v1/tables");
                 for (int number = 0; number < edits; number++) {
                     assertThat(tables).contains("\"pool-" + number + "\"");
                 }
@@ -55,7 +55,7 @@
 
     /** Guards against a failure in which an edit that was answered as accepted is missing, or counted twice. */
     @Test
-    void aKilledLeaderLosesAndDoublesNoEdit() {
+    void noEditIsLostOrAppliedTwiceWhenTheLeaderIsKilled() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             String leader = cluster.leader();
@@ -63,46 +63,46 @@
                 if (number == 30) {
                     cluster.kill(leader);
                 }
-                editUntilAnswered(cluster, number);
+                submitUntilAccepted(cluster, number);
             }
-            assertAllInForce(cluster, 60);
+            assertEditsAppliedOnLiveNodes(cluster, 60);
             cluster.startNode(leader);
-            assertAllInForce(cluster, 60);
-            assertThat(cluster.edit("a", edit(7))).isEqualTo(200);
+            assertEditsAppliedOnLiveNodes(cluster, 60);
+            assertThat(cluster.submitEdit("a", createPoolEdit(7))).isEqualTo(200);
             assertThat(cluster.revision("a")).isEqualTo(60);
         }
     }
 
     /** Guards against a failure in which a host that was frozen accepts an edit or shows old rows as the latest. */
     @Test
-    void aFrozenLeaderThatWakesAcceptsNothingAndCatchesUp() {
+    void aResumedLeaderReportsNoStaleRevisionAndCatchesUp() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
-            editUntilAnswered(cluster, 0);
+            submitUntilAccepted(cluster, 0);
             String leader = cluster.leader();
             List<String> others = new ArrayList<>(ProcessCluster.NODES);
             others.remove(leader);
-            cluster.signal(leader, "STOP");
+            cluster.sendSignal(leader, "STOP");
             for (int number = 1; number < 10; number++) {
-                TableEdit edit = edit(number);
-                ProcessCluster.await(() -> cluster.edit(others.get(0), edit) == 200);
+                TableEdit edit = createPoolEdit(number);
+                ProcessCluster.await(() -> cluster.submitEdit(others.get(0), edit) == 200);
             }
-            cluster.signal(leader, "CONT");
-            String seen = cluster.get(leader, "/v1/status");
+            cluster.sendSignal(leader, "CONT");
+            String seen = cluster.getAdmin(leader, "/v1/status");
             if (seen.contains("\"leader\"")) {
                 assertThat(seen).contains("\"revision\":10");
             }
-            assertAllInForce(cluster, 10);
+            assertEditsAppliedOnLiveNodes(cluster, 10);
         }
     }
 
     /** Guards against a failure in which edits are gone after a disk was replaced and a second host died. */
     @Test
-    void aReplacedDiskAndASecondLossLoseNothing() throws Exception {
+    void noEditIsLostWhenAReplicaIsReplacedAndTheLeaderIsKilled() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             for (int number = 0; number < 20; number++) {
-                editUntilAnswered(cluster, number);
+                submitUntilAccepted(cluster, number);
             }
             String leader = cluster.leader();
             String lost = ProcessCluster.NODES.stream()
@@ -110,35 +110,35 @@
                     .findFirst()
                     .orElseThrow();
             cluster.kill(lost);
-            wipe(folder.resolve("data-" + lost));
+            deleteFolder(folder.resolve("data-" + lost));
             NodeMain.main(new String[] {
                 "format", "--settings", folder.resolve(lost + ".json").toString()
             });
             cluster.startNode(lost);
-            ProcessCluster.await(
-                    () -> cluster.call(leader, HttpRequest.BodyPublishers.noBody(), "/v1/replicas/" + lost + "/replace")
+            ProcessCluster.await(() ->
+                    cluster.callAdmin(leader, HttpRequest.BodyPublishers.noBody(), "/v1/replicas/" + lost + "/replace")
                                     .statusCode()
                             == 200);
             ProcessCluster.await(() -> {
-                String status = cluster.get(leader, "/v1/status");
+                String status = cluster.getAdmin(leader, "/v1/status");
                 return status.contains("\"learners\":[]") && !status.contains(lost + "#founder");
             });
             cluster.kill(leader);
-            editUntilAnswered(cluster, 20);
-            assertAllInForce(cluster, 21);
+            submitUntilAccepted(cluster, 20);
+            assertEditsAppliedOnLiveNodes(cluster, 21);
         }
     }
 
     @Test
-    void racingOperatorsWithEqualRevisionsGetOneAcceptedEdit() {
+    void oneOfSeveralConcurrentEditsWithTheSameExpectedRevisionIsAccepted() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
-            editUntilAnswered(cluster, 0);
+            submitUntilAccepted(cluster, 0);
             List<CompletableFuture<Integer>> answers = new ArrayList<>();
             for (int operator = 0; operator < 9; operator++) {
                 String node = ProcessCluster.NODES.get(operator % 3);
                 PoolRow row = new PoolRow("pool-0", PoolKind.SERVICE, List.of(), 100 + operator, 1, Map.of());
                 TableEdit edit = new TableEdit("racing-" + operator, List.of(new RowChange.PutPool(row, 1)));
-                answers.add(CompletableFuture.supplyAsync(() -> cluster.edit(node, edit)));
+                answers.add(CompletableFuture.supplyAsync(() -> cluster.submitEdit(node, edit)));
             }
             List<Integer> codes = answers.stream().map(CompletableFuture::join).toList();
             assertThat(codes).filteredOn(code -> code == 200).hasSize(1);
@@ -147,17 +147,17 @@
     }
 
     @Test
-    void anEditWithoutTheTokenIsRefused() throws Exception {
+    void anEditWithAWrongTokenIsRefused() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             Path token = folder.resolve("admin.token");
             Files.writeString(token, "another-secret-altogether");
-            assertThat(cluster.edit("a", edit(0))).isEqualTo(401);
-            assertThat(Json.INSTANCE.write(edit(0))).isNotEmpty();
+            assertThat(cluster.submitEdit("a", createPoolEdit(0))).isEqualTo(401);
+            assertThat(Json.INSTANCE.write(createPoolEdit(0))).isNotEmpty();
         }
     }
 
-    private static void wipe(Path data) throws Exception {
+    private static void deleteFolder(Path data) throws Exception {
         try (var files = Files.walk(data)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
@@ -23,7 +23,7 @@
     Path folder;
 
     private static HttpResponse<String> send(ProcessCluster cluster, String node, String body, boolean crashes) {
-        HttpRequest.Builder request = HttpRequest.newBuilder(cluster.caller(node, "/stream"))
+        HttpRequest.Builder request = HttpRequest.newBuilder(cluster.callerUri(node, "/stream"))
                 .header("Radishspur-Organisation", "crew")
                 .header("Radishspur-Deadline-Millis", "5000")
                 .header(StandInUpstream.TOKENS, "2")
@@ -38,7 +38,7 @@
 
     /** Guards against a failure in which one request takes down every engine of the pool, and nobody gets a briefing. */
     @Test
-    void aRequestThatCrashesEnginesIsRefusedEverywhereAfterTheSecondCrash() {
+    void aRequestIsRefusedAtEveryNodeAfterItCrashedTwoEngines() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             List<UpstreamRow> rows = ENGINES.stream()
                     .map(name -> cluster.startUpstream(name, PoolKind.ENGINE, 100))
--- a/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
@@ -28,14 +28,14 @@
  * Moves one route to a good version and another one to a bad version while the control leader is killed.
  */
 class MoveUnderKillsTest {
-    private static final long WINDOW_MILLIS = 64_000;
-    private static final long WINDOW_SECONDS = WINDOW_MILLIS / 1_000;
-    private static final long PAUSE_MILLIS = 12;
+    private static final long MOVE_WINDOW_MILLIS = 64_000;
+    private static final long MOVE_WINDOW_SECONDS = MOVE_WINDOW_MILLIS / 1_000;
+    private static final long REQUEST_INTERVAL_MILLIS = 12;
 
     @TempDir
     Path folder;
 
-    private static RouteRow route(String name, String version, long completeBy) {
+    private static RouteRow routeToVersion(String name, String version, long completeBy) {
         return new RouteRow(
                 name,
                 List.of(),
@@ -52,12 +52,12 @@
                 completeBy);
     }
 
-    private static RowChange.PutPool pool(String name, List<UpstreamRow> upstreams) {
-        return new RowChange.PutPool(ProcessCluster.pool(name, PoolKind.SERVICE, upstreams), 0);
+    private static RowChange.PutPool putPool(String name, List<UpstreamRow> upstreams) {
+        return new RowChange.PutPool(ProcessCluster.poolRow(name, PoolKind.SERVICE, upstreams), 0);
     }
 
-    private static JsonNode move(ProcessCluster cluster, String node, String route) {
-        String body = cluster.get(node, "/v1/status");
+    private static JsonNode moveStatus(ProcessCluster cluster, String node, String route) {
+        String body = cluster.getAdmin(node, "/v1/status");
         if (!body.isEmpty()) {
             for (JsonNode move :
                     Json.INSTANCE.readTree(body, ErrorCode.CALL_INVALID).path("moves")) {
@@ -70,7 +70,7 @@
     }
 
     private static void send(ProcessCluster cluster, String node, String route, int number) {
-        HttpRequest request = HttpRequest.newBuilder(cluster.caller(node, "/" + route))
+        HttpRequest request = HttpRequest.newBuilder(cluster.callerUri(node, "/" + route))
                 .header("Radishspur-Organisation", "kiraz")
                 .POST(HttpRequest.BodyPublishers.ofString("diff " + number))
                 .build();
@@ -79,25 +79,25 @@
 
     /** Guards against a failure in which a faulty version serves the route, or a good one doesn't. */
     @Test
-    void aGoodVersionIsCompletedAndABadOneTakenBack() {
+    void aMoveToAGoodVersionCompletesAndAMoveToABadVersionIsTakenBack() {
         try (ProcessCluster cluster = new ProcessCluster(folder);
-                AutoShutdown load = new AutoShutdown()) {
+                LoadExecutor load = new LoadExecutor()) {
             TableEdit install = new TableEdit(
                     "install",
                     List.of(
-                            pool(
+                            putPool(
                                     "good",
                                     List.of(
-                                            cluster.startVersion("good-1", "1", false),
-                                            cluster.startVersion("good-2", "2", false))),
-                            pool(
+                                            cluster.startServiceVersion("good-1", "1", false),
+                                            cluster.startServiceVersion("good-2", "2", false))),
+                            putPool(
                                     "bad",
                                     List.of(
-                                            cluster.startVersion("bad-1", "1", false),
-                                            cluster.startVersion("bad-2", "2", true))),
-                            new RowChange.PutRoute(route("good", "1", 0), 0),
-                            new RowChange.PutRoute(route("bad", "1", 0), 0)));
-            ProcessCluster.await(() -> cluster.edit("a", install) == 200);
+                                            cluster.startServiceVersion("bad-1", "1", false),
+                                            cluster.startServiceVersion("bad-2", "2", true))),
+                            new RowChange.PutRoute(routeToVersion("good", "1", 0), 0),
+                            new RowChange.PutRoute(routeToVersion("bad", "1", 0), 0)));
+            ProcessCluster.await(() -> cluster.submitEdit("a", install) == 200);
             ProcessCluster.await(() -> ProcessCluster.NODES.stream().allMatch(node -> cluster.revision(node) == 1));
             String leader = cluster.leader();
             List<String> others = ProcessCluster.NODES.stream()
@@ -110,39 +110,41 @@
                         send(cluster, others.get(next % 2), next % 4 < 2 ? "good" : "bad", next);
                     },
                     0,
-                    PAUSE_MILLIS,
+                    REQUEST_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
-            ProcessCluster.await(() -> cluster.started("bad-1").size() > 60
-                    && cluster.started("good-1").size() > 60);
-            long completeBy = System.currentTimeMillis() + WINDOW_MILLIS;
+            ProcessCluster.await(() -> cluster.startedRequests("bad-1").size() > 60
+                    && cluster.startedRequests("good-1").size() > 60);
+            long completeBy = System.currentTimeMillis() + MOVE_WINDOW_MILLIS;
             TableEdit move = new TableEdit(
                     "move",
                     List.of(
-                            new RowChange.PutRoute(route("good", "2", completeBy), 1),
-                            new RowChange.PutRoute(route("bad", "2", completeBy), 1)));
-            ProcessCluster.await(() -> cluster.edit(others.get(0), move) == 200);
+                            new RowChange.PutRoute(routeToVersion("good", "2", completeBy), 1),
+                            new RowChange.PutRoute(routeToVersion("bad", "2", completeBy), 1)));
+            ProcessCluster.await(() -> cluster.submitEdit(others.get(0), move) == 200);
             cluster.kill(leader);
-            ProcessCluster.await(() ->
-                    move(cluster, others.get(0), "bad").path("state").asText().equals("TAKEN_BACK"));
-            assertThat(move(cluster, others.get(1), "bad").path("reason").asText())
+            ProcessCluster.await(() -> moveStatus(cluster, others.get(0), "bad")
+                    .path("state")
+                    .asText()
+                    .equals("TAKEN_BACK"));
+            assertThat(moveStatus(cluster, others.get(1), "bad").path("reason").asText())
                     .isEqualTo("FAILS_OUTRIGHT");
-            int given = cluster.started("bad-2").size();
+            int given = cluster.startedRequests("bad-2").size();
             assertThat(given).isBetween(1, 3);
             ProcessCluster.awaitWithin(
-                    WINDOW_SECONDS,
-                    () -> move(cluster, others.get(0), "good")
+                    MOVE_WINDOW_SECONDS,
+                    () -> moveStatus(cluster, others.get(0), "good")
                             .path("state")
                             .asText()
                             .equals("COMPLETED"));
-            assertThat(cluster.started("good-2").size()).isGreaterThan(100);
-            assertThat(cluster.started("bad-2")).hasSize(given);
+            assertThat(cluster.startedRequests("good-2").size()).isGreaterThan(100);
+            assertThat(cluster.startedRequests("bad-2")).hasSize(given);
         }
     }
 
     /**
      * Ends its thread when the test ends.
      */
-    private static final class AutoShutdown implements AutoCloseable {
+    private static final class LoadExecutor implements AutoCloseable {
         private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
 
         @Override
--- a/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
@@ -28,7 +28,7 @@
     Path folder;
 
     private static CompletableFuture<HttpResponse<String>> send(ProcessCluster cluster, String node, String name) {
-        HttpRequest request = HttpRequest.newBuilder(cluster.caller(node, "/stream"))
+        HttpRequest request = HttpRequest.newBuilder(cluster.callerUri(node, "/stream"))
                 .header("Radishspur-Organisation", "crew")
                 .header("Radishspur-Deadline-Millis", "30000")
                 .header(StandInUpstream.NAME, name)
@@ -40,7 +40,7 @@
 
     private static String owner(ProcessCluster cluster) {
         return Json.INSTANCE
-                .readTree(cluster.get("a", "/v1/pools"), ErrorCode.CALL_INVALID)
+                .readTree(cluster.getAdmin("a", "/v1/pools"), ErrorCode.CALL_INVALID)
                 .path("engines")
                 .path("owner")
                 .asText();
@@ -48,7 +48,7 @@
 
     /** Guards against a failure in which requests at healthy entries hang or are doubled after one node died. */
     @Test
-    void aKilledOwnerHoldsUpNobodyElsesRequests() {
+    void requestsAtOtherNodesSucceedWhenTheQueueOwnerIsKilled() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             List<UpstreamRow> engines = List.of(
                     cluster.startUpstream("first", PoolKind.ENGINE, 2_000),
@@ -62,20 +62,20 @@
             for (int number = 0; number < REQUESTS; number++) {
                 sent.add(send(cluster, entries.get(number % 2), "r" + number));
             }
-            ProcessCluster.await(() -> cluster.started("first").size() > 10);
+            ProcessCluster.await(() -> cluster.startedRequests("first").size() > 10);
             cluster.kill(owner);
             for (CompletableFuture<HttpResponse<String>> each : sent) {
                 assertThat(each.join().statusCode()).as(each.join().body()).isEqualTo(200);
             }
-            List<String> ran = new ArrayList<>(cluster.started("first"));
-            ran.addAll(cluster.started("second"));
+            List<String> ran = new ArrayList<>(cluster.startedRequests("first"));
+            ran.addAll(cluster.startedRequests("second"));
             assertThat(ran).hasSize(REQUESTS).doesNotHaveDuplicates();
         }
     }
 
     /** Guards against a failure in which answers of a thawed upstream reach other callers, or requests run twice. */
     @Test
-    void aFrozenUpstreamMixesNothingUpWhenItThaws() {
+    void aResumedUpstreamMixesUpNoAnswersAndRunsNoRequestTwice() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             List<UpstreamRow> engines = List.of(
                     cluster.startUpstream("first", PoolKind.ENGINE, 5_000),
@@ -85,11 +85,11 @@
             for (int number = 0; number < 60; number++) {
                 sent.add(send(cluster, ProcessCluster.NODES.get(number % 3), "f" + number));
             }
-            ProcessCluster.await(() -> cluster.started("second").size() > 2);
-            cluster.signal("first", "STOP");
+            ProcessCluster.await(() -> cluster.startedRequests("second").size() > 2);
+            cluster.sendSignal("first", "STOP");
             ProcessCluster.await(
                     () -> sent.stream().filter(CompletableFuture::isDone).count() > 20);
-            cluster.signal("first", "CONT");
+            cluster.sendSignal("first", "CONT");
             for (int number = 0; number < sent.size(); number++) {
                 HttpResponse<String> answer = sent.get(number).join();
                 if (answer.statusCode() == 200) {
@@ -102,8 +102,8 @@
                     assertThat(answer.body()).contains("\"run\":");
                 }
             }
-            List<String> ran = new ArrayList<>(cluster.started("first"));
-            ran.addAll(cluster.started("second"));
+            List<String> ran = new ArrayList<>(cluster.startedRequests("first"));
+            ran.addAll(cluster.startedRequests("second"));
             assertThat(ran).doesNotHaveDuplicates();
         }
     }
--- a/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
@@ -39,7 +39,7 @@
 final class ProcessCluster implements AutoCloseable {
     static final List<String> NODES = List.of("a", "b", "c");
 
-    private static final long LONGEST_WAIT_SECONDS = 40;
+    private static final long DEFAULT_TIMEOUT_SECONDS = 40;
 
     private final Path folder;
     private final Map<String, Process> processes = new LinkedHashMap<>();
@@ -56,14 +56,14 @@
         }
         for (String node : NODES) {
             writeSettings(node);
-            run("format-" + node, NodeMain.class, "format", "--found", "--settings", settings(node));
+            startProcess("format-" + node, NodeMain.class, "format", "--found", "--settings", settingsFile(node));
             await(() -> !processes.get("format-" + node).isAlive());
         }
         NODES.forEach(this::startNode);
     }
 
     void startNode(String node) {
-        run(node, NodeMain.class, "run", "--settings", settings(node));
+        startProcess(node, NodeMain.class, "run", "--settings", settingsFile(node));
     }
 
     UpstreamRow startUpstream(String name, PoolKind kind, long tokenMicros) {
@@ -72,7 +72,7 @@
         return new UpstreamRow(name, "127.0.0.1:" + port, "domain", "hardware", false);
     }
 
-    UpstreamRow startVersion(String name, String version, boolean failing) {
+    UpstreamRow startServiceVersion(String name, String version, boolean failing) {
         int port = TestPorts.next();
         startUpstream(name, PoolKind.SERVICE, 20_000, port, failing ? List.of("--failing") : List.of());
         return new UpstreamRow(name, "127.0.0.1:" + port, "domain", "hardware", false, version);
@@ -92,12 +92,12 @@
                 "--token-micros",
                 String.valueOf(tokenMicros),
                 "--log",
-                log(name).toString()));
+                requestLog(name).toString()));
         arguments.addAll(further);
-        run(name, TestkitMain.class, arguments.toArray(String[]::new));
+        startProcess(name, TestkitMain.class, arguments.toArray(String[]::new));
     }
 
-    private static boolean listens(UpstreamRow upstream) {
+    private static boolean isListening(UpstreamRow upstream) {
         int port =
                 Integer.parseInt(upstream.address().substring(upstream.address().indexOf(':') + 1));
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -113,21 +113,21 @@
         TableEdit edit = new TableEdit(
                 "install",
                 List.of(
-                        new RowChange.PutPool(pool("engines", PoolKind.ENGINE, engines), 0),
-                        new RowChange.PutPool(pool("records", PoolKind.SERVICE, services), 0),
-                        new RowChange.PutRoute(route("stream", "engines", true), 0),
-                        new RowChange.PutRoute(route("record", "records", false), 0)));
+                        new RowChange.PutPool(poolRow("engines", PoolKind.ENGINE, engines), 0),
+                        new RowChange.PutPool(poolRow("records", PoolKind.SERVICE, services), 0),
+                        new RowChange.PutRoute(routeRow("stream", "engines", true), 0),
+                        new RowChange.PutRoute(routeRow("record", "records", false), 0)));
         Stream.concat(engines.stream(), services.stream())
-                .forEach(upstream -> await(() -> isAlive(upstream.name()) && listens(upstream)));
-        await(() -> edit("a", edit) == 200);
+                .forEach(upstream -> await(() -> isAlive(upstream.name()) && isListening(upstream)));
+        await(() -> submitEdit("a", edit) == 200);
         await(() -> NODES.stream().allMatch(node -> revision(node) >= 1));
     }
 
-    static PoolRow pool(String name, PoolKind kind, List<UpstreamRow> upstreams) {
+    static PoolRow poolRow(String name, PoolKind kind, List<UpstreamRow> upstreams) {
         return new PoolRow(name, kind, upstreams, 5_000, 512, Map.of());
     }
 
-    static RouteRow route(String name, String pool, boolean idempotent) {
+    static RouteRow routeRow(String name, String pool, boolean idempotent) {
         return new RouteRow(
                 name,
                 List.of(),
@@ -144,12 +144,12 @@
                 0);
     }
 
-    int edit(String node, TableEdit edit) {
-        return call(node, HttpRequest.BodyPublishers.ofString(Json.INSTANCE.write(edit)), "/v1/edits")
+    int submitEdit(String node, TableEdit edit) {
+        return callAdmin(node, HttpRequest.BodyPublishers.ofString(Json.INSTANCE.write(edit)), "/v1/edits")
                 .statusCode();
     }
 
-    HttpResponse<String> call(String node, HttpRequest.BodyPublisher body, String path) {
+    HttpResponse<String> callAdmin(String node, HttpRequest.BodyPublisher body, String path) {
         try {
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports.get(node)[2] + path))
                     .header("Authorization", "Bearer " + Files.readString(folder.resolve("admin.token")))
@@ -159,10 +159,10 @@
             long begin = System.nanoTime();
             try {
                 HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-                record(node, path, begin, response.statusCode() + " " + response.body());
+                recordFailedCall(node, path, begin, response.statusCode() + " " + response.body());
                 return response;
             } catch (IOException exception) {
-                record(node, path, begin, exception.toString());
+                recordFailedCall(node, path, begin, exception.toString());
                 return new UnansweredResponse();
             }
         } catch (IOException exception) {
@@ -173,7 +173,7 @@
     }
 
     /** Writes a line for each call that wasn't answered as asked, beside the logs of the nodes. */
-    private void record(String node, String path, long begin, String outcome) throws IOException {
+    private void recordFailedCall(String node, String path, long begin, String outcome) throws IOException {
         if (!outcome.startsWith("200 ")) {
             String line = Instant.now() + " " + node + ' ' + path + " after "
                     + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin) + " ms: " + outcome + '\n';
@@ -181,12 +181,12 @@
         }
     }
 
-    String get(String node, String path) {
-        return call(node, HttpRequest.BodyPublishers.noBody(), path).body();
+    String getAdmin(String node, String path) {
+        return callAdmin(node, HttpRequest.BodyPublishers.noBody(), path).body();
     }
 
     long revision(String node) {
-        String body = get(node, "/health");
+        String body = getAdmin(node, "/health");
         if (body.isEmpty()) {
             return -1;
         }
@@ -197,7 +197,7 @@
     String leader() {
         for (String node : NODES) {
             if (processes.get(node).isAlive()) {
-                String body = get(node, "/v1/status");
+                String body = getAdmin(node, "/v1/status");
                 if (body.contains("\"leader\"")) {
                     return Json.INSTANCE
                             .readTree(body, ErrorCode.CALL_INVALID)
@@ -209,7 +209,7 @@
         return "";
     }
 
-    URI caller(String node, String path) {
+    URI callerUri(String node, String path) {
         return URI.create("http://127.0.0.1:" + ports.get(node)[0] + path);
     }
 
@@ -229,15 +229,15 @@
         return folder;
     }
 
-    Path log(String name) {
+    Path requestLog(String name) {
         return folder.resolve(name + ".requests");
     }
 
     /** Returns the names of the requests that an upstream has begun to run, in order. */
-    List<String> started(String upstream) {
+    List<String> startedRequests(String upstream) {
         try {
             List<String> names = new ArrayList<>();
-            for (String line : Files.readAllLines(log(upstream))) {
+            for (String line : Files.readAllLines(requestLog(upstream))) {
                 if (line.startsWith("start ")) {
                     names.add(line.split(" ")[1]);
                 }
@@ -266,7 +266,7 @@
     }
 
     /** Stops a process without ending it, as a frozen host; the signal is the one that a shell sends. */
-    void signal(String name, String signal) {
+    void sendSignal(String name, String signal) {
         try {
             new ProcessBuilder(
                             "kill",
@@ -282,7 +282,7 @@
     }
 
     static void await(BooleanSupplier condition) {
-        awaitWithin(LONGEST_WAIT_SECONDS, condition);
+        awaitWithin(DEFAULT_TIMEOUT_SECONDS, condition);
     }
 
     static void awaitWithin(long seconds, BooleanSupplier condition) {
@@ -301,11 +301,11 @@
         processes.values().forEach(process -> await(() -> !process.isAlive()));
     }
 
-    private String settings(String node) {
+    private String settingsFile(String node) {
         return folder.resolve(node + ".json").toString();
     }
 
-    private void run(String name, Class<?> main, String... arguments) {
+    private void startProcess(String name, Class<?> main, String... arguments) {
         List<String> line = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx256m",
@@ -347,7 +347,7 @@
                         + "\"limits\":{\"trafficThreads\":2}}",
                 node, node, ports.get(node)[0], ports.get(node)[1], ports.get(node)[2], node, peers);
         try {
-            Files.writeString(Path.of(settings(node)), text);
+            Files.writeString(Path.of(settingsFile(node)), text);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
--- a/testkit/src/test/java/org/radishspur/testkit/process/ReadinessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ReadinessTest.java
@@ -18,25 +18,27 @@
  * Asks nodes whether they are ready while they can't do what they are there for.
  */
 class ReadinessTest {
-    private static final int READS = 40;
-    private static final long PAUSE_MILLIS = 100;
+    private static final int HEALTH_CHECKS = 40;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     @TempDir
     Path folder;
 
     /** Guards against a balancer that sends callers to a node whose caller address somebody else holds. */
     @Test
-    void aNodeWhoseCallerAddressIsTakenIsNotReadyUntilItListens() throws IOException {
+    void aNodeIsNotReadyWhileItsCallerAddressIsInUse() throws IOException {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             cluster.installTables(List.of(cluster.startUpstream("engine", PoolKind.ENGINE, 100)), List.of());
             cluster.kill("c");
             try (ServerSocket other =
                     new ServerSocket(cluster.callerPort("c"), 1, InetAddress.getByName("127.0.0.1"))) {
                 cluster.startNode("c");
-                ProcessCluster.await(() -> !cluster.get("c", "/health").isEmpty());
-                for (int read = 0; read < READS; read++) {
-                    assertThat(cluster.get("c", "/health")).as("at " + other).doesNotContain("\"ready\":true");
-                    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MILLIS));
+                ProcessCluster.await(() -> !cluster.getAdmin("c", "/health").isEmpty());
+                for (int read = 0; read < HEALTH_CHECKS; read++) {
+                    assertThat(cluster.getAdmin("c", "/health"))
+                            .as("at " + other)
+                            .doesNotContain("\"ready\":true");
+                    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MILLIS));
                 }
             }
             ProcessCluster.await(() -> cluster.revision("c") >= 1);
--- a/testkit/src/test/java/org/radishspur/testkit/process/LateCallerTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
@@ -18,15 +18,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LateCallerTest {
+class StalledCallerTest {
     private static final int TOKENS = 1_000_000;
 
     @TempDir
     Path folder;
 
-    private static boolean ended(ProcessCluster cluster, String name) {
+    private static boolean hasCompleted(ProcessCluster cluster, String name) {
         try {
-            return Files.readString(cluster.log("engine")).contains("end " + name);
+            return Files.readString(cluster.requestLog("engine")).contains("end " + name);
         } catch (IOException exception) {
             return false;
         }
@@ -34,19 +34,19 @@
 
     /** Guards against a failure in which a caller's report ran, but the resend is answered that nobody knows. */
     @Test
-    void aRequestThatMayNotBeRepeatedEndsAlthoughItsCallerStoppedReading() throws Exception {
+    void aNonIdempotentRequestCompletesWhenItsCallerStopsReading() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             TableEdit edit = new TableEdit(
                     "install",
                     List.of(
                             new RowChange.PutPool(
-                                    ProcessCluster.pool(
+                                    ProcessCluster.poolRow(
                                             "engines",
                                             PoolKind.ENGINE,
                                             List.of(cluster.startUpstream("engine", PoolKind.ENGINE, 0))),
                                     0),
-                            new RowChange.PutRoute(ProcessCluster.route("note", "engines", false), 0)));
-            ProcessCluster.await(() -> cluster.edit("a", edit) == 200);
+                            new RowChange.PutRoute(ProcessCluster.routeRow("note", "engines", false), 0)));
+            ProcessCluster.await(() -> cluster.submitEdit("a", edit) == 200);
             ProcessCluster.await(() -> cluster.revision("a") == 1);
             String head =
                     "POST /note HTTP/1.1\r\nHost: h\r\nRadishspur-Organisation: crew\r\nIdempotency-Key: large\r\n"
@@ -54,9 +54,9 @@
                             + ": large\r\n" + StandInUpstream.TOKENS + ": " + TOKENS + "\r\n\r\nhello";
             try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("a"))) {
                 socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
-                ProcessCluster.awaitWithin(20, () -> ended(cluster, "large"));
+                ProcessCluster.awaitWithin(20, () -> hasCompleted(cluster, "large"));
             }
-            HttpRequest again = HttpRequest.newBuilder(cluster.caller("a", "/note"))
+            HttpRequest again = HttpRequest.newBuilder(cluster.callerUri("a", "/note"))
                     .header("Radishspur-Organisation", "crew")
                     .header("Idempotency-Key", "large")
                     .POST(HttpRequest.BodyPublishers.ofString("hello"))
@@ -66,7 +66,7 @@
                     .join()
                     .body()
                     .contains("answer-not-stored"));
-            assertThat(cluster.started("engine")).containsExactly("large");
+            assertThat(cluster.startedRequests("engine")).containsExactly("large");
         }
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
@@ -11,18 +11,18 @@
  * for listens there. A block of ports belongs to whoever listens on its first one, so that test runs side by side share none.
  */
 final class TestPorts {
-    private static final int FIRST = 20_000;
-    private static final int END = 32_000;
-    private static final int BLOCK = 500;
+    private static final int FIRST_PORT = 20_000;
+    private static final int END_PORT = 32_000;
+    private static final int BLOCK_SIZE = 500;
 
     private static final TestPorts INSTANCE = new TestPorts();
 
-    private final ServerSocket claim;
-    private int last;
+    private final ServerSocket blockSocket;
+    private int lastPort;
 
     private TestPorts() {
-        claim = claimBlock();
-        last = claim.getLocalPort();
+        blockSocket = reserveBlock();
+        lastPort = blockSocket.getLocalPort();
     }
 
     /**
@@ -31,24 +31,24 @@
      * @return the port.
      */
     static int next() {
-        return INSTANCE.draw();
+        return INSTANCE.allocate();
     }
 
-    private synchronized int draw() {
-        while (last < claim.getLocalPort() + BLOCK - 1) {
-            last++;
-            try (ServerSocket socket = listen(last)) {
+    private synchronized int allocate() {
+        while (lastPort < blockSocket.getLocalPort() + BLOCK_SIZE - 1) {
+            lastPort++;
+            try (ServerSocket socket = listen(lastPort)) {
                 return socket.getLocalPort();
             } catch (IOException exception) {
                 System.getLogger(TestPorts.class.getName())
-                        .log(System.Logger.Level.INFO, "Port " + last + " is taken; trying the next.");
+                        .log(System.Logger.Level.INFO, "Port " + lastPort + " is taken; trying the next.");
             }
         }
         throw new IllegalStateException("all ports of the block are used");
     }
 
-    private static ServerSocket claimBlock() {
-        for (int port = FIRST; port < END; port += BLOCK) {
+    private static ServerSocket reserveBlock() {
+        for (int port = FIRST_PORT; port < END_PORT; port += BLOCK_SIZE) {
             try {
                 return listen(port);
             } catch (IOException exception) {
--- a/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
@@ -28,39 +28,40 @@
  */
 class SlowDisksTest {
     private static final long LEASE_MILLIS = 220;
-    private static final long STARTS_AT = 10_000;
+    private static final long START_MILLIS = 10_000;
     private static final long TICK_MILLIS = 10;
-    private static final long LINK_MILLIS = 1;
+    private static final long NETWORK_DELAY_MILLIS = 1;
     private static final long SETTLE_MILLIS = 40_000;
-    private static final long OPERATOR_WAIT_MILLIS = 40_000;
-    private static final long RESEND_MILLIS = 500;
-    private static final int EDITS = 40;
+    private static final long OPERATOR_TIMEOUT_MILLIS = 40_000;
+    private static final long RESEND_INTERVAL_MILLIS = 500;
+    private static final int EDIT_ROUNDS = 40;
 
     /** Guards against an edit without an answer for as long as disks are slow, once the leader is frozen. */
     @Property(tries = 60, seed = "23")
-    void anEditIsAnsweredAfterTheLeaderIsFrozen(
+    void anEditIsCommittedAfterTheLeaderIsFrozen(
             @ForAll @IntRange(min = 1, max = 2_000) int writeMillis, @ForAll long seed) {
-        Group group = new Group(writeMillis, seed);
+        SimulatedCluster group = new SimulatedCluster(writeMillis, seed);
         group.advance(SETTLE_MILLIS);
         group.leader().freeze();
         long frozenAt = group.now();
-        while (!group.answered && group.now() < frozenAt + OPERATOR_WAIT_MILLIS) {
-            group.proposeEverywhere();
-            group.advance(RESEND_MILLIS);
+        while (!group.editCommitted && group.now() < frozenAt + OPERATOR_TIMEOUT_MILLIS) {
+            group.proposeToRunningReplicas();
+            group.advance(RESEND_INTERVAL_MILLIS);
         }
-        assertThat(group.answered).isTrue();
+        assertThat(group.editCommitted).isTrue();
     }
 
     /** Guards against a leader that steps down again and again since its followers answer only after their writes. */
     @Property(tries = 60, seed = "24")
-    void aLeaderStays(@ForAll @IntRange(min = 1, max = 2_000) int writeMillis, @ForAll long seed) {
-        Group group = new Group(writeMillis, seed);
+    void aLeaderKeepsItsRoleAndTermUnderEdits(
+            @ForAll @IntRange(min = 1, max = 2_000) int writeMillis, @ForAll long seed) {
+        SimulatedCluster group = new SimulatedCluster(writeMillis, seed);
         group.advance(SETTLE_MILLIS);
         SimulatedReplica leader = group.leader();
         long term = leader.replica().core().term();
-        for (int edit = 0; edit < EDITS; edit++) {
-            group.proposeEverywhere();
-            group.advance(RESEND_MILLIS);
+        for (int edit = 0; edit < EDIT_ROUNDS; edit++) {
+            group.proposeToRunningReplicas();
+            group.advance(RESEND_INTERVAL_MILLIS);
         }
         assertThat(leader.replica().core().role()).isEqualTo(Role.LEADER);
         assertThat(leader.replica().core().term()).isEqualTo(term);
@@ -69,16 +70,16 @@
     /**
      * Carries messages and writes in virtual time.
      */
-    private static final class Group implements SimulatedReplica.World {
+    private static final class SimulatedCluster implements SimulatedReplica.World {
         private final Map<String, SimulatedReplica> replicas = new TreeMap<>();
-        private final PriorityQueue<Event> events = new PriorityQueue<>();
+        private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
         private final int writeMillis;
         private final Random random;
-        private long now = STARTS_AT;
-        private long sequence;
-        private boolean answered;
+        private long now = START_MILLIS;
+        private long nextEventNumber;
+        private boolean editCommitted;
 
-        Group(int writeMillis, long seed) {
+        SimulatedCluster(int writeMillis, long seed) {
             this.writeMillis = writeMillis;
             this.random = new Random(seed);
             Set<String> voters = Set.of("a#0", "b#0", "c#0");
@@ -104,9 +105,9 @@
 
         void advance(long millis) {
             long until = now + millis;
-            while (!events.isEmpty() && events.peek().at() <= until) {
-                Event event = events.remove();
-                now = event.at();
+            while (!events.isEmpty() && events.peek().timeMillis() <= until) {
+                ScheduledEvent event = events.remove();
+                now = event.timeMillis();
                 event.action().run();
             }
             now = until;
@@ -114,7 +115,7 @@
 
         SimulatedReplica leader() {
             List<SimulatedReplica> leaders = new ArrayList<>();
-            for (int wait = 0; leaders.isEmpty() && wait < OPERATOR_WAIT_MILLIS / TICK_MILLIS; wait++) {
+            for (int wait = 0; leaders.isEmpty() && wait < OPERATOR_TIMEOUT_MILLIS / TICK_MILLIS; wait++) {
                 advance(TICK_MILLIS);
                 replicas.values().stream()
                         .filter(replica -> replica.replica().core().role() == Role.LEADER)
@@ -124,7 +125,7 @@
             return leaders.get(0);
         }
 
-        void proposeEverywhere() {
+        void proposeToRunningReplicas() {
             PoolRow row = new PoolRow("pool", PoolKind.SERVICE, List.of(), 1, 1, Map.of());
             TableEdit edit = new TableEdit("change", List.of(new RowChange.PutPool(row, 0)));
             for (SimulatedReplica replica : replicas.values()) {
@@ -132,7 +133,7 @@
                     replica.replica()
                             .propose(
                                     new ControlCommand.ApplyEdit(edit, now),
-                                    end -> answered |= end instanceof Proposal.Committed,
+                                    end -> editCommitted |= end instanceof Proposal.Committed,
                                     replica.clock());
                     replica.step();
                 }
@@ -154,13 +155,13 @@
         /** {@inheritDoc} */
         @Override
         public void schedule(Runnable action, long delay) {
-            events.add(new Event(now + delay, sequence++, action));
+            events.add(new ScheduledEvent(now + delay, nextEventNumber++, action));
         }
 
         /** {@inheritDoc} */
         @Override
         public void send(SimulatedReplica from, String to, RaftMessage message) {
-            schedule(() -> replicas.get(to).receive(from.identity(), message), LINK_MILLIS);
+            schedule(() -> replicas.get(to).receive(from.identity(), message), NETWORK_DELAY_MILLIS);
         }
 
         /** {@inheritDoc} */
@@ -179,14 +180,17 @@
     /**
      * Holds something that is to happen.
      *
-     * @param at the time in milliseconds.
-     * @param number the order among events of one time.
+     * @param timeMillis the time in milliseconds.
+     * @param sequenceNumber the order among events of one time.
      * @param action what happens.
      */
-    private record Event(long at, long number, Runnable action) implements Comparable<Event> {
+    private record ScheduledEvent(long timeMillis, long sequenceNumber, Runnable action)
+            implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        public int compareTo(ScheduledEvent other) {
+            return timeMillis != other.timeMillis
+                    ? Long.compare(timeMillis, other.timeMillis)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 }
