--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -6,6 +6,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Checks how moves to versions of every kind end, in virtual time and over a fixed set of seeds.
+ */
 class MoveTrialTest {
     private static final double REQUESTS_PER_MINUTE = 50;
     private static final double BUSY_REQUESTS_PER_MINUTE = 500;
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Guards against a good version taken back for a stall in which a busy route has many answers. */
+    /** Guards against taking a good version back because of one stall of its host, which slows many answers of a busy route. */
     @Test
     void aMoveToAVersionWhoseHostStallsCompletesInTimeOnABusyRoute() {
         for (int seed = 0; seed < SEEDS; seed++) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends what no well-behaved caller or peer sends.
+ * Sends malformed, oversized and unusually timed input to a node, as a caller and as a peer.
  */
 class BadInputTest {
     private static final int READ_TIMEOUT_MILLIS = 10_000;
@@ -55,23 +55,23 @@
         }
     }
 
-    /** Reads until the other side closes, or until a whole problem or answer has come. */
+    /** Reads until the connection is closed, a problem or a chunked answer is complete, or no data arrives in time. */
     private static String readResponse(InputStream in) throws IOException {
-        StringBuilder read = new StringBuilder();
+        StringBuilder response = new StringBuilder();
         byte[] buffer = new byte[4_096];
         try {
             int count = in.read(buffer);
             while (count >= 0) {
-                read.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
-                if (read.indexOf("retry-after-millis") > 0 || read.indexOf("\r\n0\r\n") > 0) {
+                response.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
+                if (response.indexOf("retry-after-millis") > 0 || response.indexOf("\r\n0\r\n") > 0) {
                     break;
                 }
                 count = in.read(buffer);
             }
         } catch (SocketTimeoutException exception) {
-            read.append("[timeout]");
+            response.append("[timeout]");
         }
-        return read.toString();
+        return response.toString();
     }
 
     private static void assertServesRequests() throws IOException {
@@ -113,7 +113,7 @@
         assertServesRequests();
     }
 
-    /** Guards against a failure in which a caller's request hangs until its deadline although the system is idle. */
+    /** Guards against a request that hangs until its deadline because its body arrives later than its headers. */
     @Test
     void aRequestWhoseBodyArrivesAfterItsHeadersIsAnswered() throws Exception {
         try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("b"))) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
@@ -21,7 +21,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Edits the tables through real processes while control hosts are killed, frozen and lose their disks.
+ * Edits the tables of a cluster of processes while control nodes are killed, suspended and replaced after the loss of a disk.
  */
 class ControlUnderKillsTest {
     @TempDir
@@ -32,11 +32,11 @@
         return new TableEdit("change-" + number, List.of(new RowChange.PutPool(row, 0)));
     }
 
-    /** Sends an edit to one node after the other until it has an answer, as an operator's script would. */
+    /** Submits an edit to each node in turn until one accepts it, as an operator's script would. */
     private static void submitUntilAccepted(ProcessCluster cluster, int number) {
-        int[] tries = {number};
+        int[] attempts = {number};
         ProcessCluster.await(() -> {
-            String node = ProcessCluster.NODES.get(tries[0]++ % 3);
+            String node = ProcessCluster.NODES.get(attempts[0]++ % 3);
             return cluster.isAlive(node) && cluster.submitEdit(node, createPoolEdit(number)) == 200;
         });
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Guards against a failure in which an edit that was answered as accepted is missing, or counted twice. */
+    /** Guards against an accepted edit that is lost or applied twice when the leader is killed. */
     @Test
     void noEditIsLostOrAppliedTwiceWhenTheLeaderIsKilled() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -73,30 +73,30 @@
         }
     }
 
-    /** Guards against a failure in which a host that was frozen accepts an edit or shows old rows as the latest. */
+    /** Guards against a suspended leader that, once resumed, accepts an edit or reports outdated rows as the current ones. */
     @Test
     void aResumedLeaderReportsNoStaleRevisionAndCatchesUp() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             submitUntilAccepted(cluster, 0);
             String leader = cluster.leader();
-            List<String> others = new ArrayList<>(ProcessCluster.NODES);
-            others.remove(leader);
+            List<String> otherNodes = new ArrayList<>(ProcessCluster.NODES);
+            otherNodes.remove(leader);
             cluster.sendSignal(leader, "STOP");
             for (int number = 1; number < 10; number++) {
                 TableEdit edit = createPoolEdit(number);
-                ProcessCluster.await(() -> cluster.submitEdit(others.get(0), edit) == 200);
+                ProcessCluster.await(() -> cluster.submitEdit(otherNodes.get(0), edit) == 200);
             }
             cluster.sendSignal(leader, "CONT");
-            String seen = cluster.getAdmin(leader, "/v1/status");
-            if (seen.contains("\"leader\"")) {
-                assertThat(seen).contains("\"revision\":10");
+            String status = cluster.getAdmin(leader, "/v1/status");
+            if (status.contains("\"leader\"")) {
+                assertThat(status).contains("\"revision\":10");
             }
             assertEditsAppliedOnLiveNodes(cluster, 10);
         }
     }
 
-    /** Guards against a failure in which edits are gone after a disk was replaced and a second host died. */
+    /** Guards against edits that are lost when a node gets an empty disk and the leader is killed afterwards. */
     @Test
     void noEditIsLostWhenAReplicaIsReplacedAndTheLeaderIsKilled() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -105,23 +105,25 @@
                 submitUntilAccepted(cluster, number);
             }
             String leader = cluster.leader();
-            String lost = ProcessCluster.NODES.stream()
+            String replaced = ProcessCluster.NODES.stream()
                     .filter(node -> !node.equals(leader))
                     .findFirst()
                     .orElseThrow();
-            cluster.kill(lost);
-            deleteFolder(folder.resolve("data-" + lost));
+            cluster.kill(replaced);
+            deleteFolder(folder.resolve("data-" + replaced));
             NodeMain.main(new String[] {
-                "format", "--settings", folder.resolve(lost + ".json").toString()
+                "format", "--settings", folder.resolve(replaced + ".json").toString()
             });
-            cluster.startNode(lost);
-            ProcessCluster.await(() ->
-                    cluster.callAdmin(leader, HttpRequest.BodyPublishers.noBody(), "/v1/replicas/" + lost + "/replace")
-                                    .statusCode()
-                            == 200);
+            cluster.startNode(replaced);
+            ProcessCluster.await(() -> cluster.callAdmin(
+                                    leader,
+                                    HttpRequest.BodyPublishers.noBody(),
+                                    "/v1/replicas/" + replaced + "/replace")
+                            .statusCode()
+                    == 200);
             ProcessCluster.await(() -> {
                 String status = cluster.getAdmin(leader, "/v1/status");
-                return status.contains("\"learners\":[]") && !status.contains(lost + "#founder");
+                return status.contains("\"learners\":[]") && !status.contains(replaced + "#founder");
             });
             cluster.kill(leader);
             submitUntilAccepted(cluster, 20);
@@ -130,7 +132,7 @@
     }
 
     @Test
-    void oneOfSeveralConcurrentEditsWithTheSameExpectedRevisionIsAccepted() {
+    void onlyOneOfSeveralConcurrentEditsWithTheSameExpectedRevisionIsAccepted() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             submitUntilAccepted(cluster, 0);
             List<CompletableFuture<Integer>> answers = new ArrayList<>();
--- a/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends a request that crashes every upstream that runs it, again and again and through every node.
+ * Sends a request that crashes every engine that runs it, repeatedly and through every node.
  */
 class CrashSuspectProcessTest {
     private static final List<String> ENGINES = List.of("first", "second", "third", "fourth");
@@ -36,27 +36,27 @@
                 .join();
     }
 
-    /** Guards against a failure in which one request takes down every engine of the pool, and nobody gets a briefing. */
+    /** Guards against one request that crashes every engine of the pool, so that no other request can run. */
     @Test
     void aRequestIsRefusedAtEveryNodeAfterItCrashedTwoEngines() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
-            List<UpstreamRow> rows = ENGINES.stream()
+            List<UpstreamRow> engines = ENGINES.stream()
                     .map(name -> cluster.startUpstream(name, PoolKind.ENGINE, 100))
                     .toList();
-            cluster.installTables(rows, List.of());
-            int[] node = {0};
-            ProcessCluster.await(() -> send(cluster, ProcessCluster.NODES.get(node[0]++ % 3), "poison", true)
+            cluster.installTables(engines, List.of());
+            int[] attempts = {0};
+            ProcessCluster.await(() -> send(cluster, ProcessCluster.NODES.get(attempts[0]++ % 3), "poison", true)
                     .body()
                     .contains("crash-suspect"));
-            long alive = ENGINES.stream().filter(cluster::isAlive).count();
-            assertThat(alive).isEqualTo(ENGINES.size() - 2);
-            for (String each : ProcessCluster.NODES) {
+            long liveEngines = ENGINES.stream().filter(cluster::isAlive).count();
+            assertThat(liveEngines).isEqualTo(ENGINES.size() - 2);
+            for (String node : ProcessCluster.NODES) {
                 ProcessCluster.await(
-                        () -> send(cluster, each, "poison", true).body().contains("crash-suspect"));
+                        () -> send(cluster, node, "poison", true).body().contains("crash-suspect"));
                 ProcessCluster.await(
-                        () -> send(cluster, each, "innocent", false).statusCode() == 200);
+                        () -> send(cluster, node, "innocent", false).statusCode() == 200);
             }
-            assertThat(ENGINES.stream().filter(cluster::isAlive).count()).isEqualTo(alive);
+            assertThat(ENGINES.stream().filter(cluster::isAlive).count()).isEqualTo(liveEngines);
         }
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
@@ -21,7 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends requests through real processes: three nodes, two engines of different speed and a records service.
+ * Sends requests through a cluster of three nodes with engines of different speed and plain services, each a process of its
+ * own.
  */
 class EndToEndTest {
     private static final int CONCURRENT_REQUESTS = 1_000;
@@ -30,7 +31,7 @@
     @TempDir
     Path folder;
 
-    /** Sends one request and returns how it ended, as its caller sees it. */
+    /** Sends one request and returns its outcome as the caller sees it. */
     private static CompletableFuture<Outcome> send(
             ProcessCluster cluster, String node, String path, String name, String key, int tokens) {
         HttpRequest.Builder request = HttpRequest.newBuilder(cluster.callerUri(node, path))
@@ -62,11 +63,11 @@
     }
 
     /**
-     * Holds what a caller got.
+     * Holds the outcome of a request as its caller sees it.
      *
      * @param name the name of the request.
-     * @param status the HTTP status, or 0 where the connection broke.
-     * @param body the body.
+     * @param status the HTTP status, or 0 if no complete response arrived.
+     * @param body the body of the response, or an empty string.
      */
     record Outcome(String name, int status, String body) {
         boolean reportsNotRun() {
@@ -89,14 +90,14 @@
                     sent.add(send(cluster, node, "/stream", "r" + number, "", tokenCount(number)));
                 }
                 for (int number = 0; number < CONCURRENT_REQUESTS; number++) {
-                    Outcome ending = sent.get(number).join();
-                    assertThat(ending.status()).as(ending.body()).isEqualTo(200);
-                    assertThat(ending.body()).isEqualTo(expectedStream("r" + number, tokenCount(number)));
+                    Outcome outcome = sent.get(number).join();
+                    assertThat(outcome.status()).as(outcome.body()).isEqualTo(200);
+                    assertThat(outcome.body()).isEqualTo(expectedStream("r" + number, tokenCount(number)));
                 }
             }
         }
 
-        /** Guards against a failure in which a caller's answer stops in the middle when a node is stopped as planned. */
+        /** Guards against answers that are truncated when their node is stopped as planned. */
         @Test
         void aPlannedStopTruncatesNoAnswer() {
             try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -121,7 +122,7 @@
 
     @Nested
     class UnderKills {
-        /** Guards against a failure in which a report is recorded twice, or a request that ran is said not to have run. */
+        /** Guards against a request that runs twice, and a refusal that reports a request as not run although it ran. */
         @Test
         void everyRequestRunsAtMostOnceAndRefusalsAreTrue() {
             try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -141,7 +142,7 @@
                     sent.add(send(cluster, node, "/stream", "s" + number, "", tokenCount(number)));
                     sent.add(sendUntilConclusive(cluster, node, "k" + number, 8));
                 }
-                sent.forEach(each -> each.thenRun(finished::incrementAndGet));
+                sent.forEach(pending -> pending.thenRun(finished::incrementAndGet));
                 ProcessCluster.await(() -> finished.get() > 80);
                 cluster.kill("fast");
                 ProcessCluster.await(() -> finished.get() > 160);
@@ -150,53 +151,54 @@
             }
         }
 
+        /** Sends a request with an idempotency key and retries it at the next node until its outcome is conclusive. */
         private CompletableFuture<Outcome> sendUntilConclusive(
-                ProcessCluster cluster, String node, String key, int triesLeft) {
-            return send(cluster, node, "/record", key, key, 1).thenCompose(ending -> {
-                boolean again = ending.status() == 0
-                        || ending.reportsNotRun()
-                        || ending.body().contains("in-progress");
-                if (!again || triesLeft == 0) {
-                    return CompletableFuture.completedFuture(ending);
+                ProcessCluster cluster, String node, String key, int retriesLeft) {
+            return send(cluster, node, "/record", key, key, 1).thenCompose(outcome -> {
+                boolean retry = outcome.status() == 0
+                        || outcome.reportsNotRun()
+                        || outcome.body().contains("in-progress");
+                if (!retry || retriesLeft == 0) {
+                    return CompletableFuture.completedFuture(outcome);
                 }
-                String other = ProcessCluster.NODES.get((ProcessCluster.NODES.indexOf(node) + 1) % 3);
-                var later = CompletableFuture.delayedExecutor(300, TimeUnit.MILLISECONDS);
-                return CompletableFuture.supplyAsync(() -> other, later)
-                        .thenCompose(next -> sendUntilConclusive(cluster, next, key, triesLeft - 1));
+                String nextNode = ProcessCluster.NODES.get((ProcessCluster.NODES.indexOf(node) + 1) % 3);
+                var delayedExecutor = CompletableFuture.delayedExecutor(300, TimeUnit.MILLISECONDS);
+                return CompletableFuture.supplyAsync(() -> nextNode, delayedExecutor)
+                        .thenCompose(next -> sendUntilConclusive(cluster, next, key, retriesLeft - 1));
             });
         }
 
         private void checkOutcomes(ProcessCluster cluster, List<CompletableFuture<Outcome>> sent) {
-            List<String> ran = new ArrayList<>();
+            List<String> started = new ArrayList<>();
             for (String upstream : List.of("fast", "slow", "first", "second")) {
-                ran.addAll(cluster.startedRequests(upstream));
+                started.addAll(cluster.startedRequests(upstream));
             }
-            int whole = 0;
-            for (CompletableFuture<Outcome> each : sent) {
-                Outcome ending = each.join();
-                String expected = ending.name().startsWith("k")
-                        ? StandInUpstream.serviceAnswer("body of " + ending.name())
+            int answered = 0;
+            for (CompletableFuture<Outcome> pending : sent) {
+                Outcome outcome = pending.join();
+                String expected = outcome.name().startsWith("k")
+                        ? StandInUpstream.serviceAnswer("body of " + outcome.name())
                         : expectedStream(
-                                ending.name(),
-                                tokenCount(Integer.parseInt(ending.name().substring(1))));
-                if (ending.status() == 200) {
-                    assertThat(ending.body()).isEqualTo(expected);
-                    whole++;
-                } else if (ending.status() != 0) {
-                    assertThat(ending.body()).contains("\"run\":");
+                                outcome.name(),
+                                tokenCount(Integer.parseInt(outcome.name().substring(1))));
+                if (outcome.status() == 200) {
+                    assertThat(outcome.body()).isEqualTo(expected);
+                    answered++;
+                } else if (outcome.status() != 0) {
+                    assertThat(outcome.body()).contains("\"run\":");
                 }
             }
-            ran.clear();
+            started.clear();
             for (String upstream : List.of("fast", "slow", "first", "second")) {
-                ran.addAll(cluster.startedRequests(upstream));
+                started.addAll(cluster.startedRequests(upstream));
             }
-            assertThat(ran).doesNotHaveDuplicates();
-            HashSet<String> names = new HashSet<>(ran);
+            assertThat(started).doesNotHaveDuplicates();
+            HashSet<String> names = new HashSet<>(started);
             sent.stream()
                     .map(CompletableFuture::join)
                     .filter(Outcome::reportsNotRun)
-                    .forEach(ending -> assertThat(names).as(ending.body()).doesNotContain(ending.name()));
-            assertThat(whole).isGreaterThan(sent.size() / 2);
+                    .forEach(outcome -> assertThat(names).as(outcome.body()).doesNotContain(outcome.name()));
+            assertThat(answered).isGreaterThan(sent.size() / 2);
         }
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
@@ -25,7 +25,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Moves one route to a good version and another one to a bad version while the control leader is killed.
+ * Moves one route to a working version and another one to a failing version, and kills the control leader meanwhile.
  */
 class MoveUnderKillsTest {
     private static final long MOVE_WINDOW_MILLIS = 64_000;
@@ -77,7 +77,7 @@
         cluster.client().sendAsync(request, HttpResponse.BodyHandlers.discarding());
     }
 
-    /** Guards against a failure in which a faulty version serves the route, or a good one doesn't. */
+    /** Guards against a failing version that stays on its route, and a working one that never gets all of it. */
     @Test
     void aMoveToAGoodVersionCompletesAndAMoveToABadVersionIsTakenBack() {
         try (ProcessCluster cluster = new ProcessCluster(folder);
@@ -100,14 +100,14 @@
             ProcessCluster.await(() -> cluster.submitEdit("a", install) == 200);
             ProcessCluster.await(() -> ProcessCluster.NODES.stream().allMatch(node -> cluster.revision(node) == 1));
             String leader = cluster.leader();
-            List<String> others = ProcessCluster.NODES.stream()
+            List<String> otherNodes = ProcessCluster.NODES.stream()
                     .filter(node -> !node.equals(leader))
                     .toList();
-            AtomicInteger number = new AtomicInteger();
+            AtomicInteger lastNumber = new AtomicInteger();
             load.executor.scheduleAtFixedRate(
                     () -> {
-                        int next = number.incrementAndGet();
-                        send(cluster, others.get(next % 2), next % 4 < 2 ? "good" : "bad", next);
+                        int number = lastNumber.incrementAndGet();
+                        send(cluster, otherNodes.get(number % 2), number % 4 < 2 ? "good" : "bad", number);
                     },
                     0,
                     REQUEST_INTERVAL_MILLIS,
@@ -120,29 +120,31 @@
                     List.of(
                             new RowChange.PutRoute(routeToVersion("good", "2", completeBy), 1),
                             new RowChange.PutRoute(routeToVersion("bad", "2", completeBy), 1)));
-            ProcessCluster.await(() -> cluster.submitEdit(others.get(0), move) == 200);
+            ProcessCluster.await(() -> cluster.submitEdit(otherNodes.get(0), move) == 200);
             cluster.kill(leader);
-            ProcessCluster.await(() -> moveStatus(cluster, others.get(0), "bad")
+            ProcessCluster.await(() -> moveStatus(cluster, otherNodes.get(0), "bad")
                     .path("state")
                     .asText()
                     .equals("TAKEN_BACK"));
-            assertThat(moveStatus(cluster, others.get(1), "bad").path("reason").asText())
+            assertThat(moveStatus(cluster, otherNodes.get(1), "bad")
+                            .path("reason")
+                            .asText())
                     .isEqualTo("FAILS_OUTRIGHT");
-            int given = cluster.startedRequests("bad-2").size();
-            assertThat(given).isBetween(1, 3);
+            int badVersionRequests = cluster.startedRequests("bad-2").size();
+            assertThat(badVersionRequests).isBetween(1, 3);
             ProcessCluster.awaitWithin(
                     MOVE_WINDOW_SECONDS,
-                    () -> moveStatus(cluster, others.get(0), "good")
+                    () -> moveStatus(cluster, otherNodes.get(0), "good")
                             .path("state")
                             .asText()
                             .equals("COMPLETED"));
             assertThat(cluster.startedRequests("good-2").size()).isGreaterThan(100);
-            assertThat(cluster.startedRequests("bad-2")).hasSize(given);
+            assertThat(cluster.startedRequests("bad-2")).hasSize(badVersionRequests);
         }
     }
 
     /**
-     * Ends its thread when the test ends.
+     * Holds the executor that sends the requests, and shuts it down when it is closed.
      */
     private static final class LoadExecutor implements AutoCloseable {
         private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
--- a/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
@@ -18,7 +18,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Kills the owner of a pool's queue, and freezes an upstream, while requests wait and run.
+ * Kills the node that owns a pool's queue, and suspends an upstream, while requests are queued and in flight.
  */
 class OwnerUnderFaultsTest {
     private static final int REQUESTS = 300;
@@ -46,7 +46,7 @@
                 .asText();
     }
 
-    /** Guards against a failure in which requests at healthy entries hang or are doubled after one node died. */
+    /** Guards against requests at other nodes that hang, fail or run twice when the owner of the queue is killed. */
     @Test
     void requestsAtOtherNodesSucceedWhenTheQueueOwnerIsKilled() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -64,16 +64,18 @@
             }
             ProcessCluster.await(() -> cluster.startedRequests("first").size() > 10);
             cluster.kill(owner);
-            for (CompletableFuture<HttpResponse<String>> each : sent) {
-                assertThat(each.join().statusCode()).as(each.join().body()).isEqualTo(200);
+            for (CompletableFuture<HttpResponse<String>> pending : sent) {
+                assertThat(pending.join().statusCode())
+                        .as(pending.join().body())
+                        .isEqualTo(200);
             }
-            List<String> ran = new ArrayList<>(cluster.startedRequests("first"));
-            ran.addAll(cluster.startedRequests("second"));
-            assertThat(ran).hasSize(REQUESTS).doesNotHaveDuplicates();
+            List<String> started = new ArrayList<>(cluster.startedRequests("first"));
+            started.addAll(cluster.startedRequests("second"));
+            assertThat(started).hasSize(REQUESTS).doesNotHaveDuplicates();
         }
     }
 
-    /** Guards against a failure in which answers of a thawed upstream reach other callers, or requests run twice. */
+    /** Guards against answers of a resumed upstream that reach the wrong caller, and requests that run twice. */
     @Test
     void aResumedUpstreamMixesUpNoAnswersAndRunsNoRequestTwice() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -102,9 +104,9 @@
                     assertThat(answer.body()).contains("\"run\":");
                 }
             }
-            List<String> ran = new ArrayList<>(cluster.startedRequests("first"));
-            ran.addAll(cluster.startedRequests("second"));
-            assertThat(ran).doesNotHaveDuplicates();
+            List<String> started = new ArrayList<>(cluster.startedRequests("first"));
+            started.addAll(cluster.startedRequests("second"));
+            assertThat(started).doesNotHaveDuplicates();
         }
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
@@ -34,7 +34,8 @@
 import org.radishspur.testkit.TestkitMain;
 
 /**
- * Runs nodes and stand-in upstreams as processes of their own.
+ * Runs a cluster of three nodes and its stand-in upstreams as separate processes on the loopback address. Settings, data,
+ * output and request logs are kept in one folder.
  */
 final class ProcessCluster implements AutoCloseable {
     static final List<String> NODES = List.of("a", "b", "c");
@@ -43,10 +44,13 @@
 
     private final Path folder;
     private final Map<String, Process> processes = new LinkedHashMap<>();
+    /** The caller port, the peer port and the admin port of each node, in this order. */
     private final Map<String, int[]> ports = new LinkedHashMap<>();
+
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
+    /** Formats the data folders of all nodes and starts the nodes; doesn't wait until they are ready. */
     ProcessCluster(Path folder) {
         this.folder = folder;
         writeSecret("shared.key");
@@ -66,12 +70,14 @@
         startProcess(node, NodeMain.class, "run", "--settings", settingsFile(node));
     }
 
+    /** Starts an upstream on a port of its own and returns its row; doesn't wait until it listens. */
     UpstreamRow startUpstream(String name, PoolKind kind, long tokenMicros) {
         int port = TestPorts.next();
         startUpstream(name, kind, tokenMicros, port);
         return new UpstreamRow(name, "127.0.0.1:" + port, "domain", "hardware", false);
     }
 
+    /** Starts a service of the given version, which fails every request where {@code failing} is set. */
     UpstreamRow startServiceVersion(String name, String version, boolean failing) {
         int port = TestPorts.next();
         startUpstream(name, PoolKind.SERVICE, 20_000, port, failing ? List.of("--failing") : List.of());
@@ -82,7 +88,7 @@
         startUpstream(name, kind, tokenMicros, port, List.of());
     }
 
-    private void startUpstream(String name, PoolKind kind, long tokenMicros, int port, List<String> further) {
+    private void startUpstream(String name, PoolKind kind, long tokenMicros, int port, List<String> extraArguments) {
         List<String> arguments = new ArrayList<>(List.of(
                 "upstream",
                 "--kind",
@@ -93,7 +99,7 @@
                 String.valueOf(tokenMicros),
                 "--log",
                 requestLog(name).toString()));
-        arguments.addAll(further);
+        arguments.addAll(extraArguments);
         startProcess(name, TestkitMain.class, arguments.toArray(String[]::new));
     }
 
@@ -103,12 +109,15 @@
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return socket.isConnected();
         } catch (IOException exception) {
-            // It is still starting; the caller tries again for a while.
+            // The upstream is still starting; the caller retries until its timeout.
             return false;
         }
     }
 
-    /** Installs a route for each pool: the engines under /stream, the services under /record. */
+    /**
+     * Installs a pool of engines with the route /stream and a pool of services with the route /record. Waits until the
+     * upstreams listen and every node has applied the edit.
+     */
     void installTables(List<UpstreamRow> engines, List<UpstreamRow> services) {
         TableEdit edit = new TableEdit(
                 "install",
@@ -144,11 +153,13 @@
                 0);
     }
 
+    /** Submits an edit through a node and returns the HTTP status, or 0 if no response arrived. */
     int submitEdit(String node, TableEdit edit) {
         return callAdmin(node, HttpRequest.BodyPublishers.ofString(Json.INSTANCE.write(edit)), "/v1/edits")
                 .statusCode();
     }
 
+    /** Calls the admin address of a node; a call without a response returns an {@link UnansweredResponse}. */
     HttpResponse<String> callAdmin(String node, HttpRequest.BodyPublisher body, String path) {
         try {
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports.get(node)[2] + path))
@@ -156,13 +167,13 @@
                     .timeout(java.time.Duration.ofSeconds(10))
                     .method(path.equals("/v1/edits") || path.endsWith("replace") ? "POST" : "GET", body)
                     .build();
-            long begin = System.nanoTime();
+            long startNanos = System.nanoTime();
             try {
                 HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-                recordFailedCall(node, path, begin, response.statusCode() + " " + response.body());
+                record(node, path, startNanos, response.statusCode() + " " + response.body());
                 return response;
             } catch (IOException exception) {
-                recordFailedCall(node, path, begin, exception.toString());
+                record(node, path, startNanos, exception.toString());
                 return new UnansweredResponse();
             }
         } catch (IOException exception) {
@@ -172,19 +183,21 @@
         }
     }
 
-    /** Writes a line for each call that wasn't answered as asked, beside the logs of the nodes. */
-    private void recordFailedCall(String node, String path, long begin, String outcome) throws IOException {
+    /** Logs an admin call to calls.log, beside the output of the nodes, unless its status is 200. */
+    private void record(String node, String path, long startNanos, String outcome) throws IOException {
         if (!outcome.startsWith("200 ")) {
             String line = Instant.now() + " " + node + ' ' + path + " after "
-                    + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin) + " ms: " + outcome + '\n';
+                    + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) + " ms: " + outcome + '\n';
             Files.writeString(folder.resolve("calls.log"), line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         }
     }
 
+    /** Returns the body of an admin page, or an empty string if no response arrived. */
     String getAdmin(String node, String path) {
         return callAdmin(node, HttpRequest.BodyPublishers.noBody(), path).body();
     }
 
+    /** Returns the revision of the tables on a node, or -1 if the node doesn't respond or isn't ready. */
     long revision(String node) {
         String body = getAdmin(node, "/health");
         if (body.isEmpty()) {
@@ -194,6 +207,7 @@
         return health.path("ready").asBoolean() ? health.path("revision").asLong() : -1;
     }
 
+    /** Returns the control leader that the first live node to name one reports, or an empty string if none does. */
     String leader() {
         for (String node : NODES) {
             if (processes.get(node).isAlive()) {
@@ -229,11 +243,12 @@
         return folder;
     }
 
+    /** Returns the file in which an upstream logs the start and the end of each request. */
     Path requestLog(String name) {
         return folder.resolve(name + ".requests");
     }
 
-    /** Returns the names of the requests that an upstream has begun to run, in order. */
+    /** Returns the names of the requests that an upstream has started to run, in the order of their starts. */
     List<String> startedRequests(String upstream) {
         try {
             List<String> names = new ArrayList<>();
@@ -248,11 +263,13 @@
         }
     }
 
+    /** Kills a process with SIGKILL and waits until it has ended. */
     void kill(String name) {
         processes.get(name).destroyForcibly();
         await(() -> !processes.get(name).isAlive());
     }
 
+    /** Sends SIGTERM, which a node takes as a planned stop; doesn't wait for the end of the process. */
     void terminate(String name) {
         processes.get(name).destroy();
     }
@@ -265,7 +282,7 @@
         return processes.get(name).exitValue();
     }
 
-    /** Stops a process without ending it, as a frozen host; the signal is the one that a shell sends. */
+    /** Sends a signal by its name, such as STOP and CONT, which suspend and resume a process as a frozen host would. */
     void sendSignal(String name, String signal) {
         try {
             new ProcessBuilder(
@@ -286,10 +303,10 @@
     }
 
     static void awaitWithin(long seconds, BooleanSupplier condition) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new IllegalStateException("the condition did not come true in time");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("the condition was not met before the timeout");
             }
             java.util.concurrent.locks.LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
         }
@@ -306,18 +323,18 @@
     }
 
     private void startProcess(String name, Class<?> main, String... arguments) {
-        List<String> line = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx256m",
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
                 main.getName()));
-        line.addAll(List.of(arguments));
+        command.addAll(List.of(arguments));
         try {
             processes.put(
                     name,
-                    new ProcessBuilder(line)
+                    new ProcessBuilder(command)
                             .redirectErrorStream(true)
                             .redirectOutput(ProcessBuilder.Redirect.appendTo(
                                     folder.resolve(name + ".out").toFile()))
@@ -339,7 +356,7 @@
                         .append("\"}");
             }
         }
-        String text = String.format(
+        String settings = String.format(
                 "{\"cluster\":\"test\",\"node\":\"%s\",\"failureDomain\":\"%s\",\"roles\":[\"entry\",\"control\"],"
                         + "\"callerAddress\":\"127.0.0.1:%d\",\"peerAddress\":\"127.0.0.1:%d\","
                         + "\"adminAddress\":\"127.0.0.1:%d\",\"dataFolder\":\"data-%s\","
@@ -347,7 +364,7 @@
                         + "\"limits\":{\"trafficThreads\":2}}",
                 node, node, ports.get(node)[0], ports.get(node)[1], ports.get(node)[2], node, peers);
         try {
-            Files.writeString(Path.of(settingsFile(node)), text);
+            Files.writeString(Path.of(settingsFile(node)), settings);
         } catch (IOException exception) {
             throw new UncheckedIOException(exception);
         }
--- a/testkit/src/test/java/org/radishspur/testkit/process/ReadinessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ReadinessTest.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Asks nodes whether they are ready while they can't do what they are there for.
+ * Checks that a node reports readiness only while it can accept requests from callers.
  */
 class ReadinessTest {
     private static final int HEALTH_CHECKS = 40;
@@ -24,9 +24,9 @@
     @TempDir
     Path folder;
 
-    /** Guards against a balancer that sends callers to a node whose caller address somebody else holds. */
+    /** Guards against a load balancer that sends callers to a node whose caller address another process listens on. */
     @Test
-    void aNodeIsNotReadyWhileItsCallerAddressIsInUse() throws IOException {
+    void aNodeIsNotReadyUntilItListensOnItsCallerAddress() throws IOException {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             cluster.installTables(List.of(cluster.startUpstream("engine", PoolKind.ENGINE, 100)), List.of());
             cluster.kill("c");
@@ -34,9 +34,9 @@
                     new ServerSocket(cluster.callerPort("c"), 1, InetAddress.getByName("127.0.0.1"))) {
                 cluster.startNode("c");
                 ProcessCluster.await(() -> !cluster.getAdmin("c", "/health").isEmpty());
-                for (int read = 0; read < HEALTH_CHECKS; read++) {
+                for (int check = 0; check < HEALTH_CHECKS; check++) {
                     assertThat(cluster.getAdmin("c", "/health"))
-                            .as("at " + other)
+                            .as("while the caller address is bound by " + other)
                             .doesNotContain("\"ready\":true");
                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MILLIS));
                 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
@@ -18,6 +18,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Sends a long answer to a caller that doesn't read it.
+ */
 class StalledCallerTest {
     private static final int TOKENS = 1_000_000;
 
@@ -32,7 +35,10 @@
         }
     }
 
-    /** Guards against a failure in which a caller's report ran, but the resend is answered that nobody knows. */
+    /**
+     * Guards against a request that runs to its end while its caller doesn't read the answer, after which a retry with the
+     * same idempotency key is told that the outcome is unknown.
+     */
     @Test
     void aNonIdempotentRequestCompletesWhenItsCallerStopsReading() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -48,21 +54,21 @@
                             new RowChange.PutRoute(ProcessCluster.routeRow("note", "engines", false), 0)));
             ProcessCluster.await(() -> cluster.submitEdit("a", edit) == 200);
             ProcessCluster.await(() -> cluster.revision("a") == 1);
-            String head =
+            String request =
                     "POST /note HTTP/1.1\r\nHost: h\r\nRadishspur-Organisation: crew\r\nIdempotency-Key: large\r\n"
                             + "Radishspur-Deadline-Millis: 1500\r\nContent-Length: 5\r\n" + StandInUpstream.NAME
                             + ": large\r\n" + StandInUpstream.TOKENS + ": " + TOKENS + "\r\n\r\nhello";
             try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("a"))) {
-                socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                 ProcessCluster.awaitWithin(20, () -> hasCompleted(cluster, "large"));
             }
-            HttpRequest again = HttpRequest.newBuilder(cluster.callerUri("a", "/note"))
+            HttpRequest retry = HttpRequest.newBuilder(cluster.callerUri("a", "/note"))
                     .header("Radishspur-Organisation", "crew")
                     .header("Idempotency-Key", "large")
                     .POST(HttpRequest.BodyPublishers.ofString("hello"))
                     .build();
             ProcessCluster.await(() -> cluster.client()
-                    .sendAsync(again, HttpResponse.BodyHandlers.ofString())
+                    .sendAsync(retry, HttpResponse.BodyHandlers.ofString())
                     .join()
                     .body()
                     .contains("answer-not-stored"));
--- a/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
@@ -5,10 +5,11 @@
 import java.net.ServerSocket;
 
 /**
- * Hands out each port once, below the range that the system gives to outgoing connections.
+ * Allocates each port of the loopback address at most once, from below the range that the system uses for ephemeral ports.
  *
- * <p>A port that was drawn from the system and freed again may be drawn by somebody else before the process that it is meant
- * for listens there. A block of ports belongs to whoever listens on its first one, so that test runs side by side share none.
+ * <p>An ephemeral port that was obtained from the system and closed again may be given to another process before the intended
+ * one listens on it. A test run reserves a block of ports by listening on the first port of the block, so that concurrent
+ * test runs use different ports.
  */
 final class TestPorts {
     private static final int FIRST_PORT = 20_000;
@@ -26,9 +27,10 @@
     }
 
     /**
-     * Returns a port that nobody listens on and that this process hasn't been given before.
+     * Returns a port on which no process listens and that this method hasn't returned before.
      *
      * @return the port.
+     * @throws IllegalStateException if no block is free, or no port is left in the block.
      */
     static int next() {
         return INSTANCE.allocate();
@@ -41,10 +43,10 @@
                 return socket.getLocalPort();
             } catch (IOException exception) {
                 System.getLogger(TestPorts.class.getName())
-                        .log(System.Logger.Level.INFO, "Port " + lastPort + " is taken; trying the next.");
+                        .log(System.Logger.Level.INFO, "Port " + lastPort + " is in use; trying the next one.");
             }
         }
-        throw new IllegalStateException("all ports of the block are used");
+        throw new IllegalStateException("no free port is left in the block");
     }
 
     private static ServerSocket reserveBlock() {
@@ -53,7 +55,7 @@
                 return listen(port);
             } catch (IOException exception) {
                 System.getLogger(TestPorts.class.getName())
-                        .log(System.Logger.Level.INFO, "Port block " + port + " is taken; trying the next.");
+                        .log(System.Logger.Level.INFO, "Port block " + port + " is in use; trying the next one.");
             }
         }
         throw new IllegalStateException("no block of ports is free");
--- a/testkit/src/test/java/org/radishspur/testkit/process/UnansweredResponse.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/UnansweredResponse.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /**
- * Stands for an answer that never came.
+ * Represents a call without a response: the status is 0 and the body is empty.
  */
 final class UnansweredResponse implements HttpResponse<String> {
     @Override
--- a/testkit/src/test/java/org/radishspur/testkit/schedule/ReplicaScheduleTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/schedule/ReplicaScheduleTest.java
@@ -7,12 +7,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Checks over random schedules of faults what the control state promises.
+ * Checks the safety of the control state, and its recovery after faults, over random schedules of faults.
  */
 class ReplicaScheduleTest {
     private static final long FAULTY_MILLIS = 12_000;
 
-    /** Guards against a failure in which an edit that was accepted is gone, or a haul report runs twice. */
+    /** Guards against an accepted edit that is lost, and a request that is claimed and run twice. */
     @Property(seed = "20261203", tries = 60, shrinking = ShrinkingMode.OFF)
     void threeReplicasStaySafeAndRecover(@ForAll long schedule) {
         ReplicaSchedule.Outcome outcome = new ReplicaSchedule(schedule, 3, FaultRates.HARSH).run(FAULTY_MILLIS);
@@ -25,7 +25,7 @@
         assertThat(outcome.commits()).isPositive();
     }
 
-    /** Guards against a failure in which a control host that was suspended answers with a table that was replaced meanwhile. */
+    /** Guards against a suspended leader that, once resumed, serves a table that was replaced in the meantime. */
     @Property(seed = "20261205", tries = 40, shrinking = ShrinkingMode.OFF)
     void replicasWithoutLeasesStaySafeAndRecoverWhenClocksStop(@ForAll long schedule) {
         ReplicaSchedule.Outcome outcome = new ReplicaSchedule(schedule, 3, FaultRates.HARSH, 0).run(FAULTY_MILLIS);
--- a/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
@@ -24,7 +24,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Runs three replicas in virtual time whose disks take long for each write.
+ * Runs three replicas with slow disks in virtual time.
  */
 class SlowDisksTest {
     private static final long LEASE_MILLIS = 220;
@@ -36,39 +36,39 @@
     private static final long RESEND_INTERVAL_MILLIS = 500;
     private static final int EDIT_ROUNDS = 40;
 
-    /** Guards against an edit without an answer for as long as disks are slow, once the leader is frozen. */
+    /** Guards against edits that are never committed on slow disks once the leader is frozen. */
     @Property(tries = 60, seed = "23")
     void anEditIsCommittedAfterTheLeaderIsFrozen(
             @ForAll @IntRange(min = 1, max = 2_000) int writeMillis, @ForAll long seed) {
-        SimulatedCluster group = new SimulatedCluster(writeMillis, seed);
-        group.advance(SETTLE_MILLIS);
-        group.leader().freeze();
-        long frozenAt = group.now();
-        while (!group.editCommitted && group.now() < frozenAt + OPERATOR_TIMEOUT_MILLIS) {
-            group.proposeToRunningReplicas();
-            group.advance(RESEND_INTERVAL_MILLIS);
+        SimulatedCluster cluster = new SimulatedCluster(writeMillis, seed);
+        cluster.advance(SETTLE_MILLIS);
+        cluster.leader().freeze();
+        long freezeMillis = cluster.now();
+        while (!cluster.editCommitted && cluster.now() < freezeMillis + OPERATOR_TIMEOUT_MILLIS) {
+            cluster.proposeToRunningReplicas();
+            cluster.advance(RESEND_INTERVAL_MILLIS);
         }
-        assertThat(group.editCommitted).isTrue();
+        assertThat(cluster.editCommitted).isTrue();
     }
 
-    /** Guards against a leader that steps down again and again since its followers answer only after their writes. */
+    /** Guards against a leader that steps down repeatedly because its followers respond only after their writes. */
     @Property(tries = 60, seed = "24")
     void aLeaderKeepsItsRoleAndTermUnderEdits(
             @ForAll @IntRange(min = 1, max = 2_000) int writeMillis, @ForAll long seed) {
-        SimulatedCluster group = new SimulatedCluster(writeMillis, seed);
-        group.advance(SETTLE_MILLIS);
-        SimulatedReplica leader = group.leader();
+        SimulatedCluster cluster = new SimulatedCluster(writeMillis, seed);
+        cluster.advance(SETTLE_MILLIS);
+        SimulatedReplica leader = cluster.leader();
         long term = leader.replica().core().term();
-        for (int edit = 0; edit < EDIT_ROUNDS; edit++) {
-            group.proposeToRunningReplicas();
-            group.advance(RESEND_INTERVAL_MILLIS);
+        for (int round = 0; round < EDIT_ROUNDS; round++) {
+            cluster.proposeToRunningReplicas();
+            cluster.advance(RESEND_INTERVAL_MILLIS);
         }
         assertThat(leader.replica().core().role()).isEqualTo(Role.LEADER);
         assertThat(leader.replica().core().term()).isEqualTo(term);
     }
 
     /**
-     * Carries messages and writes in virtual time.
+     * Delivers messages and completes writes of the replicas in virtual time.
      */
     private static final class SimulatedCluster implements SimulatedReplica.World {
         private final Map<String, SimulatedReplica> replicas = new TreeMap<>();
@@ -104,24 +104,24 @@
         }
 
         void advance(long millis) {
-            long until = now + millis;
-            while (!events.isEmpty() && events.peek().timeMillis() <= until) {
+            long endMillis = now + millis;
+            while (!events.isEmpty() && events.peek().timeMillis() <= endMillis) {
                 ScheduledEvent event = events.remove();
                 now = event.timeMillis();
                 event.action().run();
             }
-            now = until;
+            now = endMillis;
         }
 
         SimulatedReplica leader() {
             List<SimulatedReplica> leaders = new ArrayList<>();
-            for (int wait = 0; leaders.isEmpty() && wait < OPERATOR_TIMEOUT_MILLIS / TICK_MILLIS; wait++) {
+            for (int tick = 0; leaders.isEmpty() && tick < OPERATOR_TIMEOUT_MILLIS / TICK_MILLIS; tick++) {
                 advance(TICK_MILLIS);
                 replicas.values().stream()
                         .filter(replica -> replica.replica().core().role() == Role.LEADER)
                         .forEach(leaders::add);
             }
-            assertThat(leaders).as("a leader before the fault").isNotEmpty();
+            assertThat(leaders).as("a leader is elected before the fault").isNotEmpty();
             return leaders.get(0);
         }
 
@@ -167,22 +167,22 @@
         /** {@inheritDoc} */
         @Override
         public void observe(SimulatedReplica replica) {
-            // Safety is checked over random schedules.
+            // ReplicaScheduleTest checks safety.
         }
 
         /** {@inheritDoc} */
         @Override
         public void crashed(SimulatedReplica replica) {
-            throw new IllegalStateException("no process ends here");
+            throw new IllegalStateException("no replica crashes in this test");
         }
     }
 
     /**
-     * Holds something that is to happen.
+     * Holds an action that is scheduled for a time.
      *
-     * @param timeMillis the time in milliseconds.
-     * @param sequenceNumber the order among events of one time.
-     * @param action what happens.
+     * @param timeMillis the virtual time of the action, in milliseconds.
+     * @param sequenceNumber the order among events of the same time.
+     * @param action the action to run.
      */
     private record ScheduledEvent(long timeMillis, long sequenceNumber, Runnable action)
             implements Comparable<ScheduledEvent> {
