--- a/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
@@ -151,7 +151,10 @@
             }
         }
 
-        /** Sends a request with an idempotency key and retries it at the next node until its outcome is conclusive. */
+        /**
+         * Sends a request with an idempotency key, and retries it at the next node until its outcome is conclusive or no retry is
+         * left.
+         */
         private CompletableFuture<Outcome> sendUntilConclusive(
                 ProcessCluster cluster, String node, String key, int retriesLeft) {
             return send(cluster, node, "/record", key, key, 1).thenCompose(outcome -> {
