--- a/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
@@ -20,36 +20,36 @@
 @Command(name = "demo", mixinStandardHelpOptions = true)
 final class DemoCommand implements Callable<Integer> {
     private static final int REQUESTS_PER_NODE = 12;
-    private static final int TOKENS = 20;
+    private static final int TOKENS_PER_ANSWER = 20;
     private static final int OK = 200;
-    private static final int SHOWN = 40;
+    private static final int PRINTED_CHARACTERS = 40;
 
     @Option(names = "--callers", required = true, split = ",", description = "The caller addresses of the nodes.")
-    private List<String> callers;
+    private List<String> callerAddresses;
 
     private final HttpClient client = HttpClient.newHttpClient();
-    private final Map<String, Integer> served = new TreeMap<>();
+    private final Map<String, Integer> answersByNodeAndUpstream = new TreeMap<>();
 
     /** {@inheritDoc} */
     @Override
     public Integer call() throws IOException, InterruptedException {
         boolean whole = true;
-        for (String caller : callers) {
-            whole &= briefings(caller);
-            whole &= haulReport(caller);
+        for (String caller : callerAddresses) {
+            whole &= sendBriefings(caller);
+            whole &= sendHaulReportTwice(caller);
         }
         System.out.println();
         System.out.println("served (node, upstream): ");
-        served.forEach((where, count) -> System.out.printf("  %-40s %d%n", where, count));
+        answersByNodeAndUpstream.forEach((where, count) -> System.out.printf("  %-40s %d%n", where, count));
         return whole ? 0 : 1;
     }
 
-    private boolean briefings(String caller) throws IOException, InterruptedException {
+    private boolean sendBriefings(String caller) throws IOException, InterruptedException {
         boolean whole = true;
         for (int number = 0; number < REQUESTS_PER_NODE; number++) {
             String body = "briefing " + number + " for " + caller;
             StringBuilder expected = new StringBuilder();
-            for (int token = 0; token < TOKENS; token++) {
+            for (int token = 0; token < TOKENS_PER_ANSWER; token++) {
                 expected.append(StandInUpstream.token(body, token));
             }
             HttpResponse<String> answer = send(caller, "/briefing", body, "");
@@ -59,7 +59,7 @@
     }
 
     /** Sends one report twice, as a caller does that has lost the first answer. */
-    private boolean haulReport(String caller) throws IOException, InterruptedException {
+    private boolean sendHaulReportTwice(String caller) throws IOException, InterruptedException {
         String body = "haul report through " + caller;
         String key = "haul-" + caller;
         HttpResponse<String> first = send(caller, "/haul-report", body, key);
@@ -74,7 +74,7 @@
             throws IOException, InterruptedException {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + caller + path))
                 .header("Radishspur-Organisation", "demonstration")
-                .header(StandInUpstream.TOKENS, String.valueOf(TOKENS))
+                .header(StandInUpstream.TOKENS, String.valueOf(TOKENS_PER_ANSWER))
                 .header(StandInUpstream.NAME, key.isEmpty() ? "demo" : key)
                 .POST(HttpRequest.BodyPublishers.ofString(body));
         if (!key.isEmpty()) {
@@ -82,10 +82,10 @@
         }
         HttpResponse<String> answer = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
         String upstream = answer.headers().firstValue("Radishspur-Upstream").orElse("-");
-        served.merge(caller + "  " + upstream, 1, Integer::sum);
+        answersByNodeAndUpstream.merge(caller + "  " + upstream, 1, Integer::sum);
         String text = answer.body().replace("\n", " ");
         System.out.println(answer.statusCode() + " " + path + " through " + caller + " by " + upstream + ": "
-                + text.substring(0, Math.min(SHOWN, text.length())));
+                + text.substring(0, Math.min(PRINTED_CHARACTERS, text.length())));
         return answer;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
@@ -10,7 +10,7 @@
  * Describes one request of a workload.
  *
  * @param number the number of the request.
- * @param at when it arrives, in microseconds.
+ * @param arrivesAt when it arrives, in microseconds.
  * @param tier its urgency.
  * @param organisation who sends it.
  * @param prefixBlocks how many blocks its prompt shares with others of the same organisation and topic.
@@ -22,7 +22,7 @@
  */
 record Arrival(
         int number,
-        long at,
+        long arrivesAt,
         Tier tier,
         String organisation,
         int prefixBlocks,
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -27,7 +27,7 @@
      * @param arrival the request.
      * @param now the clock in microseconds.
      */
-    void arrive(Arrival arrival, long now);
+    void onArrival(Arrival arrival, long now);
 
     /**
      * Learns that the first token of an answer came.
@@ -35,7 +35,7 @@
      * @param arrival the request.
      * @param now the clock in microseconds.
      */
-    default void firstToken(Arrival arrival, long now) {}
+    default void onFirstToken(Arrival arrival, long now) {}
 
     /**
      * Learns that an engine could not be reached, so that the request provably did not run.
@@ -43,8 +43,8 @@
      * @param arrival the request.
      * @param now the clock in microseconds.
      */
-    default void unreachable(Arrival arrival, long now) {
-        arrive(arrival, now);
+    default void onUnreachable(Arrival arrival, long now) {
+        onArrival(arrival, now);
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param ending how it ended.
      * @param now the clock in microseconds.
      */
-    default void ended(Arrival arrival, PermitOutcome.Ending ending, long now) {}
+    default void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {}
 
     /**
      * Takes an engine's report of its load, which is old.
@@ -64,25 +64,25 @@
      * @param waiting the number of requests that waited inside it.
      * @param now the clock in microseconds.
      */
-    default void reported(String engine, int running, int waiting, long now) {}
+    default void onLoadReport(String engine, int running, int waiting, long now) {}
 
     /**
      * Lets time pass.
      *
      * @param now the clock in microseconds.
      */
-    default void tick(long now) {}
+    default void onTick(long now) {}
 
     /**
      * Carries out what a dispatcher decides.
      */
-    interface Floor {
+    interface EnginePool {
         /**
          * Returns the engines that don't lie down.
          *
          * @return the engines.
          */
-        List<FakeEngine> engines();
+        List<SimulatedEngine> engines();
 
         /**
          * Gives a request to an engine.
@@ -104,18 +104,18 @@
      * Gives requests to the engines in turn.
      */
     final class RoundRobin implements Dispatcher {
-        private final Floor floor;
+        private final EnginePool pool;
         private int next;
 
-        RoundRobin(Floor floor) {
-            this.floor = floor;
+        RoundRobin(EnginePool pool) {
+            this.pool = pool;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            List<FakeEngine> engines = floor.engines();
-            floor.dispatch(arrival, engines.get(next++ % engines.size()).name());
+        public void onArrival(Arrival arrival, long now) {
+            List<SimulatedEngine> engines = pool.engines();
+            pool.dispatch(arrival, engines.get(next++ % engines.size()).name());
         }
     }
 
@@ -123,19 +123,19 @@
      * Gives each request to the engine with the fewest requests that have not come back.
      */
     final class LeastOutstanding implements Dispatcher {
-        private final Floor floor;
+        private final EnginePool pool;
 
-        LeastOutstanding(Floor floor) {
-            this.floor = floor;
+        LeastOutstanding(EnginePool pool) {
+            this.pool = pool;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            FakeEngine least = floor.engines().stream()
-                    .min(Comparator.comparingInt(FakeEngine::load))
+        public void onArrival(Arrival arrival, long now) {
+            SimulatedEngine least = pool.engines().stream()
+                    .min(Comparator.comparingInt(SimulatedEngine::outstandingRequests))
                     .orElseThrow();
-            floor.dispatch(arrival, least.name());
+            pool.dispatch(arrival, least.name());
         }
     }
 
@@ -144,20 +144,20 @@
      */
     final class Scheduled implements Dispatcher {
         private static final int QUEUE_LIMIT = 2_000;
-        private static final long ATTEMPT_STEP = 1_000_000;
+        private static final long SEQUENCES_PER_ATTEMPT = 1_000_000;
 
-        private final Floor floor;
+        private final EnginePool pool;
         private final PoolScheduler scheduler;
         private final Map<PermitId, Arrival> arrivals = new HashMap<>();
         private final Map<Integer, Integer> attempts = new HashMap<>();
         private final Map<Integer, Long> dispatchedAt = new HashMap<>();
         private final Map<Integer, Long> firstTokenAt = new HashMap<>();
 
-        Scheduled(Floor floor, SchedulerOptions options, int concurrencyLimit) {
-            this.floor = floor;
-            List<UpstreamRow> rows = floor.engines().stream()
+        Scheduled(EnginePool pool, SchedulerOptions options, int concurrencyLimit) {
+            this.pool = pool;
+            List<UpstreamRow> rows = pool.engines().stream()
                     .map(engine -> new UpstreamRow(
-                            engine.name(), "127.0.0.1:1", "domain", "speed-" + engine.usualSpeed(), false))
+                            engine.name(), "127.0.0.1:1", "domain", "speed-" + engine.normalSpeed(), false))
                     .toList();
             PoolRow row = new PoolRow("pool", PoolKind.ENGINE, rows, QUEUE_LIMIT, concurrencyLimit, Map.of());
             scheduler = new PoolScheduler(row, options, "experiment");
@@ -165,8 +165,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            PermitId id = idOf(arrival);
+        public void onArrival(Arrival arrival, long now) {
+            PermitId id = permitIdOf(arrival);
             arrivals.put(id, arrival);
             scheduler.arrive(
                     new PermitRequest(
@@ -178,65 +178,67 @@
                             new Work(arrival.promptTokens(), arrival.announcedTokens(), arrival.blocks()),
                             "request-" + arrival.number()),
                     now);
-            carryOut(now);
+            applyDecisions(now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void unreachable(Arrival arrival, long now) {
-            scheduler.finish(idOf(arrival), PermitOutcome.of(PermitOutcome.Ending.UNREACHABLE), now);
+        public void onUnreachable(Arrival arrival, long now) {
+            scheduler.finish(permitIdOf(arrival), PermitOutcome.of(PermitOutcome.Ending.UNREACHABLE), now);
             attempts.merge(arrival.number(), 1, Integer::sum);
-            arrive(arrival, now);
+            onArrival(arrival, now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void firstToken(Arrival arrival, long now) {
+        public void onFirstToken(Arrival arrival, long now) {
             firstTokenAt.put(arrival.number(), now);
-            scheduler.firstToken(idOf(arrival), now);
+            scheduler.firstToken(permitIdOf(arrival), now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void ended(Arrival arrival, PermitOutcome.Ending ending, long now) {
+        public void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {
             long dispatched = dispatchedAt.getOrDefault(arrival.number(), now);
             long first = firstTokenAt.getOrDefault(arrival.number(), dispatched) - dispatched;
             if (ending == PermitOutcome.Ending.CANCELLED) {
-                scheduler.cancel(idOf(arrival), now);
+                scheduler.cancel(permitIdOf(arrival), now);
             } else {
                 scheduler.finish(
-                        idOf(arrival), new PermitOutcome(ending, first, now - dispatched, arrival.outputTokens()), now);
+                        permitIdOf(arrival),
+                        new PermitOutcome(ending, first, now - dispatched, arrival.outputTokens()),
+                        now);
             }
-            carryOut(now);
+            applyDecisions(now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void reported(String engine, int running, int waiting, long now) {
+        public void onLoadReport(String engine, int running, int waiting, long now) {
             scheduler.loadReported(engine, running, waiting, now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void tick(long now) {
-            carryOut(now);
+        public void onTick(long now) {
+            applyDecisions(now);
         }
 
-        private void carryOut(long now) {
+        private void applyDecisions(long now) {
             for (PermitAction action : scheduler.decide(now)) {
                 if (action instanceof PermitAction.Grant grant) {
                     Arrival arrival = arrivals.get(grant.id());
                     dispatchedAt.put(arrival.number(), now);
-                    floor.dispatch(arrival, grant.upstream());
+                    pool.dispatch(arrival, grant.upstream());
                 } else if (action instanceof PermitAction.Refuse refuse) {
-                    floor.refuse(arrivals.get(refuse.id()));
+                    pool.refuse(arrivals.get(refuse.id()));
                 }
             }
         }
 
-        private PermitId idOf(Arrival arrival) {
+        private PermitId permitIdOf(Arrival arrival) {
             long attempt = attempts.getOrDefault(arrival.number(), 0);
-            return new PermitId("entry", 1, arrival.number() + attempt * ATTEMPT_STEP);
+            return new PermitId("entry", 1, arrival.number() + attempt * SEQUENCES_PER_ATTEMPT);
         }
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
@@ -5,30 +5,30 @@
 /**
  * Holds the constants of the fake engines; times are in microseconds for an engine of speed 1.
  *
- * @param batch how many requests an engine decodes at once.
+ * @param batchSize how many requests an engine decodes at once.
  * @param stepMicros the time of a step whatever it does.
- * @param sequenceMicros the time that each decoded request adds to a step.
- * @param prefillMicros the time that each computed prompt token adds to a step.
+ * @param decodeMicrosPerSequence the time that each decoded request adds to a step.
+ * @param prefillMicrosPerToken the time that each computed prompt token adds to a step.
  * @param prefillTokensPerStep how many prompt tokens a step computes at most.
  * @param cacheBlocks how many prompt blocks an engine holds.
  */
 record EngineModel(
-        int batch,
+        int batchSize,
         double stepMicros,
-        double sequenceMicros,
-        double prefillMicros,
+        double decodeMicrosPerSequence,
+        double prefillMicrosPerToken,
         int prefillTokensPerStep,
         int cacheBlocks) {
     static final EngineModel STANDARD = new EngineModel(24, 15_000, 400, 60, 512, 1_200);
 
     /** Returns the least engine time that a request needs: a full batch shares each step, and prefixes are cached. */
-    double leastMicros(Arrival arrival) {
-        double perToken = stepMicros / batch + sequenceMicros;
-        return arrival.outputTokens() * perToken + arrival.ownBlocks() * Work.BLOCK_TOKENS * prefillMicros;
+    double minimumMicros(Arrival arrival) {
+        double perToken = stepMicros / batchSize + decodeMicrosPerSequence;
+        return arrival.outputTokens() * perToken + arrival.ownBlocks() * Work.BLOCK_TOKENS * prefillMicrosPerToken;
     }
 
     /** Returns how long a request takes on an engine of speed 1 with a full batch and nothing cached. */
-    double usualMicros(int promptTokens, int outputTokens) {
-        return outputTokens * (stepMicros + batch * sequenceMicros) + promptTokens * prefillMicros;
+    double fullBatchMicros(int promptTokens, int outputTokens) {
+        return outputTokens * (stepMicros + batchSize * decodeMicrosPerSequence) + promptTokens * prefillMicrosPerToken;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
@@ -31,8 +31,8 @@
     public Integer call() {
         for (long seed : seeds) {
             for (double load : loads) {
-                List<Arrival> arrivals =
-                        new Workload(seed, model).draw(load, PoolExperiment.totalSpeed(), PoolExperiment.HORIZON);
+                List<Arrival> arrivals = new Workload(seed, model)
+                        .drawArrivals(load, PoolExperiment.totalSpeed(), PoolExperiment.HORIZON_MICROS);
                 System.out.printf("seed %d, load %.1f, %d requests%n", seed, load, arrivals.size());
                 System.out.println("                       urgent   high normal    low   bulk  ofBound  prefill"
                         + "      lost redundant  largest  refused");
@@ -46,20 +46,20 @@
     }
 
     private void print(
-            String name, long seed, List<Arrival> arrivals, Function<Dispatcher.Floor, Dispatcher> dispatcher) {
+            String name, long seed, List<Arrival> arrivals, Function<Dispatcher.EnginePool, Dispatcher> dispatcher) {
         ExperimentResult result = new PoolExperiment(seed, model, arrivals, !noFaults, dispatcher).run();
-        System.out.println(result.line(name, PoolExperiment.capacityMicros(!noFaults)));
+        System.out.println(result.tableRow(name, PoolExperiment.capacityMicros(!noFaults)));
     }
 
-    static Map<String, Function<Dispatcher.Floor, Dispatcher>> dispatchers() {
+    static Map<String, Function<Dispatcher.EnginePool, Dispatcher>> dispatchers() {
         int limit = 64;
-        Map<String, Function<Dispatcher.Floor, Dispatcher>> dispatchers = new LinkedHashMap<>();
+        Map<String, Function<Dispatcher.EnginePool, Dispatcher>> dispatchers = new LinkedHashMap<>();
         dispatchers.put("round robin", Dispatcher.RoundRobin::new);
         dispatchers.put("least outstanding", Dispatcher.LeastOutstanding::new);
         dispatchers.put(
                 "ours without prefixes",
-                floor -> new Dispatcher.Scheduled(floor, SchedulerOptions.STANDARD.withPrefixes(false), limit));
-        dispatchers.put("ours", floor -> new Dispatcher.Scheduled(floor, SchedulerOptions.STANDARD, limit));
+                pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD.withPrefixes(false), limit));
+        dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD, limit));
         return dispatchers;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
@@ -12,12 +12,12 @@
  */
 final class ExperimentResult {
     private final EngineModel model;
-    private final double[] offered = new double[Tier.values().length];
-    private final double[] inTime = new double[Tier.values().length];
-    private final Map<String, Double> workByOrganisation = new HashMap<>();
-    private final Map<Integer, Integer> redundantFor = new HashMap<>();
-    private double goodWork;
-    private double offeredWork;
+    private final double[] offeredRequests = new double[Tier.values().length];
+    private final double[] requestsInTime = new double[Tier.values().length];
+    private final Map<String, Double> usefulMicrosByOrganisation = new HashMap<>();
+    private final Map<Integer, Integer> redundantTokensByRequest = new HashMap<>();
+    private double usefulMicros;
+    private double offeredMicros;
     private long computedTokens;
     private long lostTokens;
     private long redundantTokens;
@@ -26,58 +26,58 @@
     ExperimentResult(EngineModel model, List<Arrival> arrivals) {
         this.model = model;
         for (Arrival arrival : arrivals) {
-            offered[arrival.tier().ordinal()]++;
-            offeredWork += model.leastMicros(arrival);
+            offeredRequests[arrival.tier().ordinal()]++;
+            offeredMicros += model.minimumMicros(arrival);
         }
     }
 
-    void computed(int tokens) {
+    void addComputedTokens(int tokens) {
         computedTokens += tokens;
     }
 
     /** Notes prompt tokens that were computed although another engine held them. */
-    void redundant(Arrival arrival, int tokens) {
-        redundantFor.put(arrival.number(), tokens);
+    void recordRedundantTokens(Arrival arrival, int tokens) {
+        redundantTokensByRequest.put(arrival.number(), tokens);
     }
 
-    void refused(Arrival arrival) {
+    void recordRefusal(Arrival arrival) {
         refusals++;
     }
 
     /** Notes how a request ended; only work that ended within the horizon counts against the bound. */
-    void ended(Arrival arrival, boolean good, boolean withinHorizon, int computed) {
+    void recordEnding(Arrival arrival, boolean good, boolean withinHorizon, int computed) {
         if (!good) {
             lostTokens += computed;
             return;
         }
-        inTime[arrival.tier().ordinal()]++;
-        redundantTokens += redundantFor.getOrDefault(arrival.number(), 0);
+        requestsInTime[arrival.tier().ordinal()]++;
+        redundantTokens += redundantTokensByRequest.getOrDefault(arrival.number(), 0);
         if (withinHorizon) {
-            goodWork += model.leastMicros(arrival);
-            workByOrganisation.merge(arrival.organisation(), model.leastMicros(arrival), Double::sum);
+            usefulMicros += model.minimumMicros(arrival);
+            usefulMicrosByOrganisation.merge(arrival.organisation(), model.minimumMicros(arrival), Double::sum);
         }
     }
 
     /** Returns the share of a tier's requests that were answered in time. */
     double goodput(Tier tier) {
-        return inTime[tier.ordinal()] / Math.max(1, offered[tier.ordinal()]);
+        return requestsInTime[tier.ordinal()] / Math.max(1, offeredRequests[tier.ordinal()]);
     }
 
     /** Returns the useful work done, against the least of what was asked for and what the engines can do at most. */
-    double shareOfBound(double capacityMicros) {
-        return goodWork / Math.min(offeredWork, capacityMicros);
+    double shareOfUpperBound(double capacityMicros) {
+        return usefulMicros / Math.min(offeredMicros, capacityMicros);
     }
 
     /** Returns the largest share of the useful work that one organisation got. */
     double largestShare() {
-        double largest = workByOrganisation.values().stream()
+        double largest = usefulMicrosByOrganisation.values().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
                 .orElse(0);
-        return largest / Math.max(1, goodWork);
+        return largest / Math.max(1, usefulMicros);
     }
 
-    String line(String name, double capacityMicros) {
+    String tableRow(String name, double capacityMicros) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-22s", name));
         for (Tier tier : Tier.values()) {
             line.append(String.format(Locale.ROOT, " %6.3f", goodput(tier)));
@@ -85,7 +85,7 @@
         return line.append(String.format(
                         Locale.ROOT,
                         " %8.3f %9d %9d %9d %8.3f %8d",
-                        shareOfBound(capacityMicros),
+                        shareOfUpperBound(capacityMicros),
                         computedTokens,
                         lostTokens,
                         redundantTokens,
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/FakeEngine.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/SimulatedEngine.java
@@ -14,23 +14,23 @@
  * Stands in for a model engine: it batches continuously, caches prompt blocks, admits whatever comes, and knows no
  * priorities.
  */
-final class FakeEngine {
+final class SimulatedEngine {
     private final String name;
     private final EngineModel model;
     private final Listener listener;
-    private final Deque<Run> waiting = new ArrayDeque<>();
-    private final List<Run> running = new ArrayList<>();
+    private final Deque<EngineRequest> waiting = new ArrayDeque<>();
+    private final List<EngineRequest> runningRequests = new ArrayList<>();
     private final Map<Long, Boolean> cache;
-    private final double usualSpeed;
-    private double speed;
+    private final double normalSpeed;
+    private double currentSpeed;
     private boolean up = true;
-    private boolean stepping;
+    private boolean stepScheduled;
 
-    FakeEngine(String name, EngineModel model, double speed, Listener listener) {
+    SimulatedEngine(String name, EngineModel model, double speed, Listener listener) {
         this.name = name;
         this.model = model;
-        this.usualSpeed = speed;
-        this.speed = speed;
+        this.normalSpeed = speed;
+        this.currentSpeed = speed;
         this.listener = listener;
         this.cache = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
@@ -46,50 +46,50 @@
         return name;
     }
 
-    double usualSpeed() {
-        return usualSpeed;
+    double normalSpeed() {
+        return normalSpeed;
     }
 
-    void speed(double changed) {
-        speed = changed;
+    void setSpeed(double speed) {
+        currentSpeed = speed;
     }
 
-    int load() {
-        return waiting.size() + running.size();
+    int outstandingRequests() {
+        return waiting.size() + runningRequests.size();
     }
 
-    int running() {
-        return running.size();
+    int runningRequests() {
+        return runningRequests.size();
     }
 
     boolean isUp() {
         return up;
     }
 
-    boolean holds(Long block) {
+    boolean hasCached(Long block) {
         return up && cache.containsKey(block);
     }
 
     void submit(Arrival arrival) {
-        waiting.addLast(new Run(arrival));
-        if (!stepping) {
-            step();
+        waiting.addLast(new EngineRequest(arrival));
+        if (!stepScheduled) {
+            startStep();
         }
     }
 
     /** Stops a request; what was computed for it is lost. */
     void cancel(Arrival arrival) {
         waiting.removeIf(run -> run.arrival == arrival);
-        running.removeIf(run -> run.arrival == arrival);
+        runningRequests.removeIf(run -> run.arrival == arrival);
     }
 
     /** Loses everything that runs and everything in the cache. */
     List<Arrival> crash() {
         List<Arrival> lost = new ArrayList<>();
         waiting.forEach(run -> lost.add(run.arrival));
-        running.forEach(run -> lost.add(run.arrival));
+        runningRequests.forEach(run -> lost.add(run.arrival));
         waiting.clear();
-        running.clear();
+        runningRequests.clear();
         cache.clear();
         up = false;
         return lost;
@@ -97,67 +97,69 @@
 
     void restart() {
         up = true;
-        stepping = false;
+        stepScheduled = false;
     }
 
-    private void step() {
-        while (running.size() < model.batch() && !waiting.isEmpty()) {
-            Run run = waiting.removeFirst();
-            run.uncached = uncachedTokens(run.arrival);
-            run.toCompute = run.uncached;
-            running.add(run);
+    private void startStep() {
+        while (runningRequests.size() < model.batchSize() && !waiting.isEmpty()) {
+            EngineRequest run = waiting.removeFirst();
+            run.uncachedPromptTokens = uncachedTokens(run.arrival);
+            run.remainingPrefillTokens = run.uncachedPromptTokens;
+            runningRequests.add(run);
         }
-        if (running.isEmpty() || !up) {
-            stepping = false;
+        if (runningRequests.isEmpty() || !up) {
+            stepScheduled = false;
             return;
         }
-        stepping = true;
+        stepScheduled = true;
         int budget = model.prefillTokensPerStep();
         int computed = 0;
         int decoding = 0;
-        for (Run run : running) {
-            int part = Math.min(budget - computed, run.toCompute);
-            run.part = part;
+        for (EngineRequest run : runningRequests) {
+            int part = Math.min(budget - computed, run.remainingPrefillTokens);
+            run.stepPrefillTokens = part;
             computed += part;
-            decoding += run.toCompute == 0 ? 1 : 0;
+            decoding += run.remainingPrefillTokens == 0 ? 1 : 0;
         }
-        double micros =
-                (model.stepMicros() + decoding * model.sequenceMicros() + computed * model.prefillMicros()) / speed;
-        List<Run> stepped = List.copyOf(running);
-        listener.later(() -> endStep(stepped), (long) micros);
+        double micros = (model.stepMicros()
+                        + decoding * model.decodeMicrosPerSequence()
+                        + computed * model.prefillMicrosPerToken())
+                / currentSpeed;
+        List<EngineRequest> stepped = List.copyOf(runningRequests);
+        listener.scheduleAfter(() -> finishStep(stepped), (long) micros);
     }
 
-    private void endStep(List<Run> stepped) {
+    private void finishStep(List<EngineRequest> stepped) {
         if (!up) {
             return;
         }
-        for (Run run : stepped) {
-            if (run.toCompute > 0) {
-                compute(run);
-            } else if (running.contains(run)) {
-                run.produced++;
-                if (run.produced == 1) {
-                    listener.onFirstToken(this, run.arrival, run.uncached);
+        for (EngineRequest run : stepped) {
+            if (run.remainingPrefillTokens > 0) {
+                computePrefill(run);
+            } else if (runningRequests.contains(run)) {
+                run.outputTokens++;
+                if (run.outputTokens == 1) {
+                    listener.onFirstToken(this, run.arrival, run.uncachedPromptTokens);
                 }
             }
         }
-        List<Run> ended = new ArrayList<>();
-        Iterator<Run> remaining = running.iterator();
+        List<EngineRequest> ended = new ArrayList<>();
+        Iterator<EngineRequest> remaining = runningRequests.iterator();
         while (remaining.hasNext()) {
-            Run run = remaining.next();
-            if (run.produced >= run.arrival.outputTokens()) {
+            EngineRequest run = remaining.next();
+            if (run.outputTokens >= run.arrival.outputTokens()) {
                 remaining.remove();
                 ended.add(run);
             }
         }
-        step();
-        ended.forEach(run -> listener.onEnd(this, run.arrival));
+        startStep();
+        ended.forEach(run -> listener.onAnswerComplete(this, run.arrival));
     }
 
-    private void compute(Run run) {
-        run.toCompute -= run.part;
-        listener.onPrefill(this, run.arrival, run.part);
-        if (run.toCompute == 0) {
+    private void computePrefill(EngineRequest run) {
+        run.remainingPrefillTokens -= run.stepPrefillTokens;
+        listener.onPrefill(this, run.arrival, run.stepPrefillTokens);
+        if (run.remainingPrefillTokens == 0) {
             run.arrival.blocks().forEach(block -> cache.put(block, Boolean.TRUE));
         }
     }
@@ -177,14 +179,14 @@
     /**
      * Holds one request in the engine.
      */
-    private static final class Run {
+    private static final class EngineRequest {
         private final Arrival arrival;
-        private int uncached;
-        private int toCompute;
-        private int part;
-        private int produced;
+        private int uncachedPromptTokens;
+        private int remainingPrefillTokens;
+        private int stepPrefillTokens;
+        private int outputTokens;
 
-        Run(Arrival arrival) {
+        EngineRequest(Arrival arrival) {
             this.arrival = arrival;
         }
     }
@@ -199,7 +201,7 @@
          * @param action the action.
          * @param micros how much later.
          */
-        void later(Runnable action, long micros);
+        void scheduleAfter(Runnable action, long micros);
 
         /**
          * Learns that prompt tokens were computed.
@@ -208,7 +210,7 @@
          * @param arrival the request.
          * @param tokens the number of tokens.
          */
-        void onPrefill(FakeEngine engine, Arrival arrival, int tokens);
+        void onPrefill(SimulatedEngine engine, Arrival arrival, int tokens);
 
         /**
          * Learns that the first token of an answer came.
@@ -217,7 +219,7 @@
          * @param arrival the request.
          * @param uncached how many prompt tokens had to be computed.
          */
-        void onFirstToken(FakeEngine engine, Arrival arrival, int uncached);
+        void onFirstToken(SimulatedEngine engine, Arrival arrival, int uncached);
 
         /**
          * Learns that an answer is whole.
@@ -225,6 +227,6 @@
          * @param engine the engine.
          * @param arrival the request.
          */
-        void onEnd(FakeEngine engine, Arrival arrival);
+        void onAnswerComplete(SimulatedEngine engine, Arrival arrival);
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
@@ -48,8 +48,8 @@
      */
     public LoadResult run(String address, Plan plan) throws InterruptedException {
         LoadResult result = new LoadResult();
-        AtomicInteger left = new AtomicInteger(plan.requests());
-        CountDownLatch open = new CountDownLatch(plan.connections());
+        AtomicInteger remainingRequests = new AtomicInteger(plan.requests());
+        CountDownLatch openConnections = new CountDownLatch(plan.connections());
         long beganAt = System.nanoTime();
         for (int connection = 0; connection < plan.connections(); connection++) {
             new Bootstrap()
@@ -61,19 +61,20 @@
                         protected void initChannel(SocketChannel channel) {
                             channel.pipeline()
                                     .addLast(new HttpClientCodec())
-                                    .addLast(new Caller(address, plan, left, result, open));
+                                    .addLast(
+                                            new RequestLoop(address, plan, remainingRequests, result, openConnections));
                         }
                     })
                     .connect(HostPort.parse(address).toSocketAddress())
                     .addListener(connected -> {
                         if (!connected.isSuccess()) {
-                            result.failed();
-                            open.countDown();
+                            result.recordFailure();
+                            openConnections.countDown();
                         }
                     });
         }
-        open.await();
-        result.took(System.nanoTime() - beganAt);
+        openConnections.await();
+        result.addElapsedNanos(System.nanoTime() - beganAt);
         return result;
     }
 
@@ -90,40 +91,45 @@
      * @param connections the number of connections.
      * @param requests the number of calls over all connections.
      * @param tokens the number of tokens to ask for.
-     * @param keys whether to send an idempotency key.
+     * @param idempotencyKeys whether to send an idempotency key.
      */
-    public record Plan(String path, int connections, int requests, int tokens, boolean keys) {}
+    public record Plan(String path, int connections, int requests, int tokens, boolean idempotencyKeys) {}
 
     /**
-     * Makes calls over one connection until none is left.
+     * Makes calls over one connection until none is remainingRequests.
      */
-    private static final class Caller extends SimpleChannelInboundHandler<HttpObject> {
+    private static final class RequestLoop extends SimpleChannelInboundHandler<HttpObject> {
         private final String address;
         private final Plan plan;
-        private final AtomicInteger left;
+        private final AtomicInteger remainingRequests;
         private final LoadResult result;
-        private final CountDownLatch open;
+        private final CountDownLatch openConnections;
         private long sentAt;
-        private boolean successful;
-        private boolean waiting;
+        private boolean statusOk;
+        private boolean awaitingAnswer;
 
-        Caller(String address, Plan plan, AtomicInteger left, LoadResult result, CountDownLatch open) {
+        RequestLoop(
+                String address,
+                Plan plan,
+                AtomicInteger remainingRequests,
+                LoadResult result,
+                CountDownLatch openConnections) {
             this.address = address;
             this.plan = plan;
-            this.left = left;
+            this.remainingRequests = remainingRequests;
             this.result = result;
-            this.open = open;
+            this.openConnections = openConnections;
         }
 
         /** {@inheritDoc} */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            next(context);
+            sendNextRequest(context);
         }
 
-        private void next(ChannelHandlerContext context) {
-            if (left.getAndDecrement() <= 0) {
-                waiting = false;
+        private void sendNextRequest(ChannelHandlerContext context) {
+            if (remainingRequests.getAndDecrement() <= 0) {
+                awaitingAnswer = false;
                 context.close();
                 return;
             }
@@ -137,37 +143,37 @@
                     .set("Radishspur-Organisation", "load")
                     .set(StandInUpstream.TOKENS, plan.tokens())
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-            if (plan.keys()) {
+            if (plan.idempotencyKeys()) {
                 request.headers().set("Idempotency-Key", UUID.randomUUID().toString());
             }
             sentAt = System.nanoTime();
-            waiting = true;
+            awaitingAnswer = true;
             context.writeAndFlush(request);
         }
 
         /** {@inheritDoc} */
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part instanceof HttpResponse response) {
-                successful = response.status().equals(HttpResponseStatus.OK);
+        protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+            if (message instanceof HttpResponse response) {
+                statusOk = response.status().equals(HttpResponseStatus.OK);
             }
-            if (part instanceof LastHttpContent) {
-                if (successful) {
-                    result.succeeded(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAt));
+            if (message instanceof LastHttpContent) {
+                if (statusOk) {
+                    result.recordSuccess(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAt));
                 } else {
-                    result.failed();
+                    result.recordFailure();
                 }
-                next(context);
+                sendNextRequest(context);
             }
         }
 
         /** {@inheritDoc} */
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (waiting) {
-                result.failed();
+            if (awaitingAnswer) {
+                result.recordFailure();
             }
-            open.countDown();
+            openConnections.countDown();
         }
 
         /** {@inheritDoc} */
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
@@ -33,7 +33,7 @@
     private int tokens;
 
     @Option(names = "--keys", description = "Send an idempotency key with each call.")
-    private boolean keys;
+    private boolean idempotencyKeys;
 
     /** {@inheritDoc} */
     @Override
@@ -42,7 +42,7 @@
         LoadResult baselines = new LoadResult();
         try (LoadClient client = new LoadClient()) {
             for (int round = 0; round < rounds; round++) {
-                LoadClient.Plan plan = new LoadClient.Plan(path, connections, requests, tokens, keys);
+                LoadClient.Plan plan = new LoadClient.Plan(path, connections, requests, tokens, idempotencyKeys);
                 LoadResult fromTarget = client.run(target, plan);
                 LoadResult fromBaseline = baseline == null ? new LoadResult() : client.run(baseline, plan);
                 if (round > 0) {
@@ -57,10 +57,10 @@
             System.out.printf(
                     Locale.ROOT,
                     "added     p50 %d us (ratio %.2f), p99 %d us (ratio %.2f)%n",
-                    targets.micros(50) - baselines.micros(50),
-                    targets.micros(50) / (double) Math.max(1, baselines.micros(50)),
-                    targets.micros(99) - baselines.micros(99),
-                    targets.micros(99) / (double) Math.max(1, baselines.micros(99)));
+                    targets.latencyMicros(50) - baselines.latencyMicros(50),
+                    targets.latencyMicros(50) / (double) Math.max(1, baselines.latencyMicros(50)),
+                    targets.latencyMicros(99) - baselines.latencyMicros(99),
+                    targets.latencyMicros(99) / (double) Math.max(1, baselines.latencyMicros(99)));
         }
         return targets.failures() == 0 ? 0 : 1;
     }
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadResult.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadResult.java
@@ -9,33 +9,33 @@
  * Collects the times of calls.
  */
 public final class LoadResult {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final Histogram times = new ConcurrentHistogram(DIGITS);
+    private final Histogram latencies = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
     private final java.util.concurrent.atomic.AtomicLong failures = new java.util.concurrent.atomic.AtomicLong();
     private long elapsedNanos;
 
-    void succeeded(long micros) {
-        times.recordValue(Math.max(1, micros));
+    void recordSuccess(long micros) {
+        latencies.recordValue(Math.max(1, micros));
     }
 
-    void failed() {
+    void recordFailure() {
         failures.incrementAndGet();
     }
 
-    void took(long nanos) {
+    void addElapsedNanos(long nanos) {
         elapsedNanos += nanos;
     }
 
     void add(LoadResult other) {
-        times.add(other.times);
+        latencies.add(other.latencies);
         failures.addAndGet(other.failures.get());
         elapsedNanos += other.elapsedNanos;
     }
 
-    long micros(double percentile) {
-        return times.getValueAtPercentile(percentile);
+    long latencyMicros(double percentile) {
+        return latencies.getValueAtPercentile(percentile);
     }
 
     /**
@@ -53,11 +53,11 @@
         return String.format(
                 Locale.ROOT,
                 "n=%d failed=%d p50=%d us p99=%d us max=%d us rate=%.0f/s",
-                times.getTotalCount(),
+                latencies.getTotalCount(),
                 failures.get(),
-                micros(50),
-                micros(99),
-                times.getMaxValue(),
-                times.getTotalCount() * NANOS_PER_SECOND / Math.max(1, elapsedNanos));
+                latencyMicros(50),
+                latencyMicros(99),
+                latencies.getMaxValue(),
+                latencies.getTotalCount() * NANOS_PER_SECOND / Math.max(1, elapsedNanos));
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
@@ -31,8 +31,8 @@
     private static final long HOUR_MICROS = 3_600_000_000L;
 
     private final Random random = new Random(5);
-    private long sequence;
-    private long now = 1_000_000;
+    private long lastSequence;
+    private long nowMicros = 1_000_000;
 
     /** {@inheritDoc} */
     @Override
@@ -55,27 +55,27 @@
         PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.STANDARD, "measure");
         Deque<PermitId> running = new ArrayDeque<>();
         for (int request = 0; request < upstreams * 8; request++) {
-            scheduler.arrive(request(), now);
+            scheduler.arrive(request(), nowMicros);
         }
-        collect(scheduler, running);
+        runDecisions(scheduler, running);
         long before = Samples.usedHeap();
         for (int request = 0; request < waiting; request++) {
-            scheduler.arrive(request(), now);
+            scheduler.arrive(request(), nowMicros);
         }
         long bytes = (Samples.usedHeap() - before) / waiting;
         Samples samples = new Samples();
         for (int round = 0; round < ROUNDS; round++) {
-            now += 1_000;
+            nowMicros += 1_000;
             PermitId ended = running.removeFirst();
             PermitRequest next = request();
             long beganAt = System.nanoTime();
-            scheduler.finish(ended, new PermitOutcome(PermitOutcome.Ending.ANSWERED, 50_000, 500_000, 100), now);
-            scheduler.arrive(next, now);
-            List<PermitAction> actions = scheduler.decide(now);
+            scheduler.finish(ended, new PermitOutcome(PermitOutcome.Ending.ANSWERED, 50_000, 500_000, 100), nowMicros);
+            scheduler.arrive(next, nowMicros);
+            List<PermitAction> actions = scheduler.decide(nowMicros);
             if (round > ROUNDS / 4) {
                 samples.add(System.nanoTime() - beganAt);
             }
-            actions.forEach(action -> note(action, running));
+            actions.forEach(action -> addGranted(action, running));
         }
         System.out.printf(
                 Locale.ROOT,
@@ -84,15 +84,15 @@
                 upstreams,
                 waiting,
                 samples.medianMicros(),
-                samples.lateMicros(),
+                samples.p99Micros(),
                 bytes);
     }
 
-    private void collect(PoolScheduler scheduler, Deque<PermitId> running) {
-        scheduler.decide(now).forEach(action -> note(action, running));
+    private void runDecisions(PoolScheduler scheduler, Deque<PermitId> running) {
+        scheduler.decide(nowMicros).forEach(action -> addGranted(action, running));
     }
 
-    private static void note(PermitAction action, Deque<PermitId> running) {
+    private static void addGranted(PermitAction action, Deque<PermitId> running) {
         if (action instanceof PermitAction.Grant grant) {
             running.addLast(grant.id());
         }
@@ -105,12 +105,12 @@
             prefix.add(topic * 1_000 + block);
         }
         return new PermitRequest(
-                new PermitId("entry", 1, ++sequence),
+                new PermitId("entry", 1, ++lastSequence),
                 Tier.values()[random.nextInt(Tier.values().length)],
                 "organisation-" + random.nextInt(200),
                 "route",
-                now + HOUR_MICROS * 10 + random.nextInt(1_000_000),
+                nowMicros + HOUR_MICROS * 10 + random.nextInt(1_000_000),
                 new Work(1_200, 100, prefix),
-                "fingerprint-" + sequence);
+                "fingerprint-" + lastSequence);
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureEdits.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureEdits.java
@@ -28,7 +28,7 @@
 @Command(name = "edits", mixinStandardHelpOptions = true)
 final class MeasureEdits implements Callable<Integer> {
     @Option(names = "--admins", required = true, split = ",", description = "The admin addresses of all nodes.")
-    private List<String> admins;
+    private List<String> adminAddresses;
 
     @Option(names = "--token-file", required = true, description = "The file with the administration token.")
     private Path tokenFile;
@@ -50,7 +50,7 @@
             TableEdit change = new TableEdit(name + '-' + edit, List.of(new RowChange.PutPool(row, revision)));
             long beganAt = System.nanoTime();
             String answer = send(
-                    admins.get(edit % admins.size()),
+                    adminAddresses.get(edit % adminAddresses.size()),
                     "/v1/edits",
                     HttpRequest.BodyPublishers.ofString(Json.INSTANCE.write(change)));
             answered.add(System.nanoTime() - beganAt);
@@ -58,7 +58,7 @@
                     .readTree(answer, ErrorCode.CALL_INVALID)
                     .path("revision")
                     .asLong();
-            for (String admin : admins) {
+            for (String admin : adminAddresses) {
                 while (revisionOf(admin) < revision) {
                     Thread.onSpinWait();
                 }
@@ -70,10 +70,10 @@
                 "%d edits: answered p50 %.1f ms, p99 %.1f ms; in force on all %d nodes p50 %.1f ms, p99 %.1f ms%n",
                 count,
                 answered.medianMicros() / 1_000,
-                answered.lateMicros() / 1_000,
-                admins.size(),
+                answered.p99Micros() / 1_000,
+                adminAddresses.size(),
                 inForce.medianMicros() / 1_000,
-                inForce.lateMicros() / 1_000);
+                inForce.p99Micros() / 1_000);
         return 0;
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
@@ -23,8 +23,8 @@
  */
 @Command(name = "frames", mixinStandardHelpOptions = true)
 final class MeasureFrames implements Callable<Integer> {
-    private static final int ROUNDS = 20_000;
-    private static final int LENGTH_BYTES = 4;
+    private static final int ROUNDS_PER_MESSAGE = 20_000;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     /** {@inheritDoc} */
     @Override
@@ -34,21 +34,21 @@
         for (long block = 0; block < 16; block++) {
             prefix.add(block * 0x9E3779B97F4A7C15L);
         }
-        print(
+        measure(
                 "heartbeat",
                 new PeerMessage.Heartbeat(new PeerMessage.NodeStatus(
                         "entry-101", 1_764_720_000_000L, "domain-1", true, false, 29_000, 7, 12, 3, "")));
-        print(
+        measure(
                 "heartbeat reply without news",
                 new PeerMessage.HeartbeatReply(
                         true, Optional.empty(), Optional.empty(), 3, Map.of(), Map.of(), Set.of()));
-        print(
+        measure(
                 "heartbeat reply with a view of 370",
                 new PeerMessage.HeartbeatReply(
-                        true, Optional.of(view()), Optional.empty(), 3, Map.of(), Map.of(), Set.of()));
-        print("raft heartbeat", new PeerMessage.Raft("control-1#founder", "control-2#founder", raftHeartbeat(0)));
-        print("raft append of 1 claim", new PeerMessage.Raft("control-1#founder", "b#founder", raftHeartbeat(1)));
-        print(
+                        true, Optional.of(clusterView()), Optional.empty(), 3, Map.of(), Map.of(), Set.of()));
+        measure("raft heartbeat", new PeerMessage.Raft("control-1#founder", "control-2#founder", appendRequest(0)));
+        measure("raft append of 1 claim", new PeerMessage.Raft("control-1#founder", "b#founder", appendRequest(1)));
+        measure(
                 "permit ask",
                 new PeerMessage.PermitAsk(
                         "engines",
@@ -59,16 +59,16 @@
                         30_000_000,
                         new Work(1_200, 200, prefix),
                         "5d41402abc4b2a76b9719d911017c592"));
-        print("permit granted", new PeerMessage.PermitGranted("engines", id, "worker-1234", "10.12.13.14:8000"));
-        print("permit first token", new PeerMessage.PermitFirstToken("engines", id));
-        print(
+        measure("permit granted", new PeerMessage.PermitGranted("engines", id, "worker-1234", "10.12.13.14:8000"));
+        measure("permit first token", new PeerMessage.PermitFirstToken("engines", id));
+        measure(
                 "permit finish",
                 new PeerMessage.PermitFinish(
                         "engines", id, new PermitOutcome(PermitOutcome.Ending.ANSWERED, 300_000, 9_000_000, 264)));
         return 0;
     }
 
-    private static ClusterView view() {
+    private static ClusterView clusterView() {
         List<ClusterView.Member> members = new ArrayList<>();
         for (int node = 0; node < 370; node++) {
             members.add(new ClusterView.Member("entry-" + node, 1_764_720_000_000L + node));
@@ -76,21 +76,21 @@
         return new ClusterView(7, 12, members);
     }
 
-    private static RaftMessage raftHeartbeat(int claims) {
+    private static RaftMessage appendRequest(int claims) {
         return new RaftMessage.AppendRequest(
                 7, 100_000, 7, claims == 0 ? List.of() : List.of(MeasureLog.claim(100_001)), 100_000, 86_400_000);
     }
 
-    private static void print(String name, PeerMessage message) {
+    private static void measure(String name, PeerMessage message) {
         byte[] bytes = MessagePack.INSTANCE.encode(message, PeerMessage.class);
         Samples encoding = new Samples();
         Samples decoding = new Samples();
-        for (int round = 0; round < ROUNDS; round++) {
+        for (int round = 0; round < ROUNDS_PER_MESSAGE; round++) {
             long beganAt = System.nanoTime();
             MessagePack.INSTANCE.encode(message, PeerMessage.class);
             long encodedAt = System.nanoTime();
             MessagePack.INSTANCE.decode(bytes, PeerMessage.class);
-            if (round > ROUNDS / 2) {
+            if (round > ROUNDS_PER_MESSAGE / 2) {
                 encoding.add(encodedAt - beganAt);
                 decoding.add(System.nanoTime() - encodedAt);
             }
@@ -99,7 +99,7 @@
                 Locale.ROOT,
                 "%s: %d bytes, encode p50 %.1f us, decode p50 %.1f us%n",
                 name,
-                bytes.length + LENGTH_BYTES,
+                bytes.length + LENGTH_PREFIX_BYTES,
                 encoding.medianMicros(),
                 decoding.medianMicros());
     }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
@@ -28,7 +28,7 @@
  */
 @Command(name = "log", mixinStandardHelpOptions = true)
 final class MeasureLog implements Callable<Integer> {
-    private static final int BATCHES = 500;
+    private static final int BATCHES_PER_SIZE = 500;
     private static final double NANOS_PER_MILLI = 1e6;
 
     /** {@inheritDoc} */
@@ -49,7 +49,7 @@
         try (FileDisk disk = open(folder)) {
             disk.recover();
             long index = 1;
-            for (int batch = 0; batch < BATCHES; batch++) {
+            for (int batch = 0; batch < BATCHES_PER_SIZE; batch++) {
                 WriteBatch write = batch(index, size);
                 long beganAt = System.nanoTime();
                 disk.write(write);
@@ -63,7 +63,7 @@
                 "batches of %d claims: sync p50 %.0f us, p99 %.0f us, %.0f claims/s%n",
                 size,
                 samples.medianMicros(),
-                samples.lateMicros(),
+                samples.p99Micros(),
                 size * 1e6 / samples.medianMicros());
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
@@ -44,7 +44,7 @@
             samples.add(System.nanoTime() - beganAt);
         }
         long heap = (Samples.usedHeap() - before) / claims;
-        report("claims", claims, samples, heap, state);
+        printResults("claims", claims, samples, heap, state);
     }
 
     private static void measureEdits(int edits) {
@@ -62,10 +62,10 @@
             samples.add(System.nanoTime() - beganAt);
         }
         long heap = (Samples.usedHeap() - before) / edits;
-        report("edits over 500 rows", edits, samples, heap, state);
+        printResults("edits over 500 rows", edits, samples, heap, state);
     }
 
-    private static void report(String what, int count, Samples samples, long heap, ControlState state) {
+    private static void printResults(String what, int count, Samples samples, long heap, ControlState state) {
         long beganAt = System.nanoTime();
         ControlState.Image image = state.image();
         long copiedAt = System.nanoTime();
--- a/testkit/src/main/java/org/radishspur/testkit/measure/Samples.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/Samples.java
@@ -6,10 +6,10 @@
  * Collects times in nanoseconds and tells their middle and their end.
  */
 final class Samples {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double NANOS_PER_MICRO = 1_000;
 
-    private final Histogram histogram = new Histogram(DIGITS);
+    private final Histogram histogram = new Histogram(SIGNIFICANT_DIGITS);
 
     void add(long nanos) {
         histogram.recordValue(Math.max(1, nanos));
@@ -19,7 +19,7 @@
         return histogram.getValueAtPercentile(50) / NANOS_PER_MICRO;
     }
 
-    double lateMicros() {
+    double p99Micros() {
         return histogram.getValueAtPercentile(99) / NANOS_PER_MICRO;
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -14,7 +14,7 @@
  */
 @Command(name = "moves", mixinStandardHelpOptions = true)
 public final class MoveCommand implements Callable<Integer> {
-    private static final double[] RATES = {5, 50, 500};
+    private static final double[] REQUESTS_PER_MINUTE = {5, 50, 500};
     private static final double WINDOW_MINUTES = 60;
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -22,7 +22,7 @@
     private long firstSeed;
 
     @Option(names = "--seeds", defaultValue = "40", description = "How many moves of each kind and rate.")
-    private int seeds;
+    private int movesPerRate;
 
     /** {@inheritDoc} */
     @Override
@@ -31,19 +31,19 @@
                 + "  after2s  medianTakeBack(s)");
         int moves = 0;
         for (VersionKind kind : VersionKind.values()) {
-            for (double rate : RATES) {
-                print(kind, rate, "ours", run(kind, rate, MoveTrial::run));
-                print(kind, rate, "canary", run(kind, rate, MoveTrial::runFixedCanary));
-                moves += seeds;
+            for (double rate : REQUESTS_PER_MINUTE) {
+                print(kind, rate, "ours", runTrials(kind, rate, MoveTrial::run));
+                print(kind, rate, "canary", runTrials(kind, rate, MoveTrial::runFixedCanary));
+                moves += movesPerRate;
             }
         }
         System.out.println(moves + " moves by each policy");
         return 0;
     }
 
-    private List<MoveOutcome> run(VersionKind kind, double rate, Function<MoveTrial, MoveOutcome> policy) {
+    private List<MoveOutcome> runTrials(VersionKind kind, double rate, Function<MoveTrial, MoveOutcome> policy) {
         List<MoveOutcome> outcomes = new ArrayList<>();
-        for (int trial = 0; trial < seeds; trial++) {
+        for (int trial = 0; trial < movesPerRate; trial++) {
             boolean secondRoute = kind == VersionKind.FAILS_ON_ONE_ROUTE && trial % 2 == 0;
             outcomes.add(policy.apply(new MoveTrial(kind, rate, secondRoute, firstSeed + trial)));
         }
@@ -51,27 +51,27 @@
     }
 
     private static void print(VersionKind kind, double rate, String policy, List<MoveOutcome> outcomes) {
-        long bad = outcomes.stream().filter(MoveOutcome::bad).count();
+        long bad = outcomes.stream().filter(MoveOutcome::badVersion).count();
         long good = outcomes.size() - bad;
         long inTime = outcomes.stream()
-                .filter(outcome -> !outcome.bad() && outcome.completedInTime() && !outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.completedInTime() && !outcome.takenBack())
                 .count();
         long takenBack = outcomes.stream()
-                .filter(outcome -> outcome.bad() && outcome.takenBack())
+                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
                 .count();
         long wrongly = outcomes.stream()
-                .filter(outcome -> !outcome.bad() && outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.takenBack())
                 .count();
         double shareToNew = outcomes.stream()
                 .mapToDouble(outcome -> outcome.toNew() / (rate * WINDOW_MINUTES))
                 .average()
                 .orElse(0);
         long after = outcomes.stream()
-                .filter(MoveOutcome::bad)
+                .filter(MoveOutcome::badVersion)
                 .mapToLong(MoveOutcome::afterFirstFault)
                 .sum();
         double median = outcomes.stream()
-                .filter(outcome -> outcome.bad() && outcome.takenBack())
+                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
                 .mapToLong(MoveOutcome::takeBackMillis)
                 .sorted()
                 .skip(takenBack / 2)
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
@@ -3,7 +3,7 @@
 /**
  * Tells how one move ended.
  *
- * @param bad whether the version was bad on this route.
+ * @param badVersion whether the version was bad on this route.
  * @param completedInTime whether the move was complete at the time asked for.
  * @param takenBack whether the version was taken back by the end of the watch.
  * @param requests how many requests the route had while the move was open.
@@ -12,7 +12,7 @@
  * @param takeBackMillis how long after the start the version was taken back.
  */
 record MoveOutcome(
-        boolean bad,
+        boolean badVersion,
         boolean completedInTime,
         boolean takenBack,
         long requests,
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
@@ -13,14 +13,14 @@
  * Runs one move of one route in virtual time.
  */
 final class MoveTrial {
-    private static final long WINDOW = 60L * 60 * 1000;
-    private static final long TICK = 200;
-    private static final long COMMIT = 50;
-    private static final long TWO_SECONDS = 2_000;
+    private static final long WINDOW_MILLIS = 60L * 60 * 1000;
+    private static final long TICK_MILLIS = 200;
+    private static final long COMMIT_MILLIS = 50;
+    private static final long FAULT_REACTION_MILLIS = 2_000;
     private static final double MILLIS_PER_MINUTE = 60_000;
 
     private final VersionKind kind;
-    private final double perMinute;
+    private final double requestsPerMinute;
     private final boolean secondRoute;
     private final Random random;
     private long firstFaultAt = -1;
@@ -28,29 +28,29 @@
     private long toNew;
     private long afterFirstFault;
 
-    MoveTrial(VersionKind kind, double perMinute, boolean secondRoute, long seed) {
+    MoveTrial(VersionKind kind, double requestsPerMinute, boolean secondRoute, long seed) {
         this.kind = kind;
-        this.perMinute = perMinute;
+        this.requestsPerMinute = requestsPerMinute;
         this.secondRoute = secondRoute;
         this.random = new Random(seed);
     }
 
     /** Runs the move as the product drives it: the watch halts at once, the state changes when it is committed. */
     MoveOutcome run() {
-        Move move = Move.begin(1, "route", "old", "new", 0, WINDOW);
+        Move move = Move.begin(1, "route", "old", "new", 0, WINDOW_MILLIS);
         VersionWatch watch = new VersionWatch();
         SplitCounter counter = new SplitCounter(splitOf(move));
         boolean completedInTime = false;
         long now = 0;
-        long nextRequest = gap();
-        long nextTick = TICK;
+        long nextRequest = drawGapMillis();
+        long nextTick = TICK_MILLIS;
         while (!move.state().isFinal()) {
             now = Math.min(nextRequest, nextTick);
             if (now == nextRequest) {
-                nextRequest = now + gap();
-                request(move, watch, counter, now);
+                nextRequest = now + drawGapMillis();
+                handleRequest(move, watch, counter, now);
             } else {
-                nextTick = now + TICK;
+                nextTick = now + TICK_MILLIS;
             }
             if (watch.verdict() != org.radishspur.decision.move.TakeBackReason.NONE) {
                 counter.halt();
@@ -58,37 +58,37 @@
             var proposal = MoveDriver.INSTANCE.decide(move, watch, now);
             if (proposal.isPresent()) {
                 MoveDriver.Proposal change = proposal.get();
-                move = move.with(change.state(), change.stage(), change.reason(), now + COMMIT);
+                move = move.with(change.state(), change.stage(), change.reason(), now + COMMIT_MILLIS);
                 counter.change(splitOf(move));
                 watch.beginStage();
             }
-            completedInTime |= move.state() == MoveState.COMPLETED && now <= WINDOW + TICK;
+            completedInTime |= move.state() == MoveState.COMPLETED && now <= WINDOW_MILLIS + TICK_MILLIS;
         }
         boolean takenBack = move.state() == MoveState.TAKEN_BACK;
         return new MoveOutcome(
                 kind.isBadOn(secondRoute), completedInTime, takenBack, requests, toNew, afterFirstFault, now);
     }
 
-    private void request(Move move, VersionWatch watch, SplitCounter counter, long now) {
+    private void handleRequest(Move move, VersionWatch watch, SplitCounter counter, long now) {
         requests++;
         boolean useNew = counter.mayUseNew();
         counter.granted(useNew);
         if (!useNew) {
-            VersionKind.Answer old = VersionKind.usual(random, 1);
+            VersionKind.Answer old = VersionKind.drawAnswer(random, 1);
             watch.observeOld(old.failed(), old.logSlowness());
             return;
         }
-        VersionKind.Answer answer = answer(move.share(), now);
+        VersionKind.Answer answer = drawNewVersionAnswer(move.share(), now);
         watch.observeNew(answer.failed(), answer.logSlowness(), (int) toNew - 1, now);
     }
 
-    private VersionKind.Answer answer(double share, long now) {
+    private VersionKind.Answer drawNewVersionAnswer(double share, long now) {
         toNew++;
-        if (firstFaultAt >= 0 && now > firstFaultAt + TWO_SECONDS) {
+        if (firstFaultAt >= 0 && now > firstFaultAt + FAULT_REACTION_MILLIS) {
             afterFirstFault++;
         }
-        VersionKind.Answer answer =
-                kind.answer(new VersionKind.Context(now / (double) WINDOW, share, secondRoute, toNew - 1, now), random);
+        VersionKind.Answer answer = kind.answer(
+                new VersionKind.Context(now / (double) WINDOW_MILLIS, share, secondRoute, toNew - 1, now), random);
         if (answer.fault() && firstFaultAt < 0) {
             firstFaultAt = now;
         }
@@ -100,17 +100,17 @@
         double[] shares = {0.05, 0.25, 0.5, 1};
         double greatestFailures = 0.05;
         double greatestSlowness = Math.log(1.5);
-        long step = WINDOW / (shares.length + 1);
+        long step = WINDOW_MILLIS / (shares.length + 1);
         long now = 0;
         for (double share : shares) {
             long until = now + step;
             long answers = 0;
             long failures = 0;
             double slowness = 0;
-            for (now += gap(); now < until; now += gap()) {
+            for (now += drawGapMillis(); now < until; now += drawGapMillis()) {
                 requests++;
                 if (random.nextDouble() < share) {
-                    VersionKind.Answer answer = answer(share, now);
+                    VersionKind.Answer answer = drawNewVersionAnswer(share, now);
                     answers++;
                     failures += answer.failed() ? 1 : 0;
                     slowness += answer.failed() ? 0 : answer.logSlowness();
@@ -127,8 +127,8 @@
         return new MoveOutcome(kind.isBadOn(secondRoute), true, false, requests, toNew, afterFirstFault, now);
     }
 
-    private long gap() {
-        return 1 + (long) (-Math.log(1 - random.nextDouble()) * MILLIS_PER_MINUTE / perMinute);
+    private long drawGapMillis() {
+        return 1 + (long) (-Math.log(1 - random.nextDouble()) * MILLIS_PER_MINUTE / requestsPerMinute);
     }
 
     private static VersionSplit splitOf(Move move) {
--- a/testkit/src/main/java/org/radishspur/testkit/move/VersionKind.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/VersionKind.java
@@ -10,22 +10,22 @@
     GOOD {
         @Override
         Answer answer(Context context, Random random) {
-            return usual(random, 1);
+            return drawAnswer(random, 1);
         }
     },
     /** It is as good as the old one once it has warmed up; its first answers take a third longer. */
     GOOD_AFTER_A_START {
         @Override
         Answer answer(Context context, Random random) {
-            return usual(random, 1 + FIRST_ANSWERS_LONGER * Math.exp(-context.answersBefore() / STARTING_ANSWERS));
+            return drawAnswer(random, 1 + WARM_UP_EXTRA_TIME * Math.exp(-context.answersBefore() / WARM_UP_ANSWERS));
         }
     },
     /** It is as good as the old one, but its host stalls for five seconds in each five minutes. */
     GOOD_WITH_STALLS {
         @Override
         Answer answer(Context context, Random random) {
-            boolean stalled = context.now() % BETWEEN_STALLS_MILLIS < STALL_MILLIS;
-            return usual(random, stalled ? STALL_LONGER : 1);
+            boolean stalled = context.elapsedMillis() % STALL_PERIOD_MILLIS < STALL_MILLIS;
+            return drawAnswer(random, stalled ? STALL_SLOWDOWN : 1);
         }
     },
     /** Every answer fails. */
@@ -39,36 +39,36 @@
     SLOWER_1_2 {
         @Override
         Answer answer(Context context, Random random) {
-            return usual(random, 1.2).asFault();
+            return drawAnswer(random, 1.2).asFault();
         }
     },
     /** It takes twice as long. */
     SLOWER_2 {
         @Override
         Answer answer(Context context, Random random) {
-            return usual(random, 2).asFault();
+            return drawAnswer(random, 2).asFault();
         }
     },
     /** It takes five times as long. */
     SLOWER_5 {
         @Override
         Answer answer(Context context, Random random) {
-            return usual(random, 5).asFault();
+            return drawAnswer(random, 5).asFault();
         }
     },
     /** A third of its answers fail, from the middle of the window on. */
     FAILS_LATER {
         @Override
         Answer answer(Context context, Random random) {
-            boolean begun = context.elapsedShare() > 0.5;
-            return begun && random.nextInt(3) == 0 ? Answer.FAULT : usual(random, 1);
+            boolean begun = context.elapsedFraction() > 0.5;
+            return begun && random.nextInt(3) == 0 ? Answer.FAULT : drawAnswer(random, 1);
         }
     },
     /** It takes three times as long once it gets half of the requests or more. */
     SLOW_UNDER_LOAD {
         @Override
         Answer answer(Context context, Random random) {
-            return context.share() >= 0.5 ? usual(random, 3).asFault() : usual(random, 1);
+            return context.trafficShare() >= 0.5 ? drawAnswer(random, 3).asFault() : drawAnswer(random, 1);
         }
     },
     /** A tenth of its answers fail, but only on the second of two routes. */
@@ -76,31 +76,31 @@
         @Override
         Answer answer(Context context, Random random) {
             boolean fails = context.secondRoute() && random.nextInt(10) == 0;
-            return fails ? Answer.FAULT : usual(random, 1);
+            return fails ? Answer.FAULT : drawAnswer(random, 1);
         }
     },
     /** One answer in a hundred is wrong. */
     WRONG_1_IN_100 {
         @Override
         Answer answer(Context context, Random random) {
-            return random.nextInt(100) == 0 ? Answer.FAULT : usual(random, 1);
+            return random.nextInt(100) == 0 ? Answer.FAULT : drawAnswer(random, 1);
         }
     };
 
-    private static final double SPREAD = 0.3;
-    private static final double FIRST_ANSWERS_LONGER = 1 / 3.0;
-    private static final double STARTING_ANSWERS = 100;
+    private static final double LOG_TIME_DEVIATION = 0.3;
+    private static final double WARM_UP_EXTRA_TIME = 1 / 3.0;
+    private static final double WARM_UP_ANSWERS = 100;
     private static final long STALL_MILLIS = 5_000;
-    private static final long BETWEEN_STALLS_MILLIS = 300_000;
-    private static final double STALL_LONGER = 20;
-    private static final int USUAL_FAILURES = 1_000;
+    private static final long STALL_PERIOD_MILLIS = 300_000;
+    private static final double STALL_SLOWDOWN = 20;
+    private static final int ANSWERS_PER_FAILURE = 1_000;
 
     abstract Answer answer(Context context, Random random);
 
     /** Draws an answer that fails once in a thousand times and takes a multiple of the usual time. */
-    static Answer usual(Random random, double slowness) {
-        boolean failed = random.nextInt(USUAL_FAILURES) == 0;
-        return new Answer(failed, false, Math.log(slowness) + random.nextGaussian() * SPREAD);
+    static Answer drawAnswer(Random random, double slowness) {
+        boolean failed = random.nextInt(ANSWERS_PER_FAILURE) == 0;
+        return new Answer(failed, false, Math.log(slowness) + random.nextGaussian() * LOG_TIME_DEVIATION);
     }
 
     boolean isBadOn(boolean secondRoute) {
@@ -126,11 +126,12 @@
     /**
      * Says under which circumstances an answer is given.
      *
-     * @param elapsedShare how much of the window has passed.
-     * @param share the share that the version gets.
+     * @param elapsedFraction how much of the window has passed.
+     * @param trafficShare the share that the version gets.
      * @param secondRoute whether the request came by the second route.
      * @param answersBefore how many answers the version has given before.
-     * @param now how much of the window has passed, in milliseconds.
+     * @param elapsedMillis how much of the window has passed, in milliseconds.
      */
-    record Context(double elapsedShare, double share, boolean secondRoute, long answersBefore, long now) {}
+    record Context(
+            double elapsedFraction, double trafficShare, boolean secondRoute, long answersBefore, long elapsedMillis) {}
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
@@ -12,14 +12,14 @@
  */
 @Command(name = "explore", mixinStandardHelpOptions = true)
 public final class ExploreCommand implements Callable<Integer> {
-    private static final int GREATEST_SIZE = 5;
-    private static final int LEAST_SIZE = 3;
+    private static final int MAXIMUM_REPLICAS = 5;
+    private static final int MINIMUM_REPLICAS = 3;
 
     @Option(names = "--seconds", defaultValue = "60", description = "How long to go on.")
     private long seconds;
 
     @Option(names = "--seed", description = "Run only this seed.")
-    private Long only;
+    private Long onlySeed;
 
     @Option(names = "--faulty-millis", defaultValue = "20000", description = "How long faults strike, in virtual time.")
     private long faultyMillis;
@@ -33,8 +33,9 @@
         long steps = 0;
         long commits = 0;
         while (System.nanoTime() < until) {
-            long seed = only != null ? only : ThreadLocalRandom.current().nextLong();
-            int size = seed % 2 == 0 ? LEAST_SIZE : GREATEST_SIZE;
+            long seed =
+                    onlySeed != null ? onlySeed : ThreadLocalRandom.current().nextLong();
+            int size = seed % 2 == 0 ? MINIMUM_REPLICAS : MAXIMUM_REPLICAS;
             try {
                 ReplicaSchedule.Outcome outcome = new ReplicaSchedule(seed, size, FaultRates.HARSH).run(faultyMillis);
                 schedules++;
@@ -45,7 +46,7 @@
                 failure.printStackTrace(System.out);
                 return 1;
             }
-            if (only != null) {
+            if (onlySeed != null) {
                 break;
             }
         }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
@@ -24,7 +24,7 @@
 
     void write(WriteBatch batch) {
         hardState = batch.hardState().orElse(hardState);
-        batch.snapshot().ifPresent(this::take);
+        batch.snapshot().ifPresent(this::replaceSnapshot);
         for (LogEntry entry : batch.entries()) {
             entries.removeIf(kept -> kept.index() >= entry.index());
             entries.add(entry);
@@ -36,7 +36,7 @@
         return new Recovered(hardState, snapshot, List.copyOf(entries));
     }
 
-    private void take(Snapshot taken) {
+    private void replaceSnapshot(Snapshot taken) {
         boolean continues = entries.stream()
                 .anyMatch(entry -> entry.index() == taken.lastIndex() && entry.term() == taken.lastTerm());
         if (!continues) {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -33,10 +33,10 @@
 public final class ReplicaSchedule implements SimulatedReplica.World {
     private static final long LEASE_MILLIS = 220;
     private static final long TICK_MILLIS = 10;
-    private static final long CLIENT_MILLIS = 15;
-    private static final long FAULT_MILLIS = 200;
-    private static final long STARTS_AT = 10_000;
-    private static final long HEAL_MILLIS = 12_000;
+    private static final long CLIENT_INTERVAL_MILLIS = 15;
+    private static final long FAULT_INTERVAL_MILLIS = 200;
+    private static final long START_MILLIS = 10_000;
+    private static final long RECOVERY_MILLIS = 12_000;
     private static final int POOLS = 4;
     private static final int KEYS = 40;
 
@@ -45,15 +45,15 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, SimulatedReplica> replicas = new TreeMap<>();
     private final SafetyObserver observer = new SafetyObserver();
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final List<TableEdit> sentEdits = new ArrayList<>();
     private final int size;
-    private long now = STARTS_AT;
+    private long now = START_MILLIS;
     private long sequence;
     private long steps;
-    private int identities;
-    private int edits;
-    private boolean faulty = true;
+    private int lastIdentity;
+    private int lastEdit;
+    private boolean faultsActive = true;
 
     /**
      * Prepares a schedule.
@@ -105,20 +105,21 @@
     public Outcome run(long faultyMillis) {
         replicas.values().forEach(SimulatedReplica::start);
         schedule(this::tick, TICK_MILLIS);
-        schedule(this::client, CLIENT_MILLIS);
-        schedule(this::strike, FAULT_MILLIS);
-        advance(STARTS_AT + faultyMillis);
-        heal();
-        long before = observer.commits();
-        advance(now + HEAL_MILLIS);
+        schedule(this::sendClientRequest, CLIENT_INTERVAL_MILLIS);
+        schedule(this::injectFaults, FAULT_INTERVAL_MILLIS);
+        runUntil(START_MILLIS + faultyMillis);
+        endFaults();
+        long before = observer.highestCommitIndex();
+        runUntil(now + RECOVERY_MILLIS);
         checkRecovered(before);
-        return new Outcome(steps, observer.commits(), observer.answers().size(), observer.grants());
+        return new Outcome(
+                steps, observer.highestCommitIndex(), observer.answers().size(), observer.grants());
     }
 
-    private void advance(long until) {
-        while (!events.isEmpty() && events.peek().at() <= until) {
+    private void runUntil(long until) {
+        while (!events.isEmpty() && events.peek().dueAt() <= until) {
             Event event = events.remove();
-            now = Math.max(now, event.at());
+            now = Math.max(now, event.dueAt());
             steps++;
             event.action().run();
         }
@@ -130,8 +131,8 @@
         schedule(this::tick, TICK_MILLIS);
     }
 
-    private void client() {
-        schedule(this::client, CLIENT_MILLIS);
+    private void sendClientRequest() {
+        schedule(this::sendClientRequest, CLIENT_INTERVAL_MILLIS);
         List<SimulatedReplica> running =
                 replicas.values().stream().filter(SimulatedReplica::isRunning).toList();
         if (running.isEmpty()) {
@@ -144,14 +145,14 @@
             }
         }
         if (random.nextBoolean()) {
-            edit(asked);
+            sendEdit(asked);
         } else {
-            claim(asked);
+            sendClaim(asked);
         }
         asked.step();
     }
 
-    private void edit(SimulatedReplica asked) {
+    private void sendEdit(SimulatedReplica asked) {
         boolean resend = !sentEdits.isEmpty() && random.nextInt(4) == 0;
         TableEdit edit = resend ? sentEdits.get(random.nextInt(sentEdits.size())) : newEdit(asked);
         if (!resend) {
@@ -163,7 +164,7 @@
                         end -> {
                             if (end instanceof Proposal.Committed committed
                                     && committed.answer() instanceof ControlAnswer.OfEdit answer) {
-                                observer.edited(edit.changeId(), answer.answer());
+                                observer.recordEditAnswer(edit.changeId(), answer.answer());
                             }
                         },
                         asked.clock());
@@ -172,14 +173,14 @@
     /** Makes an edit that expects what the asked replica knows, so that racing edits expect equal revisions. */
     private TableEdit newEdit(SimulatedReplica asked) {
         String pool = "pool-" + random.nextInt(POOLS);
-        edits++;
-        PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), edits, 1, Map.of());
+        lastEdit++;
+        PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), lastEdit, 1, Map.of());
         var present = asked.replica().state().tables().tables().pools().get(pool);
         long revision = present == null ? 0 : present.revision();
-        return new TableEdit("change-" + edits, List.of(new RowChange.PutPool(row, revision)));
+        return new TableEdit("change-" + lastEdit, List.of(new RowChange.PutPool(row, revision)));
     }
 
-    private void claim(SimulatedReplica asked) {
+    private void sendClaim(SimulatedReplica asked) {
         RequestKey key = new RequestKey("organisation", "key-" + random.nextInt(KEYS));
         ClaimHolder holder = new ClaimHolder("entry-" + random.nextInt(3), 1, random.nextInt(KEYS));
         ControlCommand command = new ControlCommand.Claim(key, "same", holder, now);
@@ -190,42 +191,42 @@
                             if (end instanceof Proposal.Committed committed
                                     && committed.answer() instanceof ControlAnswer.OfClaim answer
                                     && answer.answer() instanceof ClaimAnswer.Granted) {
-                                observer.granted(key.key(), holder);
+                                observer.recordGrant(key.key(), holder);
                             }
                         },
                         asked.clock());
     }
 
-    private void strike() {
-        if (!faulty) {
+    private void injectFaults() {
+        if (!faultsActive) {
             return;
         }
-        schedule(this::strike, FAULT_MILLIS);
+        schedule(this::injectFaults, FAULT_INTERVAL_MILLIS);
         if (random.nextDouble() < rates.crash()) {
             crashOne();
         }
         if (random.nextDouble() < rates.freeze()) {
-            SimulatedReplica frozen = any();
+            SimulatedReplica frozen = randomReplica();
             frozen.freeze();
             schedule(frozen::thaw, 50 + random.nextInt(1_500));
         }
-        if (random.nextDouble() < rates.cut()) {
-            cutOne();
+        if (random.nextDouble() < rates.partition()) {
+            partitionOne();
         }
     }
 
     private void crashOne() {
-        SimulatedReplica crashed = any();
+        SimulatedReplica crashed = randomReplica();
         crashed.crash();
         // Only one disk may be lost at a time: a majority that loses its disks has nothing to recover from.
-        if (random.nextDouble() < rates.diskLoss() && isConfigurationWhole(crashed)) {
-            crashed.loseDisk(crashed.node() + "#" + ++identities);
+        if (random.nextDouble() < rates.diskLoss() && canLoseDisk(crashed)) {
+            crashed.loseDisk(crashed.node() + "#" + ++lastIdentity);
         }
         schedule(crashed::start, 20 + random.nextInt(1_000));
     }
 
     /** Returns whether a majority of the voters would still have their disks, were one more to be lost. */
-    private boolean isConfigurationWhole(SimulatedReplica losing) {
+    private boolean canLoseDisk(SimulatedReplica losing) {
         Configuration latest = latestConfiguration();
         Set<String> present = new TreeSet<>();
         replicas.values().stream()
@@ -251,8 +252,8 @@
         return latest;
     }
 
-    private void cutOne() {
-        String from = any().node();
+    private void partitionOne() {
+        String from = randomReplica().node();
         boolean oneWay = random.nextBoolean();
         List<String> made = new ArrayList<>();
         for (String other : replicas.keySet()) {
@@ -263,25 +264,25 @@
                 }
             }
         }
-        cuts.addAll(made);
-        schedule(() -> cuts.removeAll(made), 100 + random.nextInt(2_500));
+        cutLinks.addAll(made);
+        schedule(() -> cutLinks.removeAll(made), 100 + random.nextInt(2_500));
     }
 
-    private void heal() {
-        faulty = false;
-        cuts.clear();
+    private void endFaults() {
+        faultsActive = false;
+        cutLinks.clear();
         replicas.values().forEach(replica -> {
             while (replica.replica() != null && !replica.isRunning()) {
                 replica.thaw();
             }
             replica.start();
         });
-        repair();
+        replaceBlankReplicasRepeatedly();
     }
 
     /** Does what an operator does after a disk was lost: asks the leader to let the blank replica take its place. */
-    private void repair() {
-        schedule(this::repair, FAULT_MILLIS);
+    private void replaceBlankReplicasRepeatedly() {
+        schedule(this::replaceBlankReplicasRepeatedly, FAULT_INTERVAL_MILLIS);
         for (SimulatedReplica leader : replicas.values()) {
             if (!leader.isRunning() || leader.replica().core().role() != Role.LEADER) {
                 continue;
@@ -301,7 +302,7 @@
     }
 
     private void checkRecovered(long before) {
-        if (observer.commits() <= before) {
+        if (observer.highestCommitIndex() <= before) {
             throw new Violation(Violation.Invariant.NO_PROGRESS, "nothing was committed after the faults had ended");
         }
         List<SimulatedReplica> running = List.copyOf(replicas.values());
@@ -314,7 +315,8 @@
                 }
             });
             for (SimulatedReplica other : running) {
-                observer.checkMatching(replica.replica().core(), other.replica().core());
+                observer.checkLogMatching(
+                        replica.replica().core(), other.replica().core());
             }
         }
         boolean whole = running.stream()
@@ -332,7 +334,7 @@
         }
     }
 
-    private SimulatedReplica any() {
+    private SimulatedReplica randomReplica() {
         List<SimulatedReplica> all = List.copyOf(replicas.values());
         return all.get(random.nextInt(all.size()));
     }
@@ -346,7 +348,7 @@
     /** {@inheritDoc} */
     @Override
     public long writeDelay() {
-        return random.nextInt(rates.longestWriteMillis());
+        return random.nextInt(rates.maximumWriteMillis());
     }
 
     /** {@inheritDoc} */
@@ -358,19 +360,19 @@
     /** {@inheritDoc} */
     @Override
     public void send(SimulatedReplica from, String to, RaftMessage message) {
-        if (faulty && random.nextDouble() < rates.loss()) {
+        if (faultsActive && random.nextDouble() < rates.messageLoss()) {
             return;
         }
-        int copies = faulty && random.nextDouble() < rates.duplication() ? 2 : 1;
+        int copies = faultsActive && random.nextDouble() < rates.messageDuplication() ? 2 : 1;
         String sender = from.identity();
         for (int copy = 0; copy < copies; copy++) {
-            schedule(() -> deliver(from.node(), sender, to, message), random.nextInt(rates.longestDelayMillis()));
+            schedule(() -> deliver(from.node(), sender, to, message), random.nextInt(rates.maximumDelayMillis()));
         }
     }
 
     private void deliver(String fromNode, String sender, String to, RaftMessage message) {
         SimulatedReplica receiver = replicas.get(to.substring(0, 1));
-        boolean cut = cuts.contains(fromNode + receiver.node());
+        boolean cut = cutLinks.contains(fromNode + receiver.node());
         if (!cut && receiver.identity().equals(to)) {
             receiver.receive(sender, message);
         }
@@ -385,17 +387,17 @@
     /** {@inheritDoc} */
     @Override
     public void crashed(SimulatedReplica replica) {
-        repairDuringFaults();
+        scheduleReplacementDuringFaults();
     }
 
     /** Lets operators repair in the middle of faults as well, so that a second loss may follow at once. */
-    private void repairDuringFaults() {
-        if (faulty) {
-            schedule(this::repairOnce, 1 + random.nextInt(1_500));
+    private void scheduleReplacementDuringFaults() {
+        if (faultsActive) {
+            schedule(this::replaceBlankReplicasOnce, 1 + random.nextInt(1_500));
         }
     }
 
-    private void repairOnce() {
+    private void replaceBlankReplicasOnce() {
         for (SimulatedReplica leader : replicas.values()) {
             if (leader.isRunning() && leader.replica().core().role() == Role.LEADER) {
                 ControlReplica control = leader.replica();
@@ -427,15 +429,15 @@
     /**
      * Holds an action that happens at a time.
      *
-     * @param at the time in milliseconds.
+     * @param dueAt the time in milliseconds.
      * @param sequence decides between events of the same time.
      * @param action the action.
      */
-    private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
+    private record Event(long dueAt, long sequence, Runnable action) implements Comparable<Event> {
         /** {@inheritDoc} */
         @Override
         public int compareTo(Event other) {
-            int order = Long.compare(at, other.at);
+            int order = Long.compare(dueAt, other.dueAt);
             return order != 0 ? order : Long.compare(sequence, other.sequence);
         }
     }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -17,15 +17,15 @@
  * Checks after every step what must always hold.
  */
 final class SafetyObserver {
-    private final Map<Long, String> leaders = new HashMap<>();
-    private final Map<Long, LogEntry> committed = new HashMap<>();
+    private final Map<Long, String> leaderByTerm = new HashMap<>();
+    private final Map<Long, LogEntry> committedEntries = new HashMap<>();
     private final Map<String, EditAnswer> answers = new HashMap<>();
-    private final Map<String, ClaimHolder> granted = new HashMap<>();
-    private final Map<String, Long> checkedCommit = new HashMap<>();
+    private final Map<String, ClaimHolder> grantedHolders = new HashMap<>();
+    private final Map<String, Long> checkedCommitIndexes = new HashMap<>();
     private final Set<String> checkedLeaders = new HashSet<>();
-    private final Map<String, Read> reads = new HashMap<>();
+    private final Map<String, PendingRead> pendingReads = new HashMap<>();
     private long acknowledgedRevision;
-    private long greatestCommit;
+    private long highestCommitIndex;
 
     void observe(SimulatedReplica simulated, Collection<SimulatedReplica> all) {
         RaftCore core = simulated.replica().core();
@@ -47,12 +47,13 @@
     /** Lets each leader begin a read now and then, and looks what it would answer once a majority has confirmed it. */
     private void checkConfirmedRead(SimulatedReplica simulated, RaftCore core) {
         if (core.role() != Role.LEADER) {
-            reads.remove(core.self());
+            pendingReads.remove(core.self());
             return;
         }
-        Read read = reads.computeIfAbsent(core.self(), self -> new Read(simulated.clock(), acknowledgedRevision));
-        if (core.confirmedSince(read.clock())) {
-            reads.remove(core.self());
+        PendingRead read = pendingReads.computeIfAbsent(
+                core.self(), self -> new PendingRead(simulated.clock(), acknowledgedRevision));
+        if (core.confirmedSince(read.begunAt())) {
+            pendingReads.remove(core.self());
             long revision = simulated.replica().state().tables().tables().revision();
             if (revision < read.acknowledgedRevision()) {
                 throw new Violation(
@@ -64,22 +65,22 @@
     }
 
     private void checkCommitted(SimulatedReplica simulated, RaftCore core) {
-        String run = core.self();
-        long from = Math.max(core.firstIndex(), checkedCommit.getOrDefault(run, 0L) + 1);
+        String self = core.self();
+        long from = Math.max(core.firstIndex(), checkedCommitIndexes.getOrDefault(self, 0L) + 1);
         for (long index = from; index <= core.commitIndex(); index++) {
             LogEntry entry = core.entry(index);
-            LogEntry known = committed.putIfAbsent(index, entry);
+            LogEntry known = committedEntries.putIfAbsent(index, entry);
             if (known != null && !sameEntry(known, entry)) {
                 throw new Violation(
                         Violation.Invariant.STATE_MACHINE_SAFETY, core.self() + " differs at index " + index);
             }
         }
-        checkedCommit.merge(run, core.commitIndex(), Math::max);
-        greatestCommit = Math.max(greatestCommit, core.commitIndex());
+        checkedCommitIndexes.merge(self, core.commitIndex(), Math::max);
+        highestCommitIndex = Math.max(highestCommitIndex, core.commitIndex());
     }
 
     private void checkLeader(RaftCore core) {
-        String known = leaders.putIfAbsent(core.term(), core.self());
+        String known = leaderByTerm.putIfAbsent(core.term(), core.self());
         if (known != null && !known.equals(core.self())) {
             throw new Violation(
                     Violation.Invariant.ELECTION_SAFETY,
@@ -87,8 +88,8 @@
         }
         if (checkedLeaders.add(core.self() + '/' + core.term())) {
             // Entries of the leader's own term are committed only later, so everything committed now is older.
-            for (long index = core.firstIndex(); index <= greatestCommit; index++) {
-                LogEntry entry = committed.get(index);
+            for (long index = core.firstIndex(); index <= highestCommitIndex; index++) {
+                LogEntry entry = committedEntries.get(index);
                 if (entry != null
                         && entry.term() < core.term()
                         && (index > core.lastIndex() || !sameEntry(core.entry(index), entry))) {
@@ -101,7 +102,7 @@
     }
 
     /** Compares the logs of two replicas where they overlap, from the end backwards. */
-    void checkMatching(RaftCore left, RaftCore right) {
+    void checkLogMatching(RaftCore left, RaftCore right) {
         boolean matched = false;
         long last = Math.min(left.lastIndex(), right.lastIndex());
         for (long index = last; index >= Math.max(left.firstIndex(), right.firstIndex()); index--) {
@@ -115,7 +116,7 @@
         }
     }
 
-    void edited(String changeId, EditAnswer answer) {
+    void recordEditAnswer(String changeId, EditAnswer answer) {
         EditAnswer known = answers.putIfAbsent(changeId, answer);
         if (known != null && !known.equals(answer)) {
             throw new Violation(Violation.Invariant.ANSWER_CHANGED, changeId + ": " + known + " then " + answer);
@@ -125,16 +126,16 @@
         }
     }
 
-    void granted(String key, ClaimHolder holder) {
-        ClaimHolder known = granted.putIfAbsent(key, holder);
+    void recordGrant(String key, ClaimHolder holder) {
+        ClaimHolder known = grantedHolders.putIfAbsent(key, holder);
         if (known != null && !known.equals(holder)) {
-            throw new Violation(Violation.Invariant.CLAIM_DOUBLED, key + ": " + known + " and " + holder);
+            throw new Violation(Violation.Invariant.CLAIM_GRANTED_TWICE, key + ": " + known + " and " + holder);
         }
     }
 
     /** Notes that the holder of a key has released it, so that another one may be granted it. */
-    void released(String key, ClaimHolder holder) {
-        granted.remove(key, holder);
+    void recordRelease(String key, ClaimHolder holder) {
+        grantedHolders.remove(key, holder);
     }
 
     Map<String, EditAnswer> answers() {
@@ -142,11 +143,11 @@
     }
 
     int grants() {
-        return granted.size();
+        return grantedHolders.size();
     }
 
-    long commits() {
-        return greatestCommit;
+    long highestCommitIndex() {
+        return highestCommitIndex;
     }
 
     private static boolean sameEntry(LogEntry left, LogEntry right) {
@@ -163,8 +164,8 @@
     /**
      * Remembers a read that has begun.
      *
-     * @param clock the clock of the replica when it began.
+     * @param begunAt the clock of the replica when it began.
      * @param acknowledgedRevision the revision that was acknowledged by then.
      */
-    private record Read(long clock, long acknowledgedRevision) {}
+    private record PendingRead(long begunAt, long acknowledgedRevision) {}
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -20,34 +20,34 @@
  */
 final class SimulatedReplica {
     private static final int ENTRIES_PER_SNAPSHOT = 40;
-    private static final int MAXIMUM_PENDING = 1_000;
-    private static final int TRAILING = 10;
-    private static final int PART_BYTES = 8_000;
-    private static final double DRIFT = 0.04;
+    private static final int MAXIMUM_PENDING_PROPOSALS = 1_000;
+    private static final int TRAILING_ENTRIES = 10;
+    private static final int SNAPSHOT_PART_BYTES = 8_000;
+    private static final double MAXIMUM_CLOCK_DRIFT = 0.04;
 
     private final World world;
     private final Random random;
     private final String node;
     private final double clockRate;
-    private final RaftOptions raft;
-    private final Deque<Pending> unwritten = new ArrayDeque<>();
+    private final RaftOptions raftOptions;
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
     private String identity;
     private MemoryDisk disk;
     private ControlReplica replica;
-    private int run;
-    private int frozen;
+    private int runNumber;
+    private int freezeCount;
     private long frozenAt;
-    private long stoodStill;
+    private long clockStoppedMillis;
 
     SimulatedReplica(
-            World world, Random random, String node, String identity, Configuration initial, RaftOptions raft) {
-        this.raft = raft;
+            World world, Random random, String node, String identity, Configuration initial, RaftOptions raftOptions) {
+        this.raftOptions = raftOptions;
         this.world = world;
         this.random = random;
         this.node = node;
         this.identity = identity;
         this.disk = new MemoryDisk(initial);
-        this.clockRate = 1 - DRIFT + 2 * DRIFT * random.nextDouble();
+        this.clockRate = 1 - MAXIMUM_CLOCK_DRIFT + 2 * MAXIMUM_CLOCK_DRIFT * random.nextDouble();
     }
 
     String node() {
@@ -64,7 +64,7 @@
     }
 
     boolean isRunning() {
-        return replica != null && frozen == 0;
+        return replica != null && freezeCount == 0;
     }
 
     /**
@@ -72,20 +72,21 @@
      * a suspended machine does.
      */
     long clock() {
-        return (long) ((world.now() - stoodStill) * clockRate);
+        return (long) ((world.now() - clockStoppedMillis) * clockRate);
     }
 
     void start() {
         if (replica != null) {
             return;
         }
-        run++;
+        runNumber++;
         replica = new ControlReplica(
-                new ControlReplica.Options(raft, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING),
+                new ControlReplica.Options(
+                        raftOptions, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING_PROPOSALS),
                 identity,
                 disk.recover(),
                 new ControlReplica.Surroundings(
-                        (to, message) -> world.send(this, to, message), new Writer(), state -> {}, random),
+                        (to, message) -> world.send(this, to, message), new DelayedWriter(), state -> {}, random),
                 clock());
         step();
     }
@@ -95,13 +96,13 @@
         if (replica == null) {
             return;
         }
-        int survivors = unwritten.isEmpty() ? 0 : random.nextInt(unwritten.size() + 1);
+        int survivors = pendingWrites.isEmpty() ? 0 : random.nextInt(pendingWrites.size() + 1);
         for (int index = 0; index < survivors; index++) {
-            disk.write(unwritten.removeFirst().batch());
+            disk.write(pendingWrites.removeFirst().batch());
         }
-        unwritten.clear();
+        pendingWrites.clear();
         replica = null;
-        frozen = 0;
+        freezeCount = 0;
         world.crashed(this);
     }
 
@@ -114,19 +115,19 @@
 
     /** Returns the options of a replica that answers reads under a lease of some milliseconds, or of none. */
     static RaftOptions options(long leaseMillis) {
-        return new RaftOptions(50, 300, leaseMillis, 16, PART_BYTES, TRAILING);
+        return new RaftOptions(50, 300, leaseMillis, 16, SNAPSHOT_PART_BYTES, TRAILING_ENTRIES);
     }
 
     void freeze() {
-        frozenAt = frozen == 0 ? world.now() : frozenAt;
-        frozen++;
+        frozenAt = freezeCount == 0 ? world.now() : frozenAt;
+        freezeCount++;
     }
 
     void thaw() {
-        boolean wakes = frozen == 1;
-        frozen = Math.max(0, frozen - 1);
-        if (wakes && raft.leaseMillis() == 0) {
-            stoodStill += world.now() - frozenAt;
+        boolean wakes = freezeCount == 1;
+        freezeCount = Math.max(0, freezeCount - 1);
+        if (wakes && raftOptions.leaseMillis() == 0) {
+            clockStoppedMillis += world.now() - frozenAt;
         }
     }
 
@@ -150,14 +151,14 @@
     }
 
     private void finishWrite(int ofRun) {
-        if (replica == null || ofRun != run || unwritten.isEmpty()) {
+        if (replica == null || ofRun != runNumber || pendingWrites.isEmpty()) {
             return;
         }
-        if (frozen > 0) {
+        if (freezeCount > 0) {
             world.schedule(() -> finishWrite(ofRun), 1);
             return;
         }
-        Pending pending = unwritten.removeFirst();
+        PendingWrite pending = pendingWrites.removeFirst();
         disk.write(pending.batch());
         pending.written().accept(clock());
         step();
@@ -169,27 +170,27 @@
      * @param batch the batch.
      * @param written what waits for it.
      */
-    private record Pending(WriteBatch batch, LongConsumer written) {}
+    private record PendingWrite(WriteBatch batch, LongConsumer written) {}
 
     /**
      * Writes batches after a random time, in order.
      */
-    private final class Writer implements ControlReplica.Writer {
+    private final class DelayedWriter implements ControlReplica.Writer {
         /** {@inheritDoc} */
         @Override
         public void write(WriteBatch batch, LongConsumer written) {
-            unwritten.addLast(new Pending(batch, written));
-            int ofRun = run;
+            pendingWrites.addLast(new PendingWrite(batch, written));
+            int ofRun = runNumber;
             world.schedule(() -> finishWrite(ofRun), world.writeDelay());
         }
 
         /** {@inheritDoc} */
         @Override
         public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
-            int ofRun = run;
+            int ofRun = runNumber;
             world.schedule(
                     () -> {
-                        if (replica != null && ofRun == run) {
+                        if (replica != null && ofRun == runNumber) {
                             staged.accept(making.get());
                             step();
                         }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
@@ -29,7 +29,7 @@
         /** A leader that answers reads knows every edit acknowledged before. */
         STALE_READ,
         /** A request is granted to one attempt at most. */
-        CLAIM_DOUBLED,
+        CLAIM_GRANTED_TWICE,
         /** After the faults have ended, the replicas work again. */
         NO_PROGRESS
     }
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -52,11 +52,11 @@
     /** The header whose presence makes the upstream crash. */
     public static final String CRASH = "Stand-In-Crash";
 
-    private static final int GREATEST_BODY = 16 << 20;
-    private static final int CRASH_CODE = 42;
+    private static final int MAXIMUM_BODY_BYTES = 16 << 20;
+    private static final int CRASH_EXIT_CODE = 42;
 
     /** An engine without a pace hands out so many tokens in one piece; one write for each would take longer than all else. */
-    private static final int TOKENS_AT_ONCE = 64;
+    private static final int TOKENS_PER_CHUNK = 64;
 
     private final Kind kind;
     private final long tokenMicros;
@@ -65,7 +65,7 @@
     private final Writer log;
     private final AtomicBoolean draining = new AtomicBoolean();
     private final AtomicBoolean failing = new AtomicBoolean();
-    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger runningRequests = new AtomicInteger();
 
     /**
      * Starts to listen on the loopback address.
@@ -91,8 +91,8 @@
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(GREATEST_BODY))
-                                .addLast(new Connection());
+                                .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
+                                .addLast(new RequestHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -182,52 +182,52 @@
     /**
      * Serves one connection.
      */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String body = request.content().toString(StandardCharsets.UTF_8);
             if (draining.get()) {
-                refuse(context);
+                sendDrainingRefusal(context);
                 return;
             }
             String name = request.headers().get(NAME, "-");
             record("start " + name + ' ' + request.headers().get(UpstreamHeaders.REQUEST, "-"));
             if (request.headers().contains(CRASH)) {
-                Runtime.getRuntime().halt(CRASH_CODE);
+                Runtime.getRuntime().halt(CRASH_EXIT_CODE);
             }
             if (failing.get()) {
-                fail(context);
+                sendFailure(context);
                 return;
             }
             int tokens = request.headers().getInt(TOKENS, 1);
             if (kind == Kind.SERVICE) {
                 long delay = tokenMicros;
-                context.executor().schedule(() -> answer(context, name, body), delay, TimeUnit.MICROSECONDS);
+                context.executor().schedule(() -> sendServiceAnswer(context, name, body), delay, TimeUnit.MICROSECONDS);
             } else {
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
                 HttpUtil.setTransferEncodingChunked(head, true);
-                head.headers().setInt(UpstreamHeaders.LOAD_RUNNING, running.incrementAndGet());
+                head.headers().setInt(UpstreamHeaders.LOAD_RUNNING, runningRequests.incrementAndGet());
                 head.headers().setInt(UpstreamHeaders.LOAD_WAITING, 0);
                 context.write(head);
-                stream(context, name, body, 0, tokens);
+                streamTokens(context, name, body, 0, tokens);
             }
         }
 
-        private void stream(ChannelHandlerContext context, String name, String body, int index, int tokens) {
+        private void streamTokens(ChannelHandlerContext context, String name, String body, int index, int tokens) {
             if (!context.channel().isActive()) {
-                running.decrementAndGet();
+                runningRequests.decrementAndGet();
                 record("cancelled " + name);
                 return;
             }
             if (index == tokens) {
-                running.decrementAndGet();
+                runningRequests.decrementAndGet();
                 record("end " + name);
                 context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
                 return;
             }
-            int until = Math.min(tokens, index + (tokenMicros == 0 ? TOKENS_AT_ONCE : 1));
+            int until = Math.min(tokens, index + (tokenMicros == 0 ? TOKENS_PER_CHUNK : 1));
             StringBuilder text = new StringBuilder();
             for (int token = index; token < until; token++) {
                 text.append(token(body, token));
@@ -235,15 +235,15 @@
             var content = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             context.writeAndFlush(new DefaultHttpContent(content)).addListener(written -> {
                 if (written.isSuccess()) {
-                    next(context, () -> stream(context, name, body, until, tokens));
+                    runAfterTokenTime(context, () -> streamTokens(context, name, body, until, tokens));
                 } else {
-                    running.decrementAndGet();
+                    runningRequests.decrementAndGet();
                     record("cancelled " + name);
                 }
             });
         }
 
-        private void next(ChannelHandlerContext context, Runnable action) {
+        private void runAfterTokenTime(ChannelHandlerContext context, Runnable action) {
             if (tokenMicros == 0) {
                 context.executor().execute(action);
             } else {
@@ -251,7 +251,7 @@
             }
         }
 
-        private void answer(ChannelHandlerContext context, String name, String body) {
+        private void sendServiceAnswer(ChannelHandlerContext context, String name, String body) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
@@ -263,14 +263,14 @@
             context.writeAndFlush(response);
         }
 
-        private void fail(ChannelHandlerContext context) {
+        private void sendFailure(ChannelHandlerContext context) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.INTERNAL_SERVER_ERROR);
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
             context.writeAndFlush(response);
         }
 
-        private void refuse(ChannelHandlerContext context) {
+        private void sendDrainingRefusal(ChannelHandlerContext context) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
             response.headers().set(UpstreamHeaders.ADMISSION, UpstreamHeaders.ADMISSION_DRAINING);
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
@@ -21,7 +21,7 @@
     private long tokenMicros;
 
     @Option(names = "--log", required = true, description = "The file that gets a line for each request that ran.")
-    private Path log;
+    private Path logFile;
 
     @Option(names = "--failing", description = "Answer every request with a failure, as a bad version.")
     private boolean failing;
@@ -29,7 +29,7 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws InterruptedException {
-        try (StandInUpstream upstream = new StandInUpstream(port, kind, tokenMicros, log)) {
+        try (StandInUpstream upstream = new StandInUpstream(port, kind, tokenMicros, logFile)) {
             upstream.failing(failing);
             upstream.awaitClosed();
         }
