--- a/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
@@ -15,7 +15,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Sends a few requests of each kind through every node and prints what comes back and what was served where.
+ * Sends engine and service requests through every node, checks the answers, and prints them with the number of answers
+ * from each upstream.
  */
 @Command(name = "demo", mixinStandardHelpOptions = true)
 final class DemoCommand implements Callable<Integer> {
@@ -24,7 +25,11 @@
     private static final int OK = 200;
     private static final int PRINTED_CHARACTERS = 40;
 
-    @Option(names = "--callers", required = true, split = ",", description = "The caller addresses of the nodes.")
+    @Option(
+            names = "--callers",
+            required = true,
+            split = ",",
+            description = "The addresses on which the nodes accept requests.")
     private List<String> callerAddresses;
 
     private final HttpClient client = HttpClient.newHttpClient();
@@ -33,19 +38,20 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws IOException, InterruptedException {
-        boolean whole = true;
+        boolean allCorrect = true;
         for (String caller : callerAddresses) {
-            whole &= sendBriefings(caller);
-            whole &= sendHaulReportTwice(caller);
+            allCorrect &= sendBriefings(caller);
+            allCorrect &= sendHaulReportTwice(caller);
         }
         System.out.println();
-        System.out.println("served (node, upstream): ");
-        answersByNodeAndUpstream.forEach((where, count) -> System.out.printf("  %-40s %d%n", where, count));
-        return whole ? 0 : 1;
+        System.out.println("answers by node and upstream:");
+        answersByNodeAndUpstream.forEach(
+                (nodeAndUpstream, count) -> System.out.printf("  %-40s %d%n", nodeAndUpstream, count));
+        return allCorrect ? 0 : 1;
     }
 
     private boolean sendBriefings(String caller) throws IOException, InterruptedException {
-        boolean whole = true;
+        boolean allCorrect = true;
         for (int number = 0; number < REQUESTS_PER_NODE; number++) {
             String body = "briefing " + number + " for " + caller;
             StringBuilder expected = new StringBuilder();
@@ -53,12 +59,12 @@
                 expected.append(StandInUpstream.token(body, token));
             }
             HttpResponse<String> answer = send(caller, "/briefing", body, "");
-            whole &= answer.statusCode() == OK && answer.body().equals(expected.toString());
+            allCorrect &= answer.statusCode() == OK && answer.body().equals(expected.toString());
         }
-        return whole;
+        return allCorrect;
     }
 
-    /** Sends one report twice, as a caller does that has lost the first answer. */
+    /** Sends one request twice with the same idempotency key, as a caller does that lost the first answer. */
     private boolean sendHaulReportTwice(String caller) throws IOException, InterruptedException {
         String body = "haul report through " + caller;
         String key = "haul-" + caller;
--- a/testkit/src/main/java/org/radishspur/testkit/TestkitMain.java
+++ b/testkit/src/main/java/org/radishspur/testkit/TestkitMain.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs the programs of the test kit.
+ * Runs the command line of the test kit.
  */
 @Command(
         name = "testkit",
@@ -28,9 +28,9 @@
     private TestkitMain() {}
 
     /**
-     * Runs a program and ends the process with its exit code.
+     * Runs the subcommand that the arguments name and exits with its code.
      *
-     * @param arguments the arguments.
+     * @param arguments the subcommand and its options.
      */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new TestkitMain()).execute(arguments));
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
@@ -31,7 +31,7 @@
 import org.radishspur.testkit.upstream.StandInUpstream;
 
 /**
- * Calls an address in closed loops over a number of connections.
+ * Generates load over several connections, each of which waits for an answer before it sends its next request.
  */
 public final class LoadClient implements AutoCloseable {
     private static final int THREADS = 2;
@@ -39,11 +39,11 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
 
     /**
-     * Makes all calls of a plan and waits for their ends.
+     * Sends all requests of a plan and waits until every connection is closed.
      *
      * @param address the address to call.
-     * @param plan what to call and how often.
-     * @return the times.
+     * @param plan the path to call and the number of requests.
+     * @return the latencies and the failures.
      * @throws InterruptedException if the waiting thread is interrupted.
      */
     public LoadResult run(String address, Plan plan) throws InterruptedException {
@@ -85,18 +85,18 @@
     }
 
     /**
-     * Says what to call.
+     * Describes one run of requests.
      *
-     * @param path the path.
+     * @param path the path to call.
      * @param connections the number of connections.
-     * @param requests the number of calls over all connections.
-     * @param tokens the number of tokens to ask for.
-     * @param idempotencyKeys whether to send an idempotency key.
+     * @param requests the number of requests over all connections.
+     * @param tokens the number of tokens to ask for in each answer.
+     * @param idempotencyKeys whether each request has an idempotency key of its own.
      */
     public record Plan(String path, int connections, int requests, int tokens, boolean idempotencyKeys) {}
 
     /**
-     * Makes calls over one connection until none is remainingRequests.
+     * Sends requests over one connection until none remains.
      */
     private static final class RequestLoop extends SimpleChannelInboundHandler<HttpObject> {
         private final String address;
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
@@ -7,26 +7,29 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures calls against an address, optionally in turn with calls against another one.
+ * Measures the latency of calls to an address, optionally against that of a baseline address called in alternation.
  */
 @Command(name = "load", mixinStandardHelpOptions = true)
 public final class LoadCommand implements Callable<Integer> {
     @Option(names = "--target", required = true, description = "The address to call.")
     private String target;
 
-    @Option(names = "--baseline", description = "An address to call in turn with the target.")
+    @Option(names = "--baseline", description = "An address to call in alternation with the target, for comparison.")
     private String baseline;
 
     @Option(names = "--path", defaultValue = "/", description = "The path to call.")
     private String path;
 
-    @Option(names = "--connections", defaultValue = "1", description = "Connections that each call in a closed loop.")
+    @Option(
+            names = "--connections",
+            defaultValue = "1",
+            description = "Connections; each waits for an answer before its next call.")
     private int connections;
 
     @Option(names = "--requests", defaultValue = "2000", description = "Calls in each round.")
     private int requests;
 
-    @Option(names = "--rounds", defaultValue = "5", description = "Rounds, the first of which is not counted.")
+    @Option(names = "--rounds", defaultValue = "5", description = "Rounds; the first one warms up and is not counted.")
     private int rounds;
 
     @Option(names = "--tokens", defaultValue = "1", description = "Tokens to ask for in each answer.")
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadResult.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadResult.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Collects the times of calls.
+ * Collects the latencies and failures of calls, and the time that they took together.
  */
 public final class LoadResult {
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the number of calls that had no answer of status 200.
+     * Returns the number of calls without an answer of status 200.
      *
      * @return the number.
      */
--- a/testkit/src/main/java/org/radishspur/testkit/load/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Sends load and measures what comes back.
+ * Generates load and measures the latency of the answers.
  */
 package org.radishspur.testkit.load;
--- a/testkit/src/main/java/org/radishspur/testkit/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Holds stand-ins for upstreams, a load command and experiments. Nothing of it is shipped.
+ * Contains stand-in upstreams, load generation, fault schedules, experiments and measurements. None of it is shipped.
  */
 package org.radishspur.testkit;
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -39,23 +39,23 @@
 import org.radishspur.node.upstream.UpstreamHeaders;
 
 /**
- * Answers as a model engine or a plain service would, and logs each request that it ran. What it answers follows from
- * the request alone, so that a test can tell whether a caller got the whole answer to its own request.
+ * Stands in for a model engine or a plain service, and logs each request that it runs. The answer depends only on the
+ * request, so that a test can check that a caller received the complete answer to its own request.
  */
 public final class StandInUpstream implements AutoCloseable {
-    /** The header that says how many tokens the answer is to have. */
+    /** The request header with the number of tokens in the answer; 1 if it is missing. */
     public static final String TOKENS = "Stand-In-Tokens";
 
-    /** The header that names the request in the log. */
+    /** The request header with the name under which the request is logged. */
     public static final String NAME = "Stand-In-Name";
 
-    /** The header whose presence makes the upstream crash. */
+    /** The request header whose presence ends the process without cleanup, as a crash does. */
     public static final String CRASH = "Stand-In-Crash";
 
     private static final int MAXIMUM_BODY_BYTES = 16 << 20;
     private static final int CRASH_EXIT_CODE = 42;
 
-    /** An engine without a pace hands out so many tokens in one piece; one write for each would take longer than all else. */
+    /** Tokens in each write of an engine without a token time; one write for each token would dominate the run time. */
     private static final int TOKENS_PER_CHUNK = 64;
 
     private final Kind kind;
@@ -68,12 +68,13 @@
     private final AtomicInteger runningRequests = new AtomicInteger();
 
     /**
-     * Starts to listen on the loopback address.
+     * Starts to listen on the loopback address and opens the log file.
      *
      * @param port the port, or 0 to let the system choose one.
-     * @param kind what to stand in for.
-     * @param tokenMicros the time for each token of an answer.
-     * @param logFile the file that gets a line for each request that ran.
+     * @param kind the kind of upstream.
+     * @param tokenMicros the time for each token of an engine's answer, or for the whole answer of a service, in
+     *     microseconds; 0 for no delay.
+     * @param logFile the file to which a line is appended when a request starts, ends or is cancelled.
      */
     public StandInUpstream(int port, Kind kind, long tokenMicros, Path logFile) {
         this.kind = kind;
@@ -101,36 +102,36 @@
     }
 
     /**
-     * Makes the text of one token.
+     * Returns the server-sent event that carries one token.
      *
      * @param body the body of the request.
-     * @param index the number of the token.
-     * @return the event that carries the token.
+     * @param index the position of the token in the answer, from 0.
+     * @return the event.
      */
     public static String token(String body, int index) {
         return "data: " + Integer.toHexString(body.hashCode() * 31 + index) + "\n\n";
     }
 
     /**
-     * Makes the whole answer of a service.
+     * Returns the complete answer of a service.
      *
      * @param body the body of the request.
-     * @return the answer.
+     * @return the answer, as JSON.
      */
     public static String serviceAnswer(String body) {
         return "{\"recorded\":\"" + Integer.toHexString(body.hashCode()) + "\"}";
     }
 
     /**
-     * Fails every request from now on, or none.
+     * Sets whether requests fail with status 500 from now on.
      *
-     * @param fails whether to fail.
+     * @param fails whether requests fail.
      */
     public void failing(boolean fails) {
         failing.set(fails);
     }
 
-    /** Refuses further requests, as an engine that is leaving. */
+    /** Refuses further requests with status 503, as an engine does that drains before it stops. */
     public void drain() {
         draining.set(true);
     }
@@ -138,7 +139,7 @@
     /**
      * Returns the address that the upstream listens on.
      *
-     * @return the address.
+     * @return the IP address and the port.
      */
     public String address() {
         return "127.0.0.1:" + ((java.net.InetSocketAddress) channel.localAddress()).getPort();
@@ -170,17 +171,17 @@
     }
 
     /**
-     * Names what can be stood in for.
+     * Names the kinds of upstream.
      */
     public enum Kind {
         /** A model engine, which streams tokens. */
         ENGINE,
-        /** A plain service, which answers at once. */
+        /** A plain service, which sends its whole answer at once. */
         SERVICE
     }
 
     /**
-     * Serves one connection.
+     * Answers the requests of one connection.
      */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
@@ -17,13 +17,16 @@
     @Option(names = "--kind", defaultValue = "ENGINE", description = "ENGINE or SERVICE.")
     private StandInUpstream.Kind kind;
 
-    @Option(names = "--token-micros", defaultValue = "2000", description = "The time for each token.")
+    @Option(names = "--token-micros", defaultValue = "2000", description = "The time for each token, in microseconds.")
     private long tokenMicros;
 
-    @Option(names = "--log", required = true, description = "The file that gets a line for each request that ran.")
+    @Option(
+            names = "--log",
+            required = true,
+            description = "The file to which a line is appended when a request starts, ends or is cancelled.")
     private Path logFile;
 
-    @Option(names = "--failing", description = "Answer every request with a failure, as a bad version.")
+    @Option(names = "--failing", description = "Answer every request with status 500, as a faulty version does.")
     private boolean failing;
 
     /** {@inheritDoc} */
