--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
@@ -1,15 +1,15 @@
 package org.radishspur.testkit.move;
 
 /**
- * Tells how one move ended.
+ * Describes how one simulated move ended.
  *
  * @param badVersion whether the version was bad on this route.
- * @param completedInTime whether the move was complete at the time asked for.
- * @param takenBack whether the version was taken back by the end of the watch.
- * @param requests how many requests the route had while the move was open.
- * @param toNew how many of them the new version got.
- * @param afterFirstFault how many of them it got later than two seconds after its fault first showed.
- * @param takeBackMillis how long after the start the version was taken back.
+ * @param completedInTime whether the move completed within its window.
+ * @param takenBack whether the version was taken back before the watch ended.
+ * @param requests how many requests the route had during the move.
+ * @param toNew how many of them the new version received.
+ * @param afterFirstFault how many of them it received later than two seconds after its first fault.
+ * @param takeBackMillis how long after the start the version was taken back, or the move ended otherwise.
  */
 record MoveOutcome(
         boolean badVersion,
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
@@ -10,7 +10,7 @@
 import org.radishspur.decision.move.VersionWatch;
 
 /**
- * Runs one move of one route in virtual time.
+ * Simulates one move of one route to a new version, in virtual time.
  */
 final class MoveTrial {
     private static final long WINDOW_MILLIS = 60L * 60 * 1000;
@@ -35,7 +35,10 @@
         this.random = new Random(seed);
     }
 
-    /** Runs the move as the product drives it: the watch halts at once, the state changes when it is committed. */
+    /**
+     * Runs the move by the product's policy. Once the watch has a verdict, the new version receives no further requests;
+     * a change of state is dated by its commit.
+     */
     MoveOutcome run() {
         Move move = Move.begin(1, "route", "old", "new", 0, WINDOW_MILLIS);
         VersionWatch watch = new VersionWatch();
@@ -95,31 +98,31 @@
         return answer;
     }
 
-    /** Runs the move as a canary of fixed steps with fixed thresholds would. */
+    /** Runs the move as a canary with fixed steps and fixed thresholds. */
     MoveOutcome runFixedCanary() {
         double[] shares = {0.05, 0.25, 0.5, 1};
-        double greatestFailures = 0.05;
-        double greatestSlowness = Math.log(1.5);
+        double maximumFailureShare = 0.05;
+        double maximumLogSlowness = Math.log(1.5);
         long step = WINDOW_MILLIS / (shares.length + 1);
         long now = 0;
         for (double share : shares) {
             long until = now + step;
             long answers = 0;
             long failures = 0;
-            double slowness = 0;
+            double logSlownessSum = 0;
             for (now += drawGapMillis(); now < until; now += drawGapMillis()) {
                 requests++;
                 if (random.nextDouble() < share) {
                     VersionKind.Answer answer = drawNewVersionAnswer(share, now);
                     answers++;
                     failures += answer.failed() ? 1 : 0;
-                    slowness += answer.failed() ? 0 : answer.logSlowness();
+                    logSlownessSum += answer.failed() ? 0 : answer.logSlowness();
                 }
             }
             now = until;
             boolean bad = answers > 0
-                    && (failures > greatestFailures * answers
-                            || slowness / Math.max(1, answers - failures) > greatestSlowness);
+                    && (failures > maximumFailureShare * answers
+                            || logSlownessSum / Math.max(1, answers - failures) > maximumLogSlowness);
             if (bad) {
                 return new MoveOutcome(kind.isBadOn(secondRoute), false, true, requests, toNew, afterFirstFault, now);
             }
--- a/testkit/src/main/java/org/radishspur/testkit/move/VersionKind.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/VersionKind.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 
 /**
- * Names how a new version turns out.
+ * Names the kinds of new version, by how their answers compare with those of the old version.
  */
 enum VersionKind {
     /** It is as good as the old one. */
@@ -64,7 +64,7 @@
             return begun && random.nextInt(3) == 0 ? Answer.FAULT : drawAnswer(random, 1);
         }
     },
-    /** It takes three times as long once it gets half of the requests or more. */
+    /** It takes three times as long once it receives half of the requests or more. */
     SLOW_UNDER_LOAD {
         @Override
         Answer answer(Context context, Random random) {
@@ -97,10 +97,10 @@
 
     abstract Answer answer(Context context, Random random);
 
-    /** Draws an answer that fails once in a thousand times and takes a multiple of the usual time. */
-    static Answer drawAnswer(Random random, double slowness) {
+    /** Draws an answer that takes a multiple of the usual time and fails once in a thousand times. */
+    static Answer drawAnswer(Random random, double slowdown) {
         boolean failed = random.nextInt(ANSWERS_PER_FAILURE) == 0;
-        return new Answer(failed, false, Math.log(slowness) + random.nextGaussian() * LOG_TIME_DEVIATION);
+        return new Answer(failed, false, Math.log(slowdown) + random.nextGaussian() * LOG_TIME_DEVIATION);
     }
 
     boolean isBadOn(boolean secondRoute) {
@@ -109,11 +109,11 @@
     }
 
     /**
-     * Holds one answer.
+     * Describes one answer of a version.
      *
      * @param failed whether it failed.
-     * @param fault whether it shows the fault of its version.
-     * @param logSlowness the logarithm of its time against the usual one.
+     * @param fault whether the fault of its version affects it.
+     * @param logSlowness the natural logarithm of its time divided by the usual time.
      */
     record Answer(boolean failed, boolean fault, double logSlowness) {
         static final Answer FAULT = new Answer(true, true, 0);
@@ -124,13 +124,13 @@
     }
 
     /**
-     * Says under which circumstances an answer is given.
+     * Describes the circumstances of an answer.
      *
-     * @param elapsedFraction how much of the window has passed.
-     * @param trafficShare the share that the version gets.
-     * @param secondRoute whether the request came by the second route.
+     * @param elapsedFraction the share of the window that has passed, 0 to 1.
+     * @param trafficShare the share of the requests that the version receives, 0 to 1.
+     * @param secondRoute whether the request came over the second route.
      * @param answersBefore how many answers the version has given before.
-     * @param elapsedMillis how much of the window has passed, in milliseconds.
+     * @param elapsedMillis the time since the start of the window, in milliseconds.
      */
     record Context(
             double elapsedFraction, double trafficShare, boolean secondRoute, long answersBefore, long elapsedMillis) {}
--- a/testkit/src/main/java/org/radishspur/testkit/move/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Runs moves to versions of every kind in virtual time, and compares them with a canary of fixed steps.
+ * Simulates moves to versions of every kind in virtual time, and compares them with a canary of fixed steps.
  */
 package org.radishspur.testkit.move;
