--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Groups the measurements.
+ * Groups the subcommands that measure time, memory and message sizes.
  */
 @Command(
         name = "measure",
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
@@ -23,7 +23,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures how long one return, one grant and one arrival take together, in a full queue.
+ * Measures how long the scheduler takes for one finished request, one arrival and the grants that follow, with requests
+ * in the queue.
  */
 @Command(name = "decisions", mixinStandardHelpOptions = true)
 final class MeasureDecisions implements Callable<Integer> {
@@ -79,7 +80,7 @@
         }
         System.out.printf(
                 Locale.ROOT,
-                "upstreams=%d waiting=%d: p50 %.1f us, p99 %.1f us a return, arrival and grant; %d bytes a waiting"
+                "upstreams=%d waiting=%d: p50 %.1f us, p99 %.1f us per finish, arrival and grant; %d bytes per waiting"
                         + " request%n",
                 upstreams,
                 waiting,
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureEdits.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureEdits.java
@@ -23,11 +23,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures the time from sending an edit to its answer, and until it is in force on every node.
+ * Measures the time from sending an edit until it is answered, and until it is in force on every node.
  */
 @Command(name = "edits", mixinStandardHelpOptions = true)
 final class MeasureEdits implements Callable<Integer> {
-    @Option(names = "--admins", required = true, split = ",", description = "The admin addresses of all nodes.")
+    @Option(
+            names = "--admins",
+            required = true,
+            split = ",",
+            description = "The administration addresses of all nodes.")
     private List<String> adminAddresses;
 
     @Option(names = "--token-file", required = true, description = "The file with the administration token.")
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures the size of each message between nodes and the time to encode and decode it.
+ * Measures the size of messages between nodes, and the time to encode and decode them.
  */
 @Command(name = "frames", mixinStandardHelpOptions = true)
 final class MeasureFrames implements Callable<Integer> {
@@ -39,17 +39,17 @@
                 new PeerMessage.Heartbeat(new PeerMessage.NodeStatus(
                         "entry-101", 1_764_720_000_000L, "domain-1", true, false, 29_000, 7, 12, 3, "")));
         measure(
-                "heartbeat reply without news",
+                "heartbeat reply without changes",
                 new PeerMessage.HeartbeatReply(
                         true, Optional.empty(), Optional.empty(), 3, Map.of(), Map.of(), Set.of()));
         measure(
-                "heartbeat reply with a view of 370",
+                "heartbeat reply with a view of 370 nodes",
                 new PeerMessage.HeartbeatReply(
                         true, Optional.of(clusterView()), Optional.empty(), 3, Map.of(), Map.of(), Set.of()));
         measure("raft heartbeat", new PeerMessage.Raft("control-1#founder", "control-2#founder", appendRequest(0)));
         measure("raft append of 1 claim", new PeerMessage.Raft("control-1#founder", "b#founder", appendRequest(1)));
         measure(
-                "permit ask",
+                "permit request",
                 new PeerMessage.PermitAsk(
                         "engines",
                         id,
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures the log on the disk of this machine: one sync for each claim, group commit, and recovery.
+ * Measures the log on a local disk: one sync for each claim, group commit, and recovery.
  */
 @Command(name = "log", mixinStandardHelpOptions = true)
 final class MeasureLog implements Callable<Integer> {
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures what a claim and an edit cost in the state machine: time, heap and snapshot.
+ * Measures what claims and edits cost in the state machine: time, heap and snapshot size.
  */
 @Command(name = "state", mixinStandardHelpOptions = true)
 final class MeasureState implements Callable<Integer> {
@@ -65,7 +65,7 @@
         printResults("edits over 500 rows", edits, samples, heap, state);
     }
 
-    private static void printResults(String what, int count, Samples samples, long heap, ControlState state) {
+    private static void printResults(String label, int count, Samples samples, long heap, ControlState state) {
         long beganAt = System.nanoTime();
         ControlState.Image image = state.image();
         long copiedAt = System.nanoTime();
@@ -78,7 +78,7 @@
                 "%d %s: apply p50 %.1f us, %d bytes of heap each; snapshot of %d bytes copied in %.1f ms,"
                         + " encoded in %.0f ms, restored in %.0f ms%n",
                 count,
-                what,
+                label,
                 samples.medianMicros(),
                 heap,
                 encoded.length,
--- a/testkit/src/main/java/org/radishspur/testkit/measure/Samples.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/Samples.java
@@ -3,7 +3,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Collects times in nanoseconds and tells their middle and their end.
+ * Collects durations in nanoseconds and returns their percentiles.
  */
 final class Samples {
     private static final int SIGNIFICANT_DIGITS = 3;
--- a/testkit/src/main/java/org/radishspur/testkit/measure/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Measures the slopes from which docs/CAPACITY.md works out the costs at the users' target.
+ * Measures how costs grow with the number of nodes, requests and edits; docs/CAPACITY.md extrapolates from these
+ * measurements to the users' target.
  */
 package org.radishspur.testkit.measure;
