--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
@@ -11,14 +11,14 @@
  *
  * @param number the number of the request.
  * @param arrivesAt when it arrives, in microseconds.
- * @param tier its urgency.
- * @param organisation who sends it.
- * @param prefixBlocks how many blocks its prompt shares with others of the same organisation and topic.
- * @param topic which of the organisation's prompts it begins with.
- * @param ownBlocks how many blocks its prompt has for itself.
- * @param outputTokens the true length of its answer.
- * @param announcedTokens the length that its caller announces.
- * @param deadlineAt when its answer loses its value.
+ * @param tier its tier.
+ * @param organisation the organisation that sends it.
+ * @param prefixBlocks how many blocks at the start of its prompt are shared by requests of the same organisation and topic.
+ * @param topic which of the organisation's shared prompt prefixes it begins with.
+ * @param ownBlocks how many blocks of its prompt no other request has.
+ * @param outputTokens the actual number of tokens in its answer.
+ * @param announcedTokens the number of answer tokens that its caller announces.
+ * @param deadlineAt when it is cancelled unless it has been answered, in microseconds.
  */
 record Arrival(
         int number,
@@ -36,7 +36,7 @@
         return (prefixBlocks + ownBlocks) * Work.BLOCK_TOKENS;
     }
 
-    /** Names the blocks of the prompt; equal names mean equal beginnings. */
+    /** Returns the names of the prompt's blocks; prompts with the same prefix have the same names for its blocks. */
     List<Long> blocks() {
         List<Long> blocks = new ArrayList<>();
         for (int block = 0; block < prefixBlocks; block++) {
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -17,75 +17,75 @@
 import org.radishspur.model.table.UpstreamRow;
 
 /**
- * Decides which engine gets a request, and when.
+ * Decides when each request is dispatched, and to which engine.
  */
 interface Dispatcher {
 
     /**
-     * Takes a request.
+     * Handles the arrival of a request.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     void onArrival(Arrival arrival, long now);
 
     /**
-     * Learns that the first token of an answer came.
+     * Handles the first token of an answer.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     default void onFirstToken(Arrival arrival, long now) {}
 
     /**
-     * Learns that an engine could not be reached, so that the request provably did not run.
+     * Handles an attempt whose engine could not be reached, so that the request provably did not run.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     default void onUnreachable(Arrival arrival, long now) {
         onArrival(arrival, now);
     }
 
     /**
-     * Learns how an attempt ended.
+     * Handles the end of an attempt.
      *
      * @param arrival the request.
      * @param ending how it ended.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     default void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {}
 
     /**
-     * Takes an engine's report of its load, which is old.
+     * Handles an engine's load report, which is out of date when it arrives.
      *
      * @param engine the name of the engine.
      * @param running the number of requests that it ran.
      * @param waiting the number of requests that waited inside it.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     default void onLoadReport(String engine, int running, int waiting, long now) {}
 
     /**
-     * Lets time pass.
+     * Handles a clock tick.
      *
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
     default void onTick(long now) {}
 
     /**
-     * Carries out what a dispatcher decides.
+     * Gives a dispatcher its engines and carries out its decisions.
      */
     interface EnginePool {
         /**
-         * Returns the engines that don't lie down.
+         * Returns the engines that are up.
          *
          * @return the engines.
          */
         List<SimulatedEngine> engines();
 
         /**
-         * Gives a request to an engine.
+         * Dispatches a request to an engine.
          *
          * @param arrival the request.
          * @param engine the name of the engine.
@@ -93,7 +93,7 @@
         void dispatch(Arrival arrival, String engine);
 
         /**
-         * Refuses a request for good.
+         * Refuses a request, which is not retried.
          *
          * @param arrival the request.
          */
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Gives requests to the engines in turn.
+     * Dispatches requests to the engines in turn.
      */
     final class RoundRobin implements Dispatcher {
         private final EnginePool pool;
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Gives each request to the engine with the fewest requests that have not come back.
+     * Dispatches each request to the engine with the fewest outstanding requests.
      */
     final class LeastOutstanding implements Dispatcher {
         private final EnginePool pool;
@@ -140,10 +140,11 @@
     }
 
     /**
-     * Asks the scheduler of the product.
+     * Dispatches as the product's scheduler decides.
      */
     final class Scheduled implements Dispatcher {
         private static final int QUEUE_LIMIT = 2_000;
+        /** Keeps the permit ids of a request's attempts apart; more than the requests of a workload. */
         private static final long SEQUENCES_PER_ATTEMPT = 1_000_000;
 
         private final EnginePool pool;
@@ -199,14 +200,14 @@
         /** {@inheritDoc} */
         @Override
         public void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {
-            long dispatched = dispatchedAt.getOrDefault(arrival.number(), now);
-            long first = firstTokenAt.getOrDefault(arrival.number(), dispatched) - dispatched;
+            long startedAt = dispatchedAt.getOrDefault(arrival.number(), now);
+            long firstTokenMicros = firstTokenAt.getOrDefault(arrival.number(), startedAt) - startedAt;
             if (ending == PermitOutcome.Ending.CANCELLED) {
                 scheduler.cancel(permitIdOf(arrival), now);
             } else {
                 scheduler.finish(
                         permitIdOf(arrival),
-                        new PermitOutcome(ending, first, now - dispatched, arrival.outputTokens()),
+                        new PermitOutcome(ending, firstTokenMicros, now - startedAt, arrival.outputTokens()),
                         now);
             }
             applyDecisions(now);
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
@@ -3,14 +3,14 @@
 import org.radishspur.decision.permit.Work;
 
 /**
- * Holds the constants of the fake engines; times are in microseconds for an engine of speed 1.
+ * Holds the parameters of the simulated engines; times are in microseconds for an engine of speed 1.
  *
- * @param batchSize how many requests an engine decodes at once.
- * @param stepMicros the time of a step whatever it does.
+ * @param batchSize how many requests an engine runs at once.
+ * @param stepMicros the fixed time of a step.
  * @param decodeMicrosPerSequence the time that each decoded request adds to a step.
  * @param prefillMicrosPerToken the time that each computed prompt token adds to a step.
  * @param prefillTokensPerStep how many prompt tokens a step computes at most.
- * @param cacheBlocks how many prompt blocks an engine holds.
+ * @param cacheBlocks how many prompt blocks an engine caches.
  */
 record EngineModel(
         int batchSize,
@@ -21,7 +21,7 @@
         int cacheBlocks) {
     static final EngineModel STANDARD = new EngineModel(24, 15_000, 400, 60, 512, 1_200);
 
-    /** Returns the least engine time that a request needs: a full batch shares each step, and prefixes are cached. */
+    /** Returns the minimum engine time of a request, with each step shared by a full batch and shared prefixes cached. */
     double minimumMicros(Arrival arrival) {
         double perToken = stepMicros / batchSize + decodeMicrosPerSequence;
         return arrival.outputTokens() * perToken + arrival.ownBlocks() * Work.BLOCK_TOKENS * prefillMicrosPerToken;
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
@@ -11,17 +11,26 @@
 import picocli.CommandLine.Option;
 
 /**
- * Prints the table that compares ways of dispatching.
+ * Prints a table that compares dispatch policies on simulated engines.
+ *
+ * <p>The columns of the tiers give the share of requests answered in time. {@code ofBound} is the useful engine time as a
+ * share of its upper bound. {@code prefill} counts the prompt tokens computed, {@code lost} those computed for requests
+ * not answered in time, and {@code redundant} those that another engine had cached. {@code largest} is the largest share
+ * of the useful engine time that one organisation received, and {@code refused} counts refused requests.
  */
 @Command(name = "experiment", mixinStandardHelpOptions = true)
 public final class ExperimentCommand implements Callable<Integer> {
     @Option(names = "--seeds", split = ",", defaultValue = "1,2", description = "The seeds of the workloads.")
     private List<Long> seeds;
 
-    @Option(names = "--loads", split = ",", defaultValue = "0.5,1,1.5,3", description = "Multiples of the capacity.")
+    @Option(
+            names = "--loads",
+            split = ",",
+            defaultValue = "0.5,1,1.5,3",
+            description = "The loads, as multiples of the capacity.")
     private List<Double> loads;
 
-    @Option(names = "--no-faults", description = "Let no engine slow down or crash.")
+    @Option(names = "--no-faults", description = "Run without slowdowns and crashes of engines.")
     private boolean noFaults;
 
     private final EngineModel model = EngineModel.STANDARD;
@@ -52,14 +61,15 @@
     }
 
     static Map<String, Function<Dispatcher.EnginePool, Dispatcher>> dispatchers() {
-        int limit = 64;
+        int concurrencyLimit = 64;
         Map<String, Function<Dispatcher.EnginePool, Dispatcher>> dispatchers = new LinkedHashMap<>();
         dispatchers.put("round robin", Dispatcher.RoundRobin::new);
         dispatchers.put("least outstanding", Dispatcher.LeastOutstanding::new);
         dispatchers.put(
                 "ours without prefixes",
-                pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD.withPrefixes(false), limit));
-        dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD, limit));
+                pool -> new Dispatcher.Scheduled(
+                        pool, SchedulerOptions.STANDARD.withPrefixes(false), concurrencyLimit));
+        dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD, concurrencyLimit));
         return dispatchers;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
@@ -8,7 +8,7 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Sums up how the requests of one experiment ended.
+ * Sums up the results of one experiment.
  */
 final class ExperimentResult {
     private final EngineModel model;
@@ -35,7 +35,7 @@
         computedTokens += tokens;
     }
 
-    /** Notes prompt tokens that were computed although another engine held them. */
+    /** Records prompt tokens that were computed although another engine had them cached. */
     void recordRedundantTokens(Arrival arrival, int tokens) {
         redundantTokensByRequest.put(arrival.number(), tokens);
     }
@@ -44,10 +44,10 @@
         refusals++;
     }
 
-    /** Notes how a request ended; only work that ended within the horizon counts against the bound. */
-    void recordEnding(Arrival arrival, boolean good, boolean withinHorizon, int computed) {
-        if (!good) {
-            lostTokens += computed;
+    /** Records how a request ended; only requests that ended within the horizon count towards the useful engine time. */
+    void recordEnding(Arrival arrival, boolean answered, boolean withinHorizon, int computedTokensOfRequest) {
+        if (!answered) {
+            lostTokens += computedTokensOfRequest;
             return;
         }
         requestsInTime[arrival.tier().ordinal()]++;
@@ -63,12 +63,12 @@
         return requestsInTime[tier.ordinal()] / Math.max(1, offeredRequests[tier.ordinal()]);
     }
 
-    /** Returns the useful work done, against the least of what was asked for and what the engines can do at most. */
+    /** Returns the useful engine time as a share of the offered engine time or of the capacity, whichever is smaller. */
     double shareOfUpperBound(double capacityMicros) {
         return usefulMicros / Math.min(offeredMicros, capacityMicros);
     }
 
-    /** Returns the largest share of the useful work that one organisation got. */
+    /** Returns the largest share of the useful engine time that one organisation received. */
     double largestShare() {
         double largest = usefulMicrosByOrganisation.values().stream()
                 .mapToDouble(Double::doubleValue)
@@ -78,11 +78,11 @@
     }
 
     String tableRow(String name, double capacityMicros) {
-        StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-22s", name));
+        StringBuilder row = new StringBuilder(String.format(Locale.ROOT, "%-22s", name));
         for (Tier tier : Tier.values()) {
-            line.append(String.format(Locale.ROOT, " %6.3f", goodput(tier)));
+            row.append(String.format(Locale.ROOT, " %6.3f", goodput(tier)));
         }
-        return line.append(String.format(
+        return row.append(String.format(
                         Locale.ROOT,
                         " %8.3f %9d %9d %9d %8.3f %8d",
                         shareOfUpperBound(capacityMicros),
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
@@ -13,7 +13,7 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Runs one workload over one pool of engines, one of which slows down and one of which crashes.
+ * Runs one workload on one pool of simulated engines, of which one slows down and another crashes.
  */
 final class PoolExperiment implements SimulatedEngine.Listener, Dispatcher.EnginePool {
     static final double[] ENGINE_SPEEDS = {2, 2, 1, 1, 1, 0.5, 0.5, 0.5};
@@ -72,7 +72,7 @@
         return total;
     }
 
-    /** Returns the engine time that there is within the horizon, less what the faults take. */
+    /** Returns the engine time within the horizon, less what the faults take, in microseconds at speed 1. */
     static double capacityMicros(boolean faults) {
         double lost = (SLOW_UNTIL_MICROS - SLOW_FROM_MICROS) * ENGINE_SPEEDS[SLOW_ENGINE] * (1 - 1 / SLOWDOWN_FACTOR)
                 + DOWNTIME_MICROS * ENGINE_SPEEDS[CRASHING_ENGINE];
@@ -221,10 +221,10 @@
     }
 
     /**
-     * Holds an action that happens at a time.
+     * Holds an action that is due at a point of virtual time.
      *
      * @param dueAt the time in microseconds.
-     * @param sequence decides between events of the same time.
+     * @param sequence the order of events that are due at the same time.
      * @param action the action.
      */
     private record Event(long dueAt, long sequence, Runnable action) implements Comparable<Event> {
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/SimulatedEngine.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/SimulatedEngine.java
@@ -11,7 +11,7 @@
 import org.radishspur.decision.permit.Work;
 
 /**
- * Stands in for a model engine: it batches continuously, caches prompt blocks, admits whatever comes, and knows no
+ * Simulates a model engine with continuous batching and a cache of prompt blocks. It accepts every request and has no
  * priorities.
  */
 final class SimulatedEngine {
@@ -77,17 +77,17 @@
         }
     }
 
-    /** Stops a request; what was computed for it is lost. */
+    /** Cancels a request; the tokens computed for it are lost. */
     void cancel(Arrival arrival) {
-        waiting.removeIf(run -> run.arrival == arrival);
-        runningRequests.removeIf(run -> run.arrival == arrival);
+        waiting.removeIf(request -> request.arrival == arrival);
+        runningRequests.removeIf(request -> request.arrival == arrival);
     }
 
-    /** Loses everything that runs and everything in the cache. */
+    /** Drops all requests and the cache, and returns the dropped requests. */
     List<Arrival> crash() {
         List<Arrival> lost = new ArrayList<>();
-        waiting.forEach(run -> lost.add(run.arrival));
-        runningRequests.forEach(run -> lost.add(run.arrival));
+        waiting.forEach(request -> lost.add(request.arrival));
+        runningRequests.forEach(request -> lost.add(request.arrival));
         waiting.clear();
         runningRequests.clear();
         cache.clear();
@@ -102,10 +102,10 @@
 
     private void startStep() {
         while (runningRequests.size() < model.batchSize() && !waiting.isEmpty()) {
-            EngineRequest run = waiting.removeFirst();
-            run.uncachedPromptTokens = uncachedTokens(run.arrival);
-            run.remainingPrefillTokens = run.uncachedPromptTokens;
-            runningRequests.add(run);
+            EngineRequest request = waiting.removeFirst();
+            request.uncachedPromptTokens = uncachedTokens(request.arrival);
+            request.remainingPrefillTokens = request.uncachedPromptTokens;
+            runningRequests.add(request);
         }
         if (runningRequests.isEmpty() || !up) {
             stepScheduled = false;
@@ -115,11 +115,11 @@
         int budget = model.prefillTokensPerStep();
         int computed = 0;
         int decoding = 0;
-        for (EngineRequest run : runningRequests) {
-            int part = Math.min(budget - computed, run.remainingPrefillTokens);
-            run.stepPrefillTokens = part;
-            computed += part;
-            decoding += run.remainingPrefillTokens == 0 ? 1 : 0;
+        for (EngineRequest request : runningRequests) {
+            int prefillTokens = Math.min(budget - computed, request.remainingPrefillTokens);
+            request.stepPrefillTokens = prefillTokens;
+            computed += prefillTokens;
+            decoding += request.remainingPrefillTokens == 0 ? 1 : 0;
         }
         double micros = (model.stepMicros()
                         + decoding * model.decodeMicrosPerSequence()
@@ -133,51 +133,52 @@
         if (!up) {
             return;
         }
-        for (EngineRequest run : stepped) {
-            if (run.remainingPrefillTokens > 0) {
-                computePrefill(run);
-            } else if (runningRequests.contains(run)) {
-                run.outputTokens++;
-                if (run.outputTokens == 1) {
-                    listener.onFirstToken(this, run.arrival, run.uncachedPromptTokens);
+        for (EngineRequest request : stepped) {
+            if (request.remainingPrefillTokens > 0) {
+                computePrefill(request);
+            } else if (runningRequests.contains(request)) {
+                request.outputTokens++;
+                if (request.outputTokens == 1) {
+                    listener.onFirstToken(this, request.arrival, request.uncachedPromptTokens);
                 }
             }
         }
         List<EngineRequest> ended = new ArrayList<>();
         Iterator<EngineRequest> remaining = runningRequests.iterator();
         while (remaining.hasNext()) {
-            EngineRequest run = remaining.next();
-            if (run.outputTokens >= run.arrival.outputTokens()) {
+            EngineRequest request = remaining.next();
+            if (request.outputTokens >= request.arrival.outputTokens()) {
                 remaining.remove();
-                ended.add(run);
+                ended.add(request);
             }
         }
         startStep();
-        ended.forEach(run -> listener.onAnswerComplete(this, run.arrival));
+        ended.forEach(request -> listener.onAnswerComplete(this, request.arrival));
     }
 
-    private void computePrefill(EngineRequest run) {
-        run.remainingPrefillTokens -= run.stepPrefillTokens;
-        listener.onPrefill(this, run.arrival, run.stepPrefillTokens);
-        if (run.remainingPrefillTokens == 0) {
-            run.arrival.blocks().forEach(block -> cache.put(block, Boolean.TRUE));
+    private void computePrefill(EngineRequest request) {
+        request.remainingPrefillTokens -= request.stepPrefillTokens;
+        listener.onPrefill(this, request.arrival, request.stepPrefillTokens);
+        if (request.remainingPrefillTokens == 0) {
+            request.arrival.blocks().forEach(block -> cache.put(block, Boolean.TRUE));
         }
     }
 
     private int uncachedTokens(Arrival arrival) {
-        int held = 0;
+        int cachedBlocks = 0;
         for (Long block : arrival.blocks()) {
             if (!cache.containsKey(block)) {
                 break;
             }
+            // Marks the block as recently used.
             cache.get(block);
-            held++;
+            cachedBlocks++;
         }
-        return Math.max(1, arrival.promptTokens() - held * Work.BLOCK_TOKENS);
+        return Math.max(1, arrival.promptTokens() - cachedBlocks * Work.BLOCK_TOKENS);
     }
 
     /**
-     * Holds one request in the engine.
+     * Tracks the progress of one request in the engine.
      */
     private static final class EngineRequest {
         private final Arrival arrival;
@@ -192,19 +193,19 @@
     }
 
     /**
-     * Receives what an engine does.
+     * Schedules the steps of an engine and receives its events.
      */
     interface Listener {
         /**
          * Runs an action later.
          *
          * @param action the action.
-         * @param micros how much later.
+         * @param micros the delay in microseconds.
          */
         void scheduleAfter(Runnable action, long micros);
 
         /**
-         * Learns that prompt tokens were computed.
+         * Handles the computation of prompt tokens.
          *
          * @param engine the engine.
          * @param arrival the request.
@@ -213,7 +214,7 @@
         void onPrefill(SimulatedEngine engine, Arrival arrival, int tokens);
 
         /**
-         * Learns that the first token of an answer came.
+         * Handles the first token of an answer.
          *
          * @param engine the engine.
          * @param arrival the request.
@@ -222,7 +223,7 @@
         void onFirstToken(SimulatedEngine engine, Arrival arrival, int uncached);
 
         /**
-         * Learns that an answer is whole.
+         * Handles the completion of an answer.
          *
          * @param engine the engine.
          * @param arrival the request.
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
@@ -8,12 +8,13 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Draws the requests of an experiment: bursts, five tiers, a few large organisations, lengths that differ a hundredfold.
+ * Draws the requests of an experiment: arrivals in bursts, five tiers, a few large organisations, and answer lengths that
+ * differ a hundredfold.
  */
 final class Workload {
     private static final double[] TIER_SHARES = {0.10, 0.15, 0.30, 0.25, 0.20};
     private static final double[] DEADLINE_FACTORS = {2, 2.5, 3, 4, 6};
-    private static final double MINIMUM_DEADLINE_MICROS = 2_000_000;
+    private static final double BASE_DEADLINE_MICROS = 2_000_000;
     private static final int ORGANISATIONS = 20;
     private static final int TOPICS_PER_ORGANISATION = 3;
     private static final int MINIMUM_OUTPUT_TOKENS = 8;
@@ -31,20 +32,20 @@
         this.model = model;
     }
 
-    /** Draws arrivals that ask for a multiple of what engines of the given total speed can do at most. */
+    /** Draws arrivals whose minimum engine time is a multiple of what engines of the given total speed provide. */
     List<Arrival> drawArrivals(double load, double totalSpeed, long horizonMicros) {
         double meanMicros = 0;
-        Random probe = new Random(1);
-        int probes = 20_000;
-        for (int sample = 0; sample < probes; sample++) {
-            meanMicros += model.minimumMicros(drawArrival(sample, 0, probe)) / probes;
+        Random sampleRandom = new Random(1);
+        int samples = 20_000;
+        for (int sample = 0; sample < samples; sample++) {
+            meanMicros += model.minimumMicros(drawArrival(sample, 0, sampleRandom)) / samples;
         }
         double perMicro = load * totalSpeed / meanMicros;
         List<Arrival> arrivals = new ArrayList<>();
         double at = 0;
         while (true) {
-            double wave = 1 + BURST_AMPLITUDE * Math.sin(2 * Math.PI * at / BURST_PERIOD_MICROS);
-            at += -Math.log(1 - random.nextDouble()) / (perMicro * wave);
+            double burstFactor = 1 + BURST_AMPLITUDE * Math.sin(2 * Math.PI * at / BURST_PERIOD_MICROS);
+            at += -Math.log(1 - random.nextDouble()) / (perMicro * burstFactor);
             if (at >= horizonMicros) {
                 return arrivals;
             }
@@ -54,14 +55,15 @@
 
     private Arrival drawArrival(int number, long at, Random source) {
         int tier = drawTier(source);
-        // The first organisations send most: the n-th sends in proportion to 1/n.
+        // The first organisations send most: the n-th sends about in proportion to 1/n.
         int organisation = (int) Math.floor(Math.pow(ORGANISATIONS + 1, source.nextDouble())) - 1;
         int prefixBlocks = 8 + Math.floorMod(organisation * 7, 24);
         int ownBlocks = 1 + source.nextInt(8);
-        int output = (int) (MINIMUM_OUTPUT_TOKENS * Math.pow(OUTPUT_RANGE_FACTOR, source.nextDouble()));
-        int announced = (int) Math.max(1, output * Math.exp(source.nextGaussian() * ANNOUNCED_LOG_DEVIATION));
-        double usual = model.fullBatchMicros((prefixBlocks + ownBlocks) * Work.BLOCK_TOKENS, output);
-        long deadline = (long) (at + MINIMUM_DEADLINE_MICROS + DEADLINE_FACTORS[tier] * usual);
+        int outputTokens = (int) (MINIMUM_OUTPUT_TOKENS * Math.pow(OUTPUT_RANGE_FACTOR, source.nextDouble()));
+        int announcedTokens =
+                (int) Math.max(1, outputTokens * Math.exp(source.nextGaussian() * ANNOUNCED_LOG_DEVIATION));
+        double fullBatchMicros = model.fullBatchMicros((prefixBlocks + ownBlocks) * Work.BLOCK_TOKENS, outputTokens);
+        long deadline = (long) (at + BASE_DEADLINE_MICROS + DEADLINE_FACTORS[tier] * fullBatchMicros);
         return new Arrival(
                 number,
                 at,
@@ -70,8 +72,8 @@
                 prefixBlocks,
                 source.nextInt(TOPICS_PER_ORGANISATION),
                 ownBlocks,
-                output,
-                announced,
+                outputTokens,
+                announcedTokens,
                 deadline);
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Compares ways of dispatching on one pool of fake engines, in virtual time and from fixed seeds.
+ * Compares dispatch policies on one pool of simulated engines, in virtual time and with fixed seeds.
  */
 package org.radishspur.testkit.experiment;
