--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
@@ -8,20 +8,23 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs schedules with fresh seeds for as long as one likes, and names the seed of the first one that fails.
+ * Runs schedules with random seeds for a given time, and prints the seed of the first one that fails.
  */
 @Command(name = "explore", mixinStandardHelpOptions = true)
 public final class ExploreCommand implements Callable<Integer> {
     private static final int MAXIMUM_REPLICAS = 5;
     private static final int MINIMUM_REPLICAS = 3;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "How long to go on.")
+    @Option(names = "--seconds", defaultValue = "60", description = "How long to run, in seconds.")
     private long seconds;
 
     @Option(names = "--seed", description = "Run only this seed.")
     private Long onlySeed;
 
-    @Option(names = "--faulty-millis", defaultValue = "20000", description = "How long faults strike, in virtual time.")
+    @Option(
+            names = "--faulty-millis",
+            defaultValue = "20000",
+            description = "How long faults occur, in milliseconds of virtual time.")
     private long faultyMillis;
 
     /** {@inheritDoc} */
@@ -51,7 +54,7 @@
             }
         }
         System.out.println(schedules + " schedules, " + steps + " steps, " + commits + " commits in "
-                + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt) + " ms: all held");
+                + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt) + " ms: no invariant violated");
         return 0;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/FaultRates.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/FaultRates.java
@@ -1,16 +1,16 @@
 package org.radishspur.testkit.schedule;
 
 /**
- * Says how often each fault strikes.
+ * Sets how often each fault occurs; shares and probabilities are between 0 and 1.
  *
  * @param messageLoss the share of messages that are lost.
  * @param messageDuplication the share of messages that arrive twice.
- * @param maximumDelayMillis how long a message may take.
- * @param maximumWriteMillis how long a write may take.
- * @param crash the chance of a crash in each fault round.
- * @param freeze the chance of a freeze in each fault round.
- * @param partition the chance of a cut, perhaps in one direction only, in each fault round.
- * @param diskLoss the chance that a crashed replica has lost its disk.
+ * @param maximumDelayMillis the upper bound of a message's delay, in milliseconds.
+ * @param maximumWriteMillis the upper bound of a write's delay, in milliseconds.
+ * @param crash the probability of a crash in each fault round.
+ * @param freeze the probability that a host freezes in each fault round.
+ * @param partition the probability of a network partition, perhaps in one direction only, in each fault round.
+ * @param diskLoss the probability that a crashed replica has lost its disk.
  */
 public record FaultRates(
         double messageLoss,
@@ -21,6 +21,6 @@
         double freeze,
         double partition,
         double diskLoss) {
-    /** Every fault, often. */
+    /** Rates at which every fault occurs often. */
     public static final FaultRates HARSH = new FaultRates(0.08, 0.05, 60, 30, 0.35, 0.25, 0.35, 0.15);
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
@@ -11,7 +11,7 @@
 import org.radishspur.replication.raft.WriteBatch;
 
 /**
- * Keeps durable batches in memory, by the same rules as the files of a real disk.
+ * Keeps written batches in memory, by the same rules as the files of a real disk.
  */
 final class MemoryDisk {
     private HardState hardState = HardState.INITIAL;
@@ -36,12 +36,12 @@
         return new Recovered(hardState, snapshot, List.copyOf(entries));
     }
 
-    private void replaceSnapshot(Snapshot taken) {
-        boolean continues = entries.stream()
-                .anyMatch(entry -> entry.index() == taken.lastIndex() && entry.term() == taken.lastTerm());
-        if (!continues) {
+    private void replaceSnapshot(Snapshot replacement) {
+        boolean holdsLastEntry = entries.stream()
+                .anyMatch(entry -> entry.index() == replacement.lastIndex() && entry.term() == replacement.lastTerm());
+        if (!holdsLastEntry) {
             entries.clear();
         }
-        snapshot = taken;
+        snapshot = replacement;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -27,8 +27,8 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Runs one random schedule: replicas, clients that race and resend, and faults; then an end without faults, in which
- * the replicas must recover.
+ * Simulates replicas under one random schedule of faults, with clients that send conflicting requests and resend edits.
+ * A phase without faults follows, in which the replicas must recover.
  */
 public final class ReplicaSchedule implements SimulatedReplica.World {
     private static final long LEASE_MILLIS = 220;
@@ -56,11 +56,11 @@
     private boolean faultsActive = true;
 
     /**
-     * Prepares a schedule.
+     * Prepares a schedule whose leaders answer reads under a lease.
      *
-     * @param seed decides everything that is random.
+     * @param seed the seed of all random decisions.
      * @param size the number of replicas.
-     * @param rates how often each fault strikes.
+     * @param rates how often each fault occurs.
      */
     public ReplicaSchedule(long seed, int size, FaultRates rates) {
         this(seed, size, rates, LEASE_MILLIS);
@@ -69,10 +69,11 @@
     /**
      * Prepares a schedule.
      *
-     * @param seed decides everything that happens.
+     * @param seed the seed of all random decisions.
      * @param size the number of replicas.
-     * @param rates how often faults happen.
-     * @param leaseMillis how long a leader reads under a lease, or 0 where a majority confirms each read.
+     * @param rates how often each fault occurs.
+     * @param leaseMillis how long a leader answers reads under a lease, in milliseconds, or 0 if a majority confirms each
+     *     read.
      */
     public ReplicaSchedule(long seed, int size, FaultRates rates, long leaseMillis) {
         this.random = new Random(seed);
@@ -97,10 +98,11 @@
     }
 
     /**
-     * Runs the schedule to its end.
+     * Runs the schedule to its end and checks the invariants throughout.
      *
-     * @param faultyMillis how long faults strike.
-     * @return how much happened.
+     * @param faultyMillis how long faults occur, in milliseconds of virtual time.
+     * @return counts of what happened.
+     * @throws Violation if an invariant was violated.
      */
     public Outcome run(long faultyMillis) {
         replicas.values().forEach(SimulatedReplica::start);
@@ -109,9 +111,9 @@
         schedule(this::injectFaults, FAULT_INTERVAL_MILLIS);
         runUntil(START_MILLIS + faultyMillis);
         endFaults();
-        long before = observer.highestCommitIndex();
+        long commitIndexBefore = observer.highestCommitIndex();
         runUntil(now + RECOVERY_MILLIS);
-        checkRecovered(before);
+        checkRecovered(commitIndexBefore);
         return new Outcome(
                 steps, observer.highestCommitIndex(), observer.answers().size(), observer.grants());
     }
@@ -138,27 +140,27 @@
         if (running.isEmpty()) {
             return;
         }
-        SimulatedReplica asked = running.get(random.nextInt(running.size()));
+        SimulatedReplica target = running.get(random.nextInt(running.size()));
         for (SimulatedReplica candidate : running) {
             if (candidate.replica().core().role() == Role.LEADER && random.nextInt(4) > 0) {
-                asked = candidate;
+                target = candidate;
             }
         }
         if (random.nextBoolean()) {
-            sendEdit(asked);
+            sendEdit(target);
         } else {
-            sendClaim(asked);
+            sendClaim(target);
         }
-        asked.step();
+        target.step();
     }
 
-    private void sendEdit(SimulatedReplica asked) {
+    private void sendEdit(SimulatedReplica target) {
         boolean resend = !sentEdits.isEmpty() && random.nextInt(4) == 0;
-        TableEdit edit = resend ? sentEdits.get(random.nextInt(sentEdits.size())) : newEdit(asked);
+        TableEdit edit = resend ? sentEdits.get(random.nextInt(sentEdits.size())) : newEdit(target);
         if (!resend) {
             sentEdits.add(edit);
         }
-        asked.replica()
+        target.replica()
                 .propose(
                         new ControlCommand.ApplyEdit(edit, now),
                         end -> {
@@ -167,24 +169,24 @@
                                 observer.recordEditAnswer(edit.changeId(), answer.answer());
                             }
                         },
-                        asked.clock());
+                        target.clock());
     }
 
-    /** Makes an edit that expects what the asked replica knows, so that racing edits expect equal revisions. */
-    private TableEdit newEdit(SimulatedReplica asked) {
+    /** Makes an edit that expects the revision known to the given replica, so that concurrent edits expect the same revision. */
+    private TableEdit newEdit(SimulatedReplica target) {
         String pool = "pool-" + random.nextInt(POOLS);
         lastEdit++;
         PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), lastEdit, 1, Map.of());
-        var present = asked.replica().state().tables().tables().pools().get(pool);
+        var present = target.replica().state().tables().tables().pools().get(pool);
         long revision = present == null ? 0 : present.revision();
         return new TableEdit("change-" + lastEdit, List.of(new RowChange.PutPool(row, revision)));
     }
 
-    private void sendClaim(SimulatedReplica asked) {
+    private void sendClaim(SimulatedReplica target) {
         RequestKey key = new RequestKey("organisation", "key-" + random.nextInt(KEYS));
         ClaimHolder holder = new ClaimHolder("entry-" + random.nextInt(3), 1, random.nextInt(KEYS));
         ControlCommand command = new ControlCommand.Claim(key, "same", holder, now);
-        asked.replica()
+        target.replica()
                 .propose(
                         command,
                         end -> {
@@ -194,7 +196,7 @@
                                 observer.recordGrant(key.key(), holder);
                             }
                         },
-                        asked.clock());
+                        target.clock());
     }
 
     private void injectFaults() {
@@ -218,19 +220,19 @@
     private void crashOne() {
         SimulatedReplica crashed = randomReplica();
         crashed.crash();
-        // Only one disk may be lost at a time: a majority that loses its disks has nothing to recover from.
+        // At most one disk is lost at a time: a majority that lost its disks would have nothing to recover from.
         if (random.nextDouble() < rates.diskLoss() && canLoseDisk(crashed)) {
             crashed.loseDisk(crashed.node() + "#" + ++lastIdentity);
         }
         schedule(crashed::start, 20 + random.nextInt(1_000));
     }
 
-    /** Returns whether a majority of the voters would still have their disks, were one more to be lost. */
-    private boolean canLoseDisk(SimulatedReplica losing) {
+    /** Returns whether a replica may lose its disk: every other voter still has its disk, and no membership change is open. */
+    private boolean canLoseDisk(SimulatedReplica crashed) {
         Configuration latest = latestConfiguration();
         Set<String> present = new TreeSet<>();
         replicas.values().stream()
-                .filter(replica -> replica != losing)
+                .filter(replica -> replica != crashed)
                 .map(SimulatedReplica::identity)
                 .forEach(present::add);
         long kept = latest.voters().stream().filter(present::contains).count();
@@ -255,17 +257,17 @@
     private void partitionOne() {
         String from = randomReplica().node();
         boolean oneWay = random.nextBoolean();
-        List<String> made = new ArrayList<>();
+        List<String> newCuts = new ArrayList<>();
         for (String other : replicas.keySet()) {
             if (!other.equals(from) && random.nextInt(3) > 0) {
-                made.add(from + other);
+                newCuts.add(from + other);
                 if (!oneWay) {
-                    made.add(other + from);
+                    newCuts.add(other + from);
                 }
             }
         }
-        cutLinks.addAll(made);
-        schedule(() -> cutLinks.removeAll(made), 100 + random.nextInt(2_500));
+        cutLinks.addAll(newCuts);
+        schedule(() -> cutLinks.removeAll(newCuts), 100 + random.nextInt(2_500));
     }
 
     private void endFaults() {
@@ -280,7 +282,7 @@
         replaceBlankReplicasRepeatedly();
     }
 
-    /** Does what an operator does after a disk was lost: asks the leader to let the blank replica take its place. */
+    /** Replaces lost replicas, as an operator does: asks the leader to let the blank replica take the lost one's place. */
     private void replaceBlankReplicasRepeatedly() {
         schedule(this::replaceBlankReplicasRepeatedly, FAULT_INTERVAL_MILLIS);
         for (SimulatedReplica leader : replicas.values()) {
@@ -301,8 +303,8 @@
         }
     }
 
-    private void checkRecovered(long before) {
-        if (observer.highestCommitIndex() <= before) {
+    private void checkRecovered(long commitIndexBefore) {
+        if (observer.highestCommitIndex() <= commitIndexBefore) {
             throw new Violation(Violation.Invariant.NO_PROGRESS, "nothing was committed after the faults had ended");
         }
         List<SimulatedReplica> running = List.copyOf(replicas.values());
@@ -326,10 +328,10 @@
                     Violation.Invariant.NO_PROGRESS,
                     "a lost replica was not replaced: " + latestConfiguration()
                             + running.stream()
-                                    .map(r -> r.identity() + " "
-                                            + r.replica().core().role() + " c"
-                                            + r.replica().core().commitIndex() + " l"
-                                            + r.replica().core().lastIndex())
+                                    .map(replica -> replica.identity() + " "
+                                            + replica.replica().core().role() + " commit index "
+                                            + replica.replica().core().commitIndex() + " last index "
+                                            + replica.replica().core().lastIndex())
                                     .toList());
         }
     }
@@ -372,8 +374,8 @@
 
     private void deliver(String fromNode, String sender, String to, RaftMessage message) {
         SimulatedReplica receiver = replicas.get(to.substring(0, 1));
-        boolean cut = cutLinks.contains(fromNode + receiver.node());
-        if (!cut && receiver.identity().equals(to)) {
+        boolean isCut = cutLinks.contains(fromNode + receiver.node());
+        if (!isCut && receiver.identity().equals(to)) {
             receiver.receive(sender, message);
         }
     }
@@ -390,7 +392,7 @@
         scheduleReplacementDuringFaults();
     }
 
-    /** Lets operators repair in the middle of faults as well, so that a second loss may follow at once. */
+    /** Replaces lost replicas while faults still occur, so that a further disk may be lost soon after. */
     private void scheduleReplacementDuringFaults() {
         if (faultsActive) {
             schedule(this::replaceBlankReplicasOnce, 1 + random.nextInt(1_500));
@@ -417,20 +419,20 @@
     }
 
     /**
-     * Tells how much happened in a schedule.
+     * Counts what happened in a schedule.
      *
      * @param steps the number of events.
-     * @param commits the number of committed entries.
+     * @param commits the index of the last committed entry.
      * @param edits the number of answered edits.
-     * @param grants the number of claimed keys.
+     * @param grants the number of keys whose claim was granted.
      */
     public record Outcome(long steps, long commits, int edits, int grants) {}
 
     /**
-     * Holds an action that happens at a time.
+     * Holds an action that is due at a point of virtual time.
      *
      * @param dueAt the time in milliseconds.
-     * @param sequence decides between events of the same time.
+     * @param sequence the order of events that are due at the same time.
      * @param action the action.
      */
     private record Event(long dueAt, long sequence, Runnable action) implements Comparable<Event> {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -14,7 +14,7 @@
 import org.radishspur.replication.state.ClaimHolder;
 
 /**
- * Checks after every step what must always hold.
+ * Checks the invariants of the replicas after every step.
  */
 final class SafetyObserver {
     private final Map<Long, String> leaderByTerm = new HashMap<>();
@@ -39,12 +39,13 @@
             if (revision < acknowledgedRevision) {
                 throw new Violation(
                         Violation.Invariant.STALE_READ,
-                        core.self() + " reads revision " + revision + " after " + acknowledgedRevision);
+                        core.self() + " reads revision " + revision + " after revision " + acknowledgedRevision
+                                + " was acknowledged");
             }
         }
     }
 
-    /** Lets each leader begin a read now and then, and looks what it would answer once a majority has confirmed it. */
+    /** Begins a read on each leader that has none pending, and checks its revision once a majority has confirmed the leader. */
     private void checkConfirmedRead(SimulatedReplica simulated, RaftCore core) {
         if (core.role() != Role.LEADER) {
             pendingReads.remove(core.self());
@@ -58,8 +59,8 @@
             if (revision < read.acknowledgedRevision()) {
                 throw new Violation(
                         Violation.Invariant.STALE_READ,
-                        core.self() + " answers a confirmed read with revision " + revision + " after "
-                                + read.acknowledgedRevision());
+                        core.self() + " answers a confirmed read with revision " + revision + " after revision "
+                                + read.acknowledgedRevision() + " was acknowledged");
             }
         }
     }
@@ -87,7 +88,7 @@
                     known + " and " + core.self() + " lead in term " + core.term());
         }
         if (checkedLeaders.add(core.self() + '/' + core.term())) {
-            // Entries of the leader's own term are committed only later, so everything committed now is older.
+            // A new leader commits entries of its own term only later, so all entries committed so far are older.
             for (long index = core.firstIndex(); index <= highestCommitIndex; index++) {
                 LogEntry entry = committedEntries.get(index);
                 if (entry != null
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Notes that the holder of a key has released it, so that another one may be granted it. */
+    /** Records that the holder of a key has released it, so that it may be granted again. */
     void recordRelease(String key, ClaimHolder holder) {
         grantedHolders.remove(key, holder);
     }
@@ -162,10 +163,10 @@
     }
 
     /**
-     * Remembers a read that has begun.
+     * Holds a read that a majority has yet to confirm.
      *
-     * @param begunAt the clock of the replica when it began.
-     * @param acknowledgedRevision the revision that was acknowledged by then.
+     * @param begunAt the clock of the leader when the read began, in milliseconds.
+     * @param acknowledgedRevision the highest revision acknowledged by then.
      */
     private record PendingRead(long begunAt, long acknowledgedRevision) {}
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -16,13 +16,15 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Runs one replica whose process can crash, freeze and lose its disk, and whose clock runs a little fast or slow.
+ * Runs one replica in virtual time. Its process can crash, freeze and lose its disk, and its clock runs slightly fast or
+ * slow.
  */
 final class SimulatedReplica {
     private static final int ENTRIES_PER_SNAPSHOT = 40;
     private static final int MAXIMUM_PENDING_PROPOSALS = 1_000;
     private static final int TRAILING_ENTRIES = 10;
     private static final int SNAPSHOT_PART_BYTES = 8_000;
+    /** The clock's rate differs from that of virtual time by this share at most. */
     private static final double MAXIMUM_CLOCK_DRIFT = 0.04;
 
     private final World world;
@@ -68,8 +70,8 @@
     }
 
     /**
-     * Returns the monotonic clock of the host. Where leaders hold no lease it stands still while the host is frozen, as that of
-     * a suspended machine does.
+     * Returns the monotonic clock of the host, in milliseconds. If leaders hold no lease, the clock stops while the host is
+     * frozen, as on a suspended machine.
      */
     long clock() {
         return (long) ((world.now() - clockStoppedMillis) * clockRate);
@@ -91,7 +93,7 @@
         step();
     }
 
-    /** Ends the process; of the batches that are not yet synced, the first few may have reached the disk anyway. */
+    /** Ends the process. Of the batches not yet synced, a random number of the first ones reach the disk. */
     void crash() {
         if (replica == null) {
             return;
@@ -106,14 +108,14 @@
         world.crashed(this);
     }
 
-    /** Loses the disk; the next start is that of a blank replica under an identity that was never used before. */
+    /** Ends the process and loses its disk. The next start is that of a blank replica under an identity never used before. */
     void loseDisk(String freshIdentity) {
         crash();
         identity = freshIdentity;
         disk = new MemoryDisk(Configuration.ofVoters(java.util.Set.of()));
     }
 
-    /** Returns the options of a replica that answers reads under a lease of some milliseconds, or of none. */
+    /** Returns the Raft options for a read lease of so many milliseconds, or for none if 0. */
     static RaftOptions options(long leaseMillis) {
         return new RaftOptions(50, 300, leaseMillis, 16, SNAPSHOT_PART_BYTES, TRAILING_ENTRIES);
     }
@@ -124,9 +126,9 @@
     }
 
     void thaw() {
-        boolean wakes = freezeCount == 1;
+        boolean resumes = freezeCount == 1;
         freezeCount = Math.max(0, freezeCount - 1);
-        if (wakes && raftOptions.leaseMillis() == 0) {
+        if (resumes && raftOptions.leaseMillis() == 0) {
             clockStoppedMillis += world.now() - frozenAt;
         }
     }
@@ -165,15 +167,15 @@
     }
 
     /**
-     * Holds a batch on its way to the disk.
+     * Holds a batch that is not yet durable.
      *
      * @param batch the batch.
-     * @param written what waits for it.
+     * @param written called with the clock once the batch is durable.
      */
     private record PendingWrite(WriteBatch batch, LongConsumer written) {}
 
     /**
-     * Writes batches after a random time, in order.
+     * Makes batches durable in order, each after a delay.
      */
     private final class DelayedWriter implements ControlReplica.Writer {
         /** {@inheritDoc} */
@@ -186,12 +188,12 @@
 
         /** {@inheritDoc} */
         @Override
-        public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
+        public void stage(Supplier<Snapshot> snapshotSource, Consumer<Snapshot> staged) {
             int ofRun = runNumber;
             world.schedule(
                     () -> {
                         if (replica != null && ofRun == runNumber) {
-                            staged.accept(making.get());
+                            staged.accept(snapshotSource.get());
                             step();
                         }
                     },
@@ -206,18 +208,18 @@
     }
 
     /**
-     * Gives a replica its network, its clock and its observer.
+     * Provides the simulated environment of a replica: time, write delays, network and checks.
      */
     interface World {
         /**
-         * Returns the true time.
+         * Returns the virtual time, which is free of the replicas' clock drift.
          *
          * @return the time in milliseconds.
          */
         long now();
 
         /**
-         * Returns how long the next write takes.
+         * Returns the delay of the next write.
          *
          * @return the time in milliseconds.
          */
@@ -227,12 +229,12 @@
          * Runs an action later.
          *
          * @param action the action.
-         * @param delay the time in milliseconds.
+         * @param delay the delay in milliseconds.
          */
         void schedule(Runnable action, long delay);
 
         /**
-         * Sends a message.
+         * Sends a message, which may be delayed, duplicated or lost.
          *
          * @param from the sender.
          * @param to the identity of the receiver.
@@ -241,16 +243,16 @@
         void send(SimulatedReplica from, String to, RaftMessage message);
 
         /**
-         * Checks what must always hold.
+         * Checks the invariants after a step of a replica.
          *
          * @param replica the replica that has just made a step.
          */
         void observe(SimulatedReplica replica);
 
         /**
-         * Learns that a process has ended.
+         * Handles the end of a replica's process.
          *
-         * @param replica the replica.
+         * @param replica the replica whose process has ended.
          */
         void crashed(SimulatedReplica replica);
     }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
@@ -1,7 +1,7 @@
 package org.radishspur.testkit.schedule;
 
 /**
- * Reports that something did not hold that must always hold.
+ * Signals that an invariant of the replicas was violated.
  */
 public final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -11,26 +11,26 @@
     }
 
     /**
-     * Names what must always hold.
+     * Names the invariants.
      */
     enum Invariant {
-        /** A term has one leader at most. */
+        /** A term has at most one leader. */
         ELECTION_SAFETY,
-        /** Two logs with an entry of the same index and term are the same up to it. */
+        /** Two logs that both hold an entry of the same index and term are equal up to that entry. */
         LOG_MATCHING,
         /** A leader's log holds every committed entry. */
         LEADER_COMPLETENESS,
-        /** No two replicas apply different entries at one index. */
+        /** No two replicas apply different entries at the same index. */
         STATE_MACHINE_SAFETY,
         /** An acknowledged edit stays in force. */
         EDIT_LOST,
-        /** An edit that was sent again gets its first answer. */
+        /** An edit that is resent gets its first answer again. */
         ANSWER_CHANGED,
         /** A leader that answers reads knows every edit acknowledged before. */
         STALE_READ,
-        /** A request is granted to one attempt at most. */
+        /** The claim on a request is granted to at most one attempt. */
         CLAIM_GRANTED_TWICE,
-        /** After the faults have ended, the replicas work again. */
+        /** After the faults have ended, the replicas commit entries again and lost replicas are replaced. */
         NO_PROGRESS
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Drives several control replicas through random schedules of faults in virtual time and checks what must always hold.
+ * Simulates control replicas under random schedules of faults in virtual time, and checks their invariants.
  */
 package org.radishspur.testkit.schedule;
