--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -132,10 +132,10 @@
         /** {@inheritDoc} */
         @Override
         public void onArrival(Arrival arrival, long now) {
-            SimulatedEngine least = pool.engines().stream()
+            SimulatedEngine leastLoaded = pool.engines().stream()
                     .min(Comparator.comparingInt(SimulatedEngine::outstandingRequests))
                     .orElseThrow();
-            pool.dispatch(arrival, least.name());
+            pool.dispatch(arrival, leastLoaded.name());
         }
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -321,9 +321,9 @@
                         replica.replica().core(), other.replica().core());
             }
         }
-        boolean whole = running.stream()
+        boolean allVoters = running.stream()
                 .allMatch(replica -> latestConfiguration().voters().contains(replica.identity()));
-        if (!whole) {
+        if (!allVoters) {
             throw new Violation(
                     Violation.Invariant.NO_PROGRESS,
                     "a lost replica was not replaced: " + latestConfiguration()
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -39,8 +39,8 @@
             if (revision < acknowledgedRevision) {
                 throw new Violation(
                         Violation.Invariant.STALE_READ,
-                        core.self() + " reads revision " + revision + " after revision " + acknowledgedRevision
-                                + " was acknowledged");
+                        core.self() + " reads revision " + revision + " after acknowledged revision "
+                                + acknowledgedRevision);
             }
         }
     }
@@ -59,8 +59,8 @@
             if (revision < read.acknowledgedRevision()) {
                 throw new Violation(
                         Violation.Invariant.STALE_READ,
-                        core.self() + " answers a confirmed read with revision " + revision + " after revision "
-                                + read.acknowledgedRevision() + " was acknowledged");
+                        core.self() + " answers a confirmed read with revision " + revision
+                                + " after acknowledged revision " + read.acknowledgedRevision());
             }
         }
     }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -152,12 +152,12 @@
         world.observe(this);
     }
 
-    private void finishWrite(int ofRun) {
-        if (replica == null || ofRun != runNumber || pendingWrites.isEmpty()) {
+    private void finishWrite(int expectedRun) {
+        if (replica == null || expectedRun != runNumber || pendingWrites.isEmpty()) {
             return;
         }
         if (freezeCount > 0) {
-            world.schedule(() -> finishWrite(ofRun), 1);
+            world.schedule(() -> finishWrite(expectedRun), 1);
             return;
         }
         PendingWrite pending = pendingWrites.removeFirst();
@@ -182,17 +182,17 @@
         @Override
         public void write(WriteBatch batch, LongConsumer written) {
             pendingWrites.addLast(new PendingWrite(batch, written));
-            int ofRun = runNumber;
-            world.schedule(() -> finishWrite(ofRun), world.writeDelay());
+            int expectedRun = runNumber;
+            world.schedule(() -> finishWrite(expectedRun), world.writeDelay());
         }
 
         /** {@inheritDoc} */
         @Override
         public void stage(Supplier<Snapshot> snapshotSource, Consumer<Snapshot> staged) {
-            int ofRun = runNumber;
+            int expectedRun = runNumber;
             world.schedule(
                     () -> {
-                        if (replica != null && ofRun == runNumber) {
+                        if (replica != null && expectedRun == runNumber) {
                             staged.accept(snapshotSource.get());
                             step();
                         }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/Violation.java
@@ -26,7 +26,7 @@
         EDIT_LOST,
         /** An edit that is resent gets its first answer again. */
         ANSWER_CHANGED,
-        /** A leader that answers reads knows every edit acknowledged before. */
+        /** A leader that answers reads has applied every edit acknowledged before. */
         STALE_READ,
         /** The claim on a request is granted to at most one attempt. */
         CLAIM_GRANTED_TWICE,
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -72,7 +72,7 @@
      *
      * @param port the port, or 0 to let the system choose one.
      * @param kind the kind of upstream.
-     * @param tokenMicros the time for each token of an engine's answer, or for the whole answer of a service, in
+     * @param tokenMicros the time for each token of an engine's answer, or for the complete answer of a service, in
      *     microseconds; 0 for no delay.
      * @param logFile the file to which a line is appended when a request starts, ends or is cancelled.
      */
@@ -176,7 +176,7 @@
     public enum Kind {
         /** A model engine, which streams tokens. */
         ENGINE,
-        /** A plain service, which sends its whole answer at once. */
+        /** A plain service, which sends its complete answer at once. */
         SERVICE
     }
 
