--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Runs the move by the product's policy. Once the watch has a verdict, the new version receives no further requests;
-     * a change of state is dated by its commit.
+     * Runs the move by the product's policy. Once the watch has a reason to take the new version back, that version
+     * receives no further requests; a change of state is dated by its commit.
      */
     MoveOutcome run() {
         Move move = Move.begin(1, "route", "old", "new", 0, WINDOW_MILLIS);
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/UpstreamCommand.java
@@ -17,7 +17,10 @@
     @Option(names = "--kind", defaultValue = "ENGINE", description = "ENGINE or SERVICE.")
     private StandInUpstream.Kind kind;
 
-    @Option(names = "--token-micros", defaultValue = "2000", description = "The time for each token, in microseconds.")
+    @Option(
+            names = "--token-micros",
+            defaultValue = "2000",
+            description = "The time for each token, or for the answer of a service, in microseconds.")
     private long tokenMicros;
 
     @Option(
