--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -28,38 +28,46 @@
 import org.radishspur.node.schedule.ConfirmedView;
 
 /**
- * Brings one request from its head to its one final answer. All of it happens on the traffic thread.
+ * Processes one request from the arrival of its head to its only response: it reads the body, finds the route and the
+ * organisation, requests a slot, sends the request to the granted upstream and retries on others where the route allows
+ * that. The traffic thread owns it.
  */
 final class CallerExchange implements UpstreamSlot.Listener {
-    /** The part of a route's target time that a request may wait for a place; the rest is for the answer. */
-    private static final double FRESH_WAIT = 0.5;
+    /** The share of the target latency that a caller's first try may wait for a slot; the rest is for the response. */
+    private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
-    /** The part of its remaining time that a request may wait that can't be on time any more. */
-    private static final double LATE_WAIT = 0.4;
+    /**
+     * The share of the time until its deadline that a request may wait for a slot where no target latency applies: the route
+     * has none, or the caller or this entry is retrying.
+     */
+    private static final double RETRY_WAIT_SHARE = 0.4;
 
     /**
-     * The part of its time that a request waits for the catalogue to be confirmed; a caller that is sent away sooner spends
-     * its only retry on coming back too soon.
+     * The share of its deadline that a request waits for the view to be confirmed. A caller that is refused sooner
+     * spends its only retry before the confirmation.
      */
-    private static final double CONFIRMATION_WAIT = 0.2;
+    private static final double CONFIRMATION_WAIT_SHARE = 0.2;
 
     /**
-     * The longest time that a request waits for a place, in milliseconds. Callers of streams hang up after some two seconds
-     * without an event; the rest is for the upstream's first one.
+     * The maximum time that a request waits for a slot, in milliseconds. Callers of streams disconnect after about two
+     * seconds without an event; the rest is for the upstream's first event.
      */
-    private static final long LONGEST_WAIT_MILLIS = 1_200;
+    private static final long MAX_WAIT_MILLIS = 1_200;
 
-    /** The time a caller has that states none, in milliseconds, where its route's timeout doesn't end it sooner. */
-    private static final long UNSTATED_DEADLINE_MILLIS = 30_000;
+    /** The deadline of a request that states none, in milliseconds from its arrival; a route's timeout may end it sooner. */
+    private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
 
-    /** To how many upstreams a request is offered at most that none has run; each offer takes a way there and back. */
-    private static final int MOST_OFFERS = 4;
+    /**
+     * The maximum number of slots that are requested for one request while upstreams don't run it; each slot costs a round
+     * trip.
+     */
+    private static final int MAX_SLOT_REQUESTS = 4;
 
-    /** With less time than this left another upstream isn't tried, in milliseconds. */
-    private static final long LEAST_RETRY_MILLIS = 60;
+    /** The minimum time until the deadline for another attempt, in milliseconds. */
+    private static final long MIN_RETRY_MILLIS = 60;
 
     private final EntryServices services;
-    private final CallerAnswer answer;
+    private final CallerResponse response;
     private final HttpRequest request;
     private final long arrivedAt;
     private final ExchangeLog log;
@@ -70,40 +78,40 @@
     private Optional<OrganisationRule> organisation = Optional.empty();
     private String poolName = "";
     private int organisationRank;
-    private boolean late;
-    private boolean bodyWhole;
+    private boolean callerRetry;
+    private boolean bodyComplete;
     private boolean counted;
     private boolean done;
-    private long endsAt;
-    private int offers;
-    private int runs;
+    private long deadlineAt;
+    private int slotRequests;
+    private int possibleRuns;
     private UpstreamSlot slot;
     private UpstreamAttempt attempt;
     private ConfirmedView viewAtGrant = ConfirmedView.NOTHING;
     private ScheduledFuture<?> timer;
-    private boolean firstSeen;
+    private boolean firstByteReceived;
     private long firstMillis;
     private EventSplitter splitter;
 
     CallerExchange(
             EntryServices services, FrontConnection connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
-        this.answer = new CallerAnswer(services, connection, context, request);
+        this.response = new CallerResponse(services, connection, context, request);
         this.request = request;
         this.arrivedAt = EntryServices.now();
         this.log = new ExchangeLog(services, this);
     }
 
     void begin() {
-        services.began();
+        services.requestStarted();
         counted = true;
         if (HttpUtil.is100ContinueExpected(request)) {
-            answer.writeContinue();
+            response.writeContinue();
         }
     }
 
-    boolean isBodyWhole() {
-        return bodyWhole;
+    boolean isBodyComplete() {
+        return bodyComplete;
     }
 
     void onBody(HttpContent content) {
@@ -113,25 +121,25 @@
             }
             if (body.readableBytes() + content.content().readableBytes()
                     > services.limits().bodyBytes()) {
-                bodyWhole = true;
+                bodyComplete = true;
                 refuse(EndReason.BODY_TOO_LARGE, 0, true);
                 return;
             }
             body.writeBytes(content.content());
             if (content instanceof LastHttpContent) {
-                bodyWhole = true;
-                // Guards against work for callers who have left: after a stall, a request and the close behind it
-                // wait in the socket together. The connection is closed before this task runs, since the front reads
-                // to the end of what has come.
-                services.loop().execute(this::proceed);
+                bodyComplete = true;
+                // Avoids work for disconnected callers: after a pause of the process, a request and the close that
+                // follows it are read together. As the server reads until the socket is empty, the close is handled
+                // before this task runs.
+                services.loop().execute(this::handleRequest);
             }
         } finally {
             content.release();
         }
     }
 
-    private void proceed() {
-        if (done || !answer.isOpen()) {
+    private void handleRequest() {
+        if (done || !response.isOpen()) {
             return;
         }
         head = services.dialect().read(request);
@@ -139,30 +147,34 @@
             refuse(EndReason.MALFORMED, 0, false);
             return;
         }
-        long stated = head.deadlineMillis() > 0 ? head.deadlineMillis() : UNSTATED_DEADLINE_MILLIS;
-        endsAt = arrivedAt + stated;
-        if (services.isCurrent()) {
-            route(stated);
+        long statedMillis = head.deadlineMillis() > 0 ? head.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
+        deadlineAt = arrivedAt + statedMillis;
+        if (services.isConfirmed()) {
+            matchRoute(statedMillis);
         } else {
-            awaitConfirmation(stated);
+            awaitConfirmation(statedMillis);
         }
     }
 
     /**
-     * Waits a moment for the catalogue to be confirmed. After a restart or the loss of the control leader that takes about
-     * a second, and a caller that is sent away at once spends its only retry on coming back too soon.
+     * Waits for the view to be confirmed before the request is routed. After a restart or the loss of the control
+     * leader that takes about a second; a caller that is refused at once would spend its only retry before it.
      */
-    private void awaitConfirmation(long stated) {
-        long wait = Math.min(LONGEST_WAIT_MILLIS, (long) (stated * CONFIRMATION_WAIT));
+    private void awaitConfirmation(long statedMillis) {
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, (long) (statedMillis * CONFIRMATION_WAIT_SHARE));
         timer = services.loop()
-                .schedule(() -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false), wait, TimeUnit.MILLISECONDS);
-        services.awaits(this, () -> {
+                .schedule(
+                        () -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false),
+                        waitMillis,
+                        TimeUnit.MILLISECONDS);
+        services.awaitConfirmation(this, () -> {
             timer.cancel(false);
-            route(stated);
+            matchRoute(statedMillis);
         });
     }
 
-    private void route(long stated) {
+    /** Finds the route and checks the key, then sets the deadline and requests the first slot. */
+    private void matchRoute(long statedMillis) {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         Optional<RouteRule> matched = catalogue.match(head.host(), head.path());
         if (matched.isEmpty()) {
@@ -175,58 +187,66 @@
             refuse(EndReason.KEY_UNKNOWN, 0, false);
             return;
         }
-        endsAt = Math.min(endsAt, arrivedAt + route.timeoutMillis());
-        late = services.isReturning(route.name(), stated);
+        deadlineAt = Math.min(deadlineAt, arrivedAt + route.timeoutMillis());
+        callerRetry = services.isCallerRetry(route.name(), statedMillis);
         timer = services.loop()
-                .schedule(this::onTimeout, Math.max(1, endsAt - EntryServices.now()), TimeUnit.MILLISECONDS);
-        seekSlot();
+                .schedule(this::onDeadline, Math.max(1, deadlineAt - EntryServices.now()), TimeUnit.MILLISECONDS);
+        requestFirstSlot();
     }
 
-    private void seekSlot() {
+    /** Draws a pool of the route by its shares and requests a slot there. */
+    private void requestFirstSlot() {
         poolName = route.choosePool(ThreadLocalRandom.current().nextDouble());
-        services.budget(poolName).requested();
+        services.retryBudget(poolName).requested();
         organisationRank = organisation
                 .map(OrganisationRule::priority)
                 .filter(priority -> priority >= 0)
                 .orElse(0);
-        double wait = late || route.targetLatencyMillis() <= 0
-                ? (endsAt - arrivedAt) * LATE_WAIT
-                : route.targetLatencyMillis() * FRESH_WAIT;
+        double waitMillis = callerRetry || route.targetLatencyMillis() <= 0
+                ? (deadlineAt - arrivedAt) * RETRY_WAIT_SHARE
+                : route.targetLatencyMillis() * FIRST_TRY_WAIT_SHARE;
         splitter = new EventSplitter(head.resumeAfter());
-        ask(arrivedAt + (long) wait, true);
+        requestSlot(arrivedAt + (long) waitMillis, true);
     }
 
-    private void ask(long waitUntil, boolean mayTry) {
-        offers++;
+    /**
+     * Requests a slot in the pool. The upstream of the last attempt and unreachable ones serve only if no other can.
+     *
+     * @param waitUntil until when to wait for the slot, by {@link EntryServices#now()}.
+     * @param trialAllowed whether an upstream of a version under trial may run the request.
+     */
+    private void requestSlot(long waitUntil, boolean trialAllowed) {
+        slotRequests++;
         long now = EntryServices.now();
-        long wait = Math.min(LONGEST_WAIT_MILLIS, Math.min(waitUntil, endsAt) - now);
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, Math.min(waitUntil, deadlineAt) - now);
         List<String> avoided = new ArrayList<>(services.slots().unreachable(poolName, now));
         if (attempt != null) {
             avoided.add(attempt.upstream().run());
         }
         attempt = null;
-        slot = services.slots().request(slotRequest(Math.max(0, wait), mayTry, avoided, now), this, now);
+        slot = services.slots()
+                .request(buildSlotRequest(Math.max(0, waitMillis), trialAllowed, avoided, now), this, now);
         services.slots().send(slot, now);
-        services.watch();
+        services.scheduleCheck();
     }
 
-    private SlotRequest slotRequest(long waitMillis, boolean mayTry, List<String> avoided, long now) {
-        // The target counts from the caller's first try, which a retry has behind it.
-        long target = late
+    private SlotRequest buildSlotRequest(long waitMillis, boolean trialAllowed, List<String> avoided, long now) {
+        // The target latency counts from the caller's first try, so a retry of the caller has missed it.
+        long targetMillis = callerRetry
                 ? 0
-                : route.targetLatencyMillis() > 0 ? arrivedAt + route.targetLatencyMillis() - now : endsAt - now;
+                : route.targetLatencyMillis() > 0 ? arrivedAt + route.targetLatencyMillis() - now : deadlineAt - now;
         return new SlotRequest(
                 poolName,
                 services.failureDomain(),
                 organisation.map(OrganisationRule::name).orElse(""),
-                runs == 0 ? quotaCost() : 0,
+                possibleRuns == 0 ? quotaCost() : 0,
                 organisationRank,
-                late,
-                mayTry,
+                callerRetry,
+                trialAllowed,
                 waitMillis,
-                Math.max(0, target),
-                endsAt - now,
-                work(),
+                Math.max(0, targetMillis),
+                deadlineAt - now,
+                buildWork(),
                 avoided);
     }
 
@@ -236,7 +256,7 @@
                 .orElse(0.0);
     }
 
-    private SlotRequest.Work work() {
+    private SlotRequest.Work buildWork() {
         boolean generates = route.kind() == RequestKind.STREAM;
         return new SlotRequest.Work(
                 head.promptTokens(),
@@ -247,7 +267,7 @@
                 head.prefixTokens());
     }
 
-    /** Returns how many tokens the caller expects; its estimate may lie beyond the limit that it sets itself. */
+    /** Returns how many tokens the caller expects, at most its own output limit, which its estimate may exceed. */
     long expectedTokens() {
         return head.outputTokens() > 0 ? Math.min(head.expectedTokens(), head.outputTokens()) : head.expectedTokens();
     }
@@ -256,7 +276,7 @@
     @Override
     public void onRejected(SlotReply.Rejected rejected) {
         slot = null;
-        if (runs > 0) {
+        if (possibleRuns > 0) {
             fail(EndReason.UPSTREAM_FAILED, "no other upstream has a slot");
             return;
         }
@@ -264,54 +284,55 @@
         long retryAfterMillis = spreadRetryAfter(rejected.retryMillis());
         log.refused(reason, retryAfterMillis, rejected.waiting(), rejected.slots());
         release();
-        answer.writeOwn(reason, retryAfterMillis, false);
+        response.writeError(reason, retryAfterMillis, false);
     }
 
-    /** Returns when a caller should retry for whom there may be room after a time, apart from others like it. */
-    private long spreadRetryAfter(long roomAfter) {
+    /** Returns the retry-after in milliseconds, spread at random so that callers refused together don't retry together. */
+    private long spreadRetryAfter(long capacityAfterMillis) {
         double draw = ThreadLocalRandom.current().nextDouble();
-        return RetryAfterPolicy.INSTANCE.spread(endsAt - EntryServices.now(), roomAfter, draw);
+        return RetryAfterPolicy.INSTANCE.spread(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
     }
 
+    /** Returns the longest sensible retry-after in milliseconds, for refusals that tell nothing about capacity. */
     private long latestRetryAfter() {
-        return RetryAfterPolicy.INSTANCE.latest(endsAt - EntryServices.now());
+        return RetryAfterPolicy.INSTANCE.latest(deadlineAt - EntryServices.now());
     }
 
     /** {@inheritDoc} */
     @Override
     public void onGranted(UpstreamSlot granted) {
         slot = null;
-        if (!services.isCurrent() || !stillAllowed()) {
-            // Guards against a pause of the whole process between the check on arrival and this moment.
+        if (!services.isConfirmed() || !isStillAllowed()) {
+            // The view may have changed or expired since the check on arrival, also by a pause of the whole process.
             granted.end(SlotOutcome.UNUSED);
             refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
             return;
         }
-        services.metrics().waited(EntryServices.now() - arrivedAt);
+        services.metrics().recordSlotWait(EntryServices.now() - arrivedAt);
         viewAtGrant = services.view();
         attempt = new UpstreamAttempt(this, services, granted);
-        services.runs(this);
+        services.addRunning(this);
         attempt.start();
     }
 
-    /** Returns whether what is in force now still lets the request go to the upstream that it was granted. */
+    /** Returns whether the current view still allows the request to be sent to the granted upstream. */
     boolean mayStillBeSent(UpstreamLoad upstream) {
         boolean unchanged = services.view().saysTheSame(viewAtGrant);
-        return services.isCurrent()
-                && (unchanged || stillAllowed() && services.slots().mayUse(upstream));
+        return services.isConfirmed()
+                && (unchanged || isStillAllowed() && services.slots().mayUse(upstream));
     }
 
-    /** Learns that the request was not sent, because what is in force has changed since its slot was granted. */
+    /** Requests another slot, or refuses the request, after the current view no longer allows its granted upstream. */
     void onOutdated() {
-        if (services.isCurrent() && stillAllowed()) {
+        if (services.isConfirmed() && isStillAllowed()) {
             onNotRun("outdated", false);
         } else {
             refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
         }
     }
 
-    /** Returns whether the catalogue in force now still lets this caller's request go to its pool. */
-    private boolean stillAllowed() {
+    /** Returns whether the current catalogue still routes the request to its pool and still knows its key. */
+    private boolean isStillAllowed() {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         boolean routed = catalogue
                 .match(head.host(), head.path())
@@ -327,110 +348,118 @@
         return routed && known;
     }
 
-    /** Looks whether an answer has stopped coming that another upstream may give as well. */
-    void look(long now) {
-        if (!done && attempt != null && mayRunAgain() && attempt.isSilent(now)) {
-            attempt.giveUp();
-            onBroken("silence");
+    /** Abandons the attempt and retries if its upstream has stopped sending and the request may run again. */
+    void checkSilence(long now) {
+        if (!done && attempt != null && isRetryAllowed() && attempt.isSilent(now)) {
+            attempt.abandon();
+            onAttemptFailed("silence");
         }
     }
 
-    private boolean mayRunAgain() {
+    /** Returns whether the request may be sent to another upstream although it may have run already. */
+    private boolean isRetryAllowed() {
         return route.mayRepeat()
-                && runs < route.maximumUpstreams()
-                && (route.kind() == RequestKind.STREAM || !answer.isHeadWritten())
-                && endsAt - EntryServices.now() > LEAST_RETRY_MILLIS;
+                && possibleRuns < route.maximumUpstreams()
+                && (route.kind() == RequestKind.STREAM || !response.isHeadWritten())
+                && deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS;
     }
 
-    /** Learns that the request is on its way, so that from now on it may run. */
+    /** Counts the request as possibly run, since it is being sent. */
     void onSent() {
-        runs++;
+        possibleRuns++;
     }
 
-    /** Learns that the upstream has provably not run the request. */
-    void onNotRun(String reason, boolean arrived) {
-        runs -= arrived ? 1 : 0;
-        boolean allowed = runs == 0 ? endsAt - EntryServices.now() > LEAST_RETRY_MILLIS : mayRunAgain();
-        if (allowed
-                && offers < MOST_OFFERS
-                && (!arrived || services.budget(poolName).take())) {
-            again(reason);
+    /**
+     * Retries or refuses a request that its upstream is certain not to have run.
+     *
+     * @param reason why not, for the log and the metrics.
+     * @param wasSent whether the request was sent, in which case the retry counts against the budget.
+     */
+    void onNotRun(String reason, boolean wasSent) {
+        possibleRuns -= wasSent ? 1 : 0;
+        boolean retryAllowed =
+                possibleRuns == 0 ? deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS : isRetryAllowed();
+        if (retryAllowed
+                && slotRequests < MAX_SLOT_REQUESTS
+                && (!wasSent || services.retryBudget(poolName).take())) {
+            retry(reason);
         } else {
             refuse(EndReason.NOT_TAKEN, latestRetryAfter(), false);
         }
     }
 
-    /** Learns that the upstream has failed in a way that leaves open whether the request has run. */
-    void onBroken(String reason) {
-        if (mayRunAgain() && services.budget(poolName).take()) {
-            splitter.restart();
-            again(reason);
+    /** Retries or fails a request after a failure that leaves open whether its upstream has run it. */
+    void onAttemptFailed(String reason) {
+        if (isRetryAllowed() && services.retryBudget(poolName).take()) {
+            splitter.discardPartial();
+            retry(reason);
         } else {
             fail(EndReason.UPSTREAM_FAILED, reason);
         }
     }
 
-    /** Returns whether a failure that the upstream answers with should be tried elsewhere instead. */
-    boolean triesElsewhere() {
-        return !answer.isHeadWritten()
-                && mayRunAgain()
-                && services.budget(poolName).take();
+    /** Takes a retry from the budget if the request may be retried, and returns whether it did. */
+    boolean tryTakeRetry() {
+        return !response.isHeadWritten()
+                && isRetryAllowed()
+                && services.retryBudget(poolName).take();
     }
 
-    /** Sends the request to another upstream. */
-    void again(String reason) {
-        log.retried(reason, upstreamName(), offers);
-        long left = endsAt - EntryServices.now();
-        ask(EntryServices.now() + (long) (left * LATE_WAIT), false);
+    /** Requests a slot at another upstream. */
+    void retry(String reason) {
+        log.retried(reason, upstreamName(), slotRequests);
+        long remaining = deadlineAt - EntryServices.now();
+        requestSlot(EntryServices.now() + (long) (remaining * RETRY_WAIT_SHARE), false);
     }
 
-    private void onTimeout() {
+    private void onDeadline() {
         if (done) {
             return;
         }
-        if (attempt != null || runs > 0) {
+        if (attempt != null || possibleRuns > 0) {
             fail(EndReason.TIMEOUT, "timeout");
         } else {
             refuse(EndReason.EXPIRED, 0, false);
         }
     }
 
-    void onCallerGone() {
+    void onCallerDisconnected() {
         if (done) {
             return;
         }
-        log.left(upstreamName());
+        log.disconnected(upstreamName());
         release();
     }
 
     void onCallerWritable() {
-        if (attempt != null && answer.isWritable()) {
+        if (attempt != null && response.isWritable()) {
             attempt.read();
         }
     }
 
-    /** Returns what is written to the caller. */
-    CallerAnswer answer() {
-        return answer;
+    /** Returns the response to the caller. */
+    CallerResponse response() {
+        return response;
     }
 
-    /** Writes a whole answer of the upstream, and ends the request. */
-    void writeWhole(HttpResponse upstreamHead, ByteBuf content) {
-        answer.writeWhole(upstreamHead, content);
+    /** Writes the complete response of an upstream and ends the request. */
+    void writeFull(HttpResponse upstreamHead, ByteBuf content) {
+        response.writeFull(upstreamHead, content);
         release();
-        answer.ended();
+        response.onWritten();
     }
 
-    /** Ends an answer that was passed on part by part, and the request with it. */
+    /** Ends a response that was written in parts, and the request with it. */
     void writeEnd() {
-        answer.writeEnd();
+        response.writeEnd();
         release();
-        answer.ended();
+        response.onWritten();
     }
 
-    void noteFirst(long millis) {
-        if (!firstSeen) {
-            firstSeen = true;
+    /** Records the time from the arrival of the request to the first byte of its first response. */
+    void recordFirstByte(long millis) {
+        if (!firstByteReceived) {
+            firstByteReceived = true;
             firstMillis = EntryServices.now() - arrivedAt;
         }
     }
@@ -439,53 +468,55 @@
         log.answered(status, upstream.upstream().id(), firstMillis, longestPauseMillis);
     }
 
-    /** Returns the upstream that has the request, or an empty text. */
+    /** Returns the identifier of the upstream of the current attempt, or an empty text where there is none. */
     private String upstreamName() {
         return attempt == null ? "" : attempt.upstream().upstream().id();
     }
 
+    /** Ends the request with a response that states that it has not run, unless it may have run. */
     private void refuse(EndReason reason, long retryAfterMillis, boolean close) {
-        if (runs > 0) {
-            // A refusal says that nothing has run, which would not be true here.
+        if (possibleRuns > 0) {
+            // A refusal states that the request has not run, which is not certain here.
             fail(EndReason.UPSTREAM_FAILED, reason.code());
             return;
         }
         log.refused(reason, retryAfterMillis, 0, 0);
         release();
-        answer.writeOwn(reason, retryAfterMillis, close);
+        response.writeError(reason, retryAfterMillis, close);
     }
 
+    /** Ends a request that may have run with an error response, or aborts its response if a part was sent. */
     private void fail(EndReason reason, String cause) {
         log.failed(reason, upstreamName(), cause);
         release();
-        if (answer.isHeadWritten()) {
-            // The answer has begun: an end that does not look complete is all that can still be said.
-            answer.breakOff();
+        if (response.isHeadWritten()) {
+            // The status is sent already; only an incomplete response can still show the failure.
+            response.abort();
             return;
         }
-        answer.writeOwn(reason, 0, false);
+        response.writeError(reason, 0, false);
     }
 
-    /** Gives everything back that the request holds. */
+    /** Releases the timer, the slot, the attempt and the body of the request, once. */
     private void release() {
         if (done) {
             return;
         }
         done = true;
-        services.awaitsNoMore(this);
+        services.stopAwaitingConfirmation(this);
         if (timer != null) {
             timer.cancel(false);
         }
         if (slot != null) {
-            slot.withdraw();
+            slot.cancel();
         }
         if (attempt != null) {
-            attempt.giveUp();
+            attempt.abandon();
         }
-        services.runsNoMore(this);
+        services.removeRunning(this);
         body.release();
         if (counted) {
-            services.ended();
+            services.requestEnded();
         }
     }
 
@@ -493,7 +524,8 @@
         return request;
     }
 
-    ByteBuf bodyCopy() {
+    /** Returns the body with a reference count of its own, which the caller of this method releases. */
+    ByteBuf retainedBody() {
         return body.retainedDuplicate();
     }
 
@@ -513,20 +545,23 @@
         return splitter;
     }
 
-    long millisLeft() {
-        return Math.max(1, endsAt - EntryServices.now());
+    /** Returns the time until the deadline in milliseconds, at least 1. */
+    long remainingMillis() {
+        return Math.max(1, deadlineAt - EntryServices.now());
     }
 
+    /** Returns when the request arrived, by {@link EntryServices#now()}. */
     long arrivedAt() {
         return arrivedAt;
     }
 
+    /** Returns the priority of the organisation; 0 is the most urgent, and holds also for unknown organisations. */
     int organisationRank() {
         return organisationRank;
     }
 
-    /** Returns whether the caller retries after a refusal. */
-    boolean isReturning() {
-        return late;
+    /** Returns whether the caller is retrying after a refusal. */
+    boolean isCallerRetry() {
+        return callerRetry;
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -24,20 +24,22 @@
 import org.radishspur.node.upstream.UpstreamExchange;
 
 /**
- * Holds what the exchanges of one entry share. The traffic thread owns it.
+ * Holds the state and the services that all requests of one entry share: the confirmed view, the slot client, the retry
+ * budgets and the periodic check of requests in flight. The traffic thread owns it; other threads may call
+ * {@link #applyConfirmation} and the getters of volatile fields.
  */
 final class EntryServices {
     /**
-     * How much of the time until a revoked key must not work is used up before an unconfirmed entry serves no one, so that
-     * the rest covers a request on its way to the upstream.
+     * The share of the time limit for key revocation within which the view must have been confirmed for a request to be
+     * served. The rest of the limit covers the time until a request reaches its upstream.
      */
-    private static final double CONFIRMED_SHARE = 0.8;
+    private static final double SERVING_CONFIRMATION_SHARE = 0.8;
 
-    /** An entry that was not confirmed for this share of that time asks the balancer for no more callers. */
-    private static final double READY_SHARE = 0.5;
+    /** The share of the same limit within which the view must have been confirmed for the ready check to succeed. */
+    private static final double READY_CONFIRMATION_SHARE = 0.5;
 
-    /** How often waiting requests and silent answers are looked after, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    /** How often queued requests and stalled responses are checked, in milliseconds. */
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final FleetSettings settings;
     private final CallerDialect dialect;
@@ -45,16 +47,16 @@
     private final EntryMetrics metrics;
     private final Transport transport;
     private final SlotClient slots;
-    private final RetryBudgets budgets;
-    private final VersionCounters tallies;
-    private final Map<CallerExchange, Runnable> awaiting = new LinkedHashMap<>();
+    private final RetryBudgets retryBudgets;
+    private final VersionCounters versionCounters;
+    private final Map<CallerExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
     private final Set<CallerExchange> running = new HashSet<>();
-    private final Map<String, Long> longestDeadlines = new HashMap<>();
+    private final Map<String, Long> longestDeadlineMillis = new HashMap<>();
     private volatile ConfirmedView view = ConfirmedView.NOTHING;
-    private volatile boolean someAwait;
+    private volatile boolean confirmationAwaited;
     private volatile boolean stopping;
     private volatile int inProgress;
-    private boolean watching;
+    private boolean checkScheduled;
 
     EntryServices(
             FleetSettings settings,
@@ -62,38 +64,40 @@
             EventLog events,
             EntryMetrics metrics,
             Transport transport,
-            VersionCounters tallies) {
+            VersionCounters versionCounters) {
         this.settings = settings;
         this.dialect = dialect;
         this.events = events;
         this.metrics = metrics;
         this.transport = transport;
-        this.tallies = tallies;
+        this.versionCounters = versionCounters;
         slots = new SlotClient(settings, transport.schedulers(), events);
-        budgets = new RetryBudgets(
+        retryBudgets = new RetryBudgets(
                 settings.bounds().retryShare(), settings.bounds().retrySlack());
     }
 
     /**
-     * Takes over a view that does no more than confirm the present one, on any thread, and returns whether that was all. It saves
-     * the traffic thread of an idle entry a wake-up for each confirmation.
+     * Applies a view that only confirms the current one, and returns whether it did; otherwise the traffic thread has
+     * to apply the view. Any thread may call this, so that a confirmation doesn't wake the traffic thread of an idle
+     * entry.
      */
-    boolean confirm(ConfirmedView newer) {
-        if (someAwait || !view.saysTheSame(newer)) {
+    boolean applyConfirmation(ConfirmedView newer) {
+        if (confirmationAwaited || !view.saysTheSame(newer)) {
             return false;
         }
         view = newer;
         return true;
     }
 
+    /** Applies a view to the retry budgets and to the slot client, and resumes requests that waited for a confirmation. */
     void onView(ConfirmedView newer) {
         boolean same = view.saysTheSame(newer);
         view = newer;
         if (!same) {
-            budgets.entries(newer.entries());
+            retryBudgets.entries(newer.entries());
             slots.onView(newer, now());
         }
-        goOn();
+        resumeAwaiting();
     }
 
     void onReply(String scheduler, FleetMessage.Reply reply) {
@@ -104,79 +108,84 @@
         slots.onLinkLost(address, now());
     }
 
-    /** Begins to look after requests that wait and answers that have stopped coming, as long as there are any. */
-    void watch() {
-        if (!watching) {
-            watching = true;
-            loop().schedule(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    /** Schedules the next check of queued requests and of responses, unless one is scheduled already. */
+    void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            loop().schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void look() {
-        watching = false;
+    /** Checks queued requests and responses, and schedules the next check while there are any. */
+    private void check() {
+        checkScheduled = false;
         long now = now();
-        slots.look(now);
+        slots.checkPending(now);
         for (CallerExchange exchange : Set.copyOf(running)) {
-            exchange.look(now);
+            exchange.checkSilence(now);
         }
-        if (slots.isBusy() || !running.isEmpty()) {
-            watch();
+        if (slots.hasPending() || !running.isEmpty()) {
+            scheduleCheck();
         }
     }
 
-    /** Returns whether the catalogue was confirmed so lately that it may be acted on. */
-    boolean isCurrent() {
-        return isConfirmedWithin(CONFIRMED_SHARE);
+    /** Returns whether the view was confirmed recently enough to serve requests by it. */
+    boolean isConfirmed() {
+        return isConfirmedWithin(SERVING_CONFIRMATION_SHARE);
     }
 
+    /** Returns whether the load balancer may route callers to this entry. */
     boolean isReady() {
-        return !stopping && isConfirmedWithin(READY_SHARE);
+        return !stopping && isConfirmedWithin(READY_CONFIRMATION_SHARE);
     }
 
     private boolean isConfirmedWithin(double share) {
         return view.isConfirmedWithin(settings.bounds().revokeMillis() * share);
     }
 
-    /** Returns whether a request has a deadline that shows that its caller has spent part of its time already. */
-    boolean isReturning(String route, long deadlineMillis) {
-        long longest = longestDeadlines.merge(route, deadlineMillis, Math::max);
+    /** Returns whether a caller is retrying, as its deadline is short compared with the longest one of its route. */
+    boolean isCallerRetry(String route, long deadlineMillis) {
+        long longest = longestDeadlineMillis.merge(route, deadlineMillis, Math::max);
         return RetryAfterPolicy.INSTANCE.isReturning(deadlineMillis, longest);
     }
 
-    void awaits(CallerExchange exchange, Runnable action) {
-        awaiting.put(exchange, action);
-        someAwait = true;
+    /** Runs an action once the view is confirmed, unless the request ends sooner. */
+    void awaitConfirmation(CallerExchange exchange, Runnable action) {
+        awaitingConfirmation.put(exchange, action);
+        confirmationAwaited = true;
     }
 
-    void awaitsNoMore(CallerExchange exchange) {
-        awaiting.remove(exchange);
-        someAwait = !awaiting.isEmpty();
+    void stopAwaitingConfirmation(CallerExchange exchange) {
+        awaitingConfirmation.remove(exchange);
+        confirmationAwaited = !awaitingConfirmation.isEmpty();
     }
 
-    /** Lets the requests go on that have waited for a confirmed catalogue. */
-    private void goOn() {
-        if (!awaiting.isEmpty() && isCurrent()) {
-            List<Runnable> actions = List.copyOf(awaiting.values());
-            awaiting.clear();
-            someAwait = false;
+    /** Runs the actions of requests that waited for a confirmed view. */
+    private void resumeAwaiting() {
+        if (!awaitingConfirmation.isEmpty() && isConfirmed()) {
+            List<Runnable> actions = List.copyOf(awaitingConfirmation.values());
+            awaitingConfirmation.clear();
+            confirmationAwaited = false;
             actions.forEach(Runnable::run);
         }
     }
 
-    void runs(CallerExchange exchange) {
+    /** Includes a request in the periodic check for a stalled response. */
+    void addRunning(CallerExchange exchange) {
         running.add(exchange);
-        watch();
+        scheduleCheck();
     }
 
-    void runsNoMore(CallerExchange exchange) {
+    void removeRunning(CallerExchange exchange) {
         running.remove(exchange);
     }
 
-    /** Counts an answer of an upstream for the rollout of its version. */
-    void onAnswer(Upstream upstream, String route, boolean good, double millis) {
-        tallies.add(upstream.pool(), upstream.version(), route, good, millis, 0);
+    /** Counts a response for the rollout of its version, with the time until its last byte in milliseconds. */
+    void recordResponse(Upstream upstream, String route, boolean good, double responseMillis) {
+        versionCounters.add(upstream.pool(), upstream.version(), route, good, responseMillis, 0);
     }
 
+    /** Returns the monotonic clock in milliseconds. */
     static long now() {
         return Moment.steadyNow();
     }
@@ -217,8 +226,8 @@
         return slots;
     }
 
-    RetryBudget budget(String pool) {
-        return budgets.of(pool);
+    RetryBudget retryBudget(String pool) {
+        return retryBudgets.forPool(pool);
     }
 
     boolean isStopping() {
@@ -229,24 +238,25 @@
         stopping = true;
     }
 
-    void began() {
+    void requestStarted() {
         inProgress++;
     }
 
-    void ended() {
+    void requestEnded() {
         inProgress--;
     }
 
+    /** Returns how many requests are in flight, from their heads on. */
     int inProgress() {
         return inProgress;
     }
 
     /**
-     * Holds the ways out of an entry, all on its traffic thread.
+     * Holds the event loop of the traffic thread and the outgoing connections that it serves.
      *
-     * @param loop the traffic thread.
-     * @param exchanges begins exchanges with upstreams.
-     * @param schedulers reaches the schedulers.
+     * @param loop the event loop of the traffic thread.
+     * @param exchanges starts exchanges with upstreams.
+     * @param schedulers sends messages to the schedulers.
      */
     record Transport(EventLoop loop, UpstreamExchange.Factory exchanges, FleetSender schedulers) {}
 }
--- a/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
+++ b/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
@@ -4,68 +4,71 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Cuts the bytes of an event stream at the ends of events.
+ * Splits the bytes of an event stream into complete events and a partial one.
  *
- * <p>Guards against a broken stream whose last event is only half there: a resumed stream starts with a whole event, so
- * that the half one must not have reached the caller.
+ * <p>A partial event must not reach the caller: if the connection is lost, another upstream resumes the stream with a
+ * complete event.
  */
 final class EventSplitter {
-    private static final byte[] ID = {'i', 'd', ':'};
+    private static final byte[] ID_FIELD = {'i', 'd', ':'};
 
     private final ByteBuf partial = Unpooled.buffer();
-    private long lastId;
-    private long pendingId = -1;
-    private long events;
+    private long lastEventId;
+    private long pendingEventId = -1;
+    private long eventCount;
 
     /**
      * Creates a splitter.
      *
-     * @param lastId the number of the last event that the caller has, or a negative number.
+     * @param lastEventId the identifier of the last event that the caller has received, or a negative number.
      */
-    EventSplitter(long lastId) {
-        this.lastId = lastId;
+    EventSplitter(long lastEventId) {
+        this.lastEventId = lastEventId;
     }
 
     /**
-     * Takes bytes and returns the whole events among all that have come.
+     * Appends bytes of the stream and returns the events that they complete.
      *
-     * @param content the bytes, which are not released.
-     * @return whole events, perhaps none; the receiver releases them.
+     * @param content the bytes, whose reader index stays and which are not released.
+     * @return the bytes of complete events, empty where there are none; the caller of this method releases them.
      */
-    ByteBuf take(ByteBuf content) {
+    ByteBuf split(ByteBuf content) {
         partial.writeBytes(content, content.readerIndex(), content.readableBytes());
-        int end = endOfEvents();
+        int end = scanEvents();
         if (end == partial.readerIndex()) {
             return Unpooled.EMPTY_BUFFER;
         }
-        ByteBuf whole = Unpooled.copiedBuffer(partial.slice(partial.readerIndex(), end - partial.readerIndex()));
+        ByteBuf complete = Unpooled.copiedBuffer(partial.slice(partial.readerIndex(), end - partial.readerIndex()));
         partial.readerIndex(end);
         partial.discardSomeReadBytes();
-        return whole;
+        return complete;
     }
 
-    /** Returns what has come since the last whole event; the stream ends with it. */
-    ByteBuf rest() {
-        ByteBuf rest = Unpooled.copiedBuffer(partial);
+    /** Removes and returns the bytes after the last complete event, at the end of the stream. */
+    ByteBuf takeRest() {
+        ByteBuf remainder = Unpooled.copiedBuffer(partial);
         partial.clear();
-        return rest;
+        return remainder;
     }
 
-    /** Forgets the half event of a broken stream. */
-    void restart() {
+    /** Discards the partial event of a broken stream. */
+    void discardPartial() {
         partial.clear();
-        pendingId = -1;
+        pendingEventId = -1;
     }
 
-    long lastId() {
-        return lastId;
+    /** Returns the greatest identifier of a complete event, or the initial one. */
+    long lastEventId() {
+        return lastEventId;
     }
 
-    long events() {
-        return events;
+    /** Returns how many complete events were received. */
+    long eventCount() {
+        return eventCount;
     }
 
-    private int endOfEvents() {
+    /** Counts the complete events of the buffered bytes and returns the index after the last one. */
+    private int scanEvents() {
         int end = partial.readerIndex();
         int lineStart = partial.readerIndex();
         for (int index = partial.readerIndex(); index < partial.writerIndex(); index++) {
@@ -74,33 +77,34 @@
             }
             boolean blank = index == lineStart || index == lineStart + 1 && partial.getByte(lineStart) == '\r';
             if (blank) {
-                events++;
-                lastId = Math.max(lastId, pendingId);
+                eventCount++;
+                lastEventId = Math.max(lastEventId, pendingEventId);
                 end = index + 1;
             } else {
-                readId(lineStart, index);
+                readEventId(lineStart, index);
             }
             lineStart = index + 1;
         }
         return end;
     }
 
-    private void readId(int start, int end) {
-        if (end - start <= ID.length) {
+    /** Remembers the identifier of the current event if a line contains one. */
+    private void readEventId(int start, int end) {
+        if (end - start <= ID_FIELD.length) {
             return;
         }
-        for (int offset = 0; offset < ID.length; offset++) {
-            if (partial.getByte(start + offset) != ID[offset]) {
+        for (int offset = 0; offset < ID_FIELD.length; offset++) {
+            if (partial.getByte(start + offset) != ID_FIELD[offset]) {
                 return;
             }
         }
         long number = 0;
-        for (int index = start + ID.length; index < end; index++) {
+        for (int index = start + ID_FIELD.length; index < end; index++) {
             byte digit = partial.getByte(index);
             if (digit >= '0' && digit <= '9') {
                 number = number * 10 + digit - '0';
             }
         }
-        pendingId = number;
+        pendingEventId = number;
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
@@ -6,41 +6,45 @@
 import org.radishspur.node.caller.RetryBudget;
 
 /**
- * Holds the budget of retries for each pool at one entry.
+ * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured limits.
  */
 final class RetryBudgets {
-    /** How many entries share the slack at least, where their number isn't known yet. */
-    private static final int LEAST_ENTRIES = 4;
+    /** The minimum number of entries among which the slack is divided, also while their number isn't known. */
+    private static final int MIN_ENTRIES = 4;
 
     /**
-     * The part of the slack that all entries together may spend at once; the rest covers entries that have restarted, with a
-     * budget of their own each time.
+     * The share of the slack that all entries together may spend in a burst. The rest covers restarted entries, which
+     * start with a new budget each time.
      */
-    private static final double SLACK_PART = 0.8;
+    private static final double BURST_SLACK_SHARE = 0.8;
 
-    /** The part of the allowed share of retries that entries earn by requests; the rest covers windows that begin busy. */
-    private static final double SHARE_PART = 0.5;
+    /**
+     * The share of the configured retry ratio that requests add to a budget. The rest covers measurement windows that
+     * start in the middle of a busy period.
+     */
+    private static final double EARNED_RETRY_SHARE = 0.5;
 
     private final double retryShare;
     private final int retrySlack;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private int entries = LEAST_ENTRIES;
+    private int entries = MIN_ENTRIES;
 
     RetryBudgets(double retryShare, int retrySlack) {
         this.retryShare = retryShare;
         this.retrySlack = retrySlack;
     }
 
+    /** Sets the number of entries, which applies to budgets that are created later. */
     void entries(int number) {
-        entries = Math.max(LEAST_ENTRIES, number);
+        entries = Math.max(MIN_ENTRIES, number);
     }
 
-    /** Returns the budget of a pool. Each entry may spend its part of the slack at once, and earns more by its requests. */
-    RetryBudget of(String pool) {
-        return budgets.computeIfAbsent(pool, name -> new RetryBudget(retryShare * SHARE_PART, atOnce()));
+    /** Returns the budget of a pool. It allows a burst of this entry's share of the slack, and grows with each request. */
+    RetryBudget forPool(String pool) {
+        return budgets.computeIfAbsent(pool, name -> new RetryBudget(retryShare * EARNED_RETRY_SHARE, burst()));
     }
 
-    private int atOnce() {
-        return (int) Math.max(1, Math.round(retrySlack * SLACK_PART / entries));
+    private int burst() {
+        return (int) Math.max(1, Math.round(retrySlack * BURST_SLACK_SHARE / entries));
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -22,14 +22,15 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Carries a request to one upstream and its answer back.
+ * Sends a request to the upstream of one slot and passes its response to the caller. The slot is released at the end of the
+ * attempt, with what the attempt shows about the upstream.
  */
 final class UpstreamAttempt implements UpstreamListener {
-    /** Plain answers up to this size are held until they are whole, so that a broken one can be got again, in bytes. */
-    private static final int HELD_BYTES = 256 << 10;
+    /** Plain responses up to this size, in bytes, are buffered until complete, so that an interrupted one can be retried. */
+    private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
-    /** After so many events a stream tells the pace of an upstream that is not known yet, before its end does. */
-    private static final long FIRST_EVENTS = 6;
+    /** The number of events of a stream after which the event time of a not yet measured upstream is reported early. */
+    private static final long EARLY_REPORT_EVENTS = 6;
 
     private final CallerExchange caller;
     private final EntryServices services;
@@ -39,21 +40,21 @@
     private Phase phase = Phase.CONNECTING;
     private long sentAt;
     private long lastByteAt;
-    private HttpResponse answer;
+    private HttpResponse responseHead;
     private AnswerKind kind;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private boolean answered;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
+    private boolean firstByteReceived;
     private boolean eventTimeReported;
     private long firstByteAt;
-    private long longestPause;
-    private final long eventsBefore;
+    private long longestGapMillis;
+    private final long eventsBeforeAttempt;
 
     UpstreamAttempt(CallerExchange caller, EntryServices services, UpstreamSlot slot) {
         this.caller = caller;
         this.services = services;
         this.slot = slot;
         this.upstream = slot.upstream();
-        this.eventsBefore = caller.splitter().events();
+        this.eventsBeforeAttempt = caller.splitter().eventCount();
     }
 
     void start() {
@@ -72,8 +73,8 @@
             return;
         }
         if (!caller.mayStillBeSent(upstream)) {
-            // Guards against a pause of the whole process while the connection was made: a key may have been revoked
-            // or the failure domain evacuated meanwhile.
+            // A key may have been revoked or the failure domain evacuated while the connection was made, for instance
+            // during a pause of the whole process.
             exchange.abort();
             end(SlotOutcome.UNUSED);
             caller.onOutdated();
@@ -84,7 +85,7 @@
         lastByteAt = sentAt;
         caller.onSent();
         logSent();
-        exchange.write(forwarded());
+        exchange.write(forwardedRequest());
         exchange.read();
     }
 
@@ -97,17 +98,18 @@
                             upstream.upstream().id(),
                             upstream.inProgress(),
                             sentAt - caller.arrivedAt(),
-                            caller.millisLeft(),
+                            caller.remainingMillis(),
                             services.view().revision());
         }
     }
 
-    private FullHttpRequest forwarded() {
+    /** Builds the request to the upstream, which resumes a stream after the last complete event. */
+    private FullHttpRequest forwardedRequest() {
         FullHttpRequest copy = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 caller.request().method(),
                 caller.request().uri(),
-                caller.bodyCopy());
+                caller.retainedBody());
         HttpHeaders headers = copy.headers();
         UpstreamHeaders.INSTANCE.copyEndToEnd(caller.request().headers(), headers);
         boolean hasBody = copy.content().isReadable() || HttpUtil.isContentLengthSet(caller.request());
@@ -116,7 +118,7 @@
             HttpUtil.setContentLength(copy, copy.content().readableBytes());
         }
         long resumeAfter = caller.route().kind() == RequestKind.STREAM
-                ? caller.splitter().lastId()
+                ? caller.splitter().lastEventId()
                 : caller.head().resumeAfter();
         services.dialect()
                 .prepare(
@@ -124,7 +126,7 @@
                         new Forward(
                                 upstream.upstream().id(),
                                 caller.organisation().map(OrganisationRule::name),
-                                caller.millisLeft(),
+                                caller.remainingMillis(),
                                 resumeAfter));
         return copy;
     }
@@ -147,12 +149,12 @@
         }
         kind = services.dialect().judge(response, caller.head().request());
         if (kind == AnswerKind.OTHER_REQUEST) {
-            exchange.skipAnswer();
+            exchange.skipResponse();
             return;
         }
         long now = EntryServices.now();
         lastByteAt = now;
-        answer = response;
+        responseHead = response;
         switch (kind) {
             case SUCCESS -> onSuccess();
             case FAILURE -> onFailure();
@@ -162,39 +164,39 @@
             default -> {
                 exchange.abort();
                 endAnswered(false);
-                caller.onBroken("spoilt");
+                caller.onAttemptFailed("spoilt");
             }
         }
     }
 
     private void onSuccess() {
-        if (passesEvents()) {
-            caller.answer().writeHead(answer, !caller.route().resumable());
+        if (isEventStream()) {
+            caller.response().writeHead(responseHead, !caller.route().resumable());
         } else {
-            held = Unpooled.buffer();
+            buffered = Unpooled.buffer();
         }
     }
 
     private void onFailure() {
-        boolean server = answer.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        if (caller.answer().isHeadWritten()) {
-            // Guards against a short answer that looks complete: the caller has the head and some events of an earlier
-            // run, and the text of a failure behind them would end the answer as if it were whole.
-            endAnswered(!server);
+        boolean serverError = responseHead.status().code() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        if (caller.response().isHeadWritten()) {
+            // The caller has the head and some events from an earlier upstream. An error text after them would make the
+            // truncated response look complete.
+            endAnswered(!serverError);
             exchange.abort();
-            caller.onBroken("failure after the answer had begun");
+            caller.onAttemptFailed("failure after the answer had begun");
             return;
         }
-        if (server && caller.triesElsewhere()) {
+        if (serverError && caller.tryTakeRetry()) {
             endAnswered(false);
             phase = Phase.DRAINING;
-            caller.again("upstream-failure");
+            caller.retry("upstream-failure");
             return;
         }
-        held = Unpooled.buffer();
+        buffered = Unpooled.buffer();
     }
 
-    private boolean passesEvents() {
+    private boolean isEventStream() {
         return kind == AnswerKind.SUCCESS && caller.route().kind() == RequestKind.STREAM;
     }
 
@@ -202,59 +204,61 @@
     @Override
     public void onContent(ByteBuf content) {
         try {
-            if (phase != Phase.RUNNING || answer == null) {
+            if (phase != Phase.RUNNING || responseHead == null) {
                 return;
             }
-            noteBytes();
-            if (passesEvents()) {
-                ByteBuf whole = caller.splitter().take(content);
-                noteFirstEvents();
-                caller.answer().writeContent(caller.route().resumable() ? whole : content.retain());
+            recordBytes();
+            if (isEventStream()) {
+                ByteBuf complete = caller.splitter().split(content);
+                reportFirstEventTime();
+                caller.response().writeContent(caller.route().resumable() ? complete : content.retain());
                 if (!caller.route().resumable()) {
-                    whole.release();
+                    complete.release();
                 }
             } else {
-                hold(content);
+                buffer(content);
             }
         } finally {
             content.release();
         }
     }
 
-    /** Learns the pace of a new upstream in the middle of a stream, so that others needn't wait for its end to be known. */
-    private void noteFirstEvents() {
-        long events = caller.splitter().events() - eventsBefore;
-        if (slot.isEventTimeWanted() && !eventTimeReported && events >= FIRST_EVENTS) {
+    /** Reports the event time of a new upstream in the middle of a stream, so that schedulers know it before the end. */
+    private void reportFirstEventTime() {
+        long events = caller.splitter().eventCount() - eventsBeforeAttempt;
+        if (slot.isEventTimeRequested() && !eventTimeReported && events >= EARLY_REPORT_EVENTS) {
             eventTimeReported = true;
             slot.report(new SlotReport.FirstEventTime((double) (EntryServices.now() - firstByteAt) / (events - 1)));
         }
     }
 
-    private void hold(ByteBuf content) {
-        if (caller.answer().isHeadWritten()) {
-            caller.answer().writeContent(content.retain());
+    /** Buffers a part of a plain response, or writes it to the caller where the response has become too large for that. */
+    private void buffer(ByteBuf content) {
+        if (caller.response().isHeadWritten()) {
+            caller.response().writeContent(content.retain());
             return;
         }
-        held.writeBytes(content);
-        if (held.readableBytes() > HELD_BYTES) {
-            caller.answer().writeHead(answer, true);
-            caller.answer().writeContent(held);
-            held = Unpooled.EMPTY_BUFFER;
+        buffered.writeBytes(content);
+        if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+            caller.response().writeHead(responseHead, true);
+            caller.response().writeContent(buffered);
+            buffered = Unpooled.EMPTY_BUFFER;
         }
     }
 
-    private void noteBytes() {
+    /** Records the arrival of bytes: times and gaps, and the first byte for the scheduler. */
+    private void recordBytes() {
         long now = EntryServices.now();
-        if (answered) {
-            longestPause = Math.max(longestPause, now - lastByteAt);
+        if (firstByteReceived) {
+            longestGapMillis = Math.max(longestGapMillis, now - lastByteAt);
         }
         lastByteAt = now;
         upstream.recordBytes(now);
-        if (!answered) {
-            answered = true;
+        if (!firstByteReceived) {
+            firstByteReceived = true;
             firstByteAt = now;
             slot.report(new SlotReport.FirstByte(now - sentAt));
-            caller.noteFirst(now - sentAt);
+            caller.recordFirstByte(now - sentAt);
         }
     }
 
@@ -262,8 +266,8 @@
     @Override
     public void onPause() {
         if (phase == Phase.RUNNING) {
-            caller.answer().flush();
-            if (caller.answer().isWritable()) {
+            caller.response().flush();
+            if (caller.response().isWritable()) {
                 exchange.read();
             }
         } else if (phase == Phase.DRAINING) {
@@ -271,6 +275,7 @@
         }
     }
 
+    /** Reads more of the response, once the caller has received what was written. */
     void read() {
         if (phase == Phase.RUNNING) {
             exchange.read();
@@ -282,91 +287,94 @@
     public void onEnd() {
         Phase before = phase;
         if (before == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
-            notRun();
+            endNotRun();
             return;
         }
         if (before != Phase.RUNNING) {
             return;
         }
-        boolean good = answer.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        endWhole(good);
-        caller.logAnswered(answer.status().code(), upstream, longestPause);
-        if (passesEvents()) {
-            caller.answer()
-                    .writeContent(caller.route().resumable() ? caller.splitter().rest() : Unpooled.EMPTY_BUFFER);
+        boolean good = responseHead.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        endComplete(good);
+        caller.logAnswered(responseHead.status().code(), upstream, longestGapMillis);
+        if (isEventStream()) {
+            caller.response()
+                    .writeContent(caller.route().resumable() ? caller.splitter().takeRest() : Unpooled.EMPTY_BUFFER);
             caller.writeEnd();
-        } else if (caller.answer().isHeadWritten()) {
+        } else if (caller.response().isHeadWritten()) {
             caller.writeEnd();
         } else {
-            ByteBuf whole = held;
-            held = Unpooled.EMPTY_BUFFER;
-            caller.writeWhole(answer, whole);
+            ByteBuf complete = buffered;
+            buffered = Unpooled.EMPTY_BUFFER;
+            caller.writeFull(responseHead, complete);
         }
     }
 
-    private void notRun() {
+    private void endNotRun() {
         end(kind == AnswerKind.WRONG_INSTANCE ? SlotOutcome.REPLACED : SlotOutcome.NOT_RUN);
         caller.onNotRun(kind == AnswerKind.NOT_RUN ? "not-run" : "wrong-instance", true);
     }
 
-    /** Ends the attempt after a whole answer, with the times that are learnt from a good one. */
-    private void endWhole(boolean good) {
+    /** Ends the attempt after a complete response, and reports the measured times unless it is a failure of the upstream. */
+    private void endComplete(boolean good) {
         if (!good) {
             endAnswered(false);
             return;
         }
         long now = EntryServices.now();
-        long events = passesEvents() ? caller.splitter().events() - eventsBefore : 0;
-        double pace = passesEvents() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
-        noteAnswer(true);
+        long events = isEventStream() ? caller.splitter().eventCount() - eventsBeforeAttempt : 0;
+        double eventMillis = isEventStream() ? (double) (now - firstByteAt) / Math.max(1, events - 1) : now - sentAt;
+        recordResponse(true);
         end(new SlotReport.Ended(
                 SlotOutcome.SUCCESS,
                 now - sentAt,
-                passesEvents() && events <= 1 ? 0 : pace,
-                eventsBefore == 0 ? events : 0,
+                isEventStream() && events <= 1 ? 0 : eventMillis,
+                eventsBeforeAttempt == 0 ? events : 0,
                 caller.expectedTokens()));
     }
 
+    /** Ends the attempt with a success or failure of the upstream, without measured times. */
     private void endAnswered(boolean good) {
-        noteAnswer(good);
+        recordResponse(good);
         end(good ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
     }
 
-    private void noteAnswer(boolean good) {
-        long first = answered ? lastByteAt - sentAt : EntryServices.now() - sentAt;
-        services.onAnswer(upstream.upstream(), caller.route().name(), good, first);
+    /** Counts the response for the version of the upstream, with the time until the last byte so far. */
+    private void recordResponse(boolean good) {
+        long responseMillis = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
+        services.recordResponse(upstream.upstream(), caller.route().name(), good, responseMillis);
     }
 
     /** {@inheritDoc} */
     @Override
     public void onBroken(Throwable cause) {
         if (phase == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
-            notRun();
+            endNotRun();
             return;
         }
         if (phase != Phase.RUNNING) {
             return;
         }
         if (upstream.isNewBreak(EntryServices.now())) {
-            noteAnswer(false);
+            recordResponse(false);
         }
         end(SlotOutcome.BROKEN);
-        caller.onBroken("broken: " + cause.getMessage());
+        caller.onAttemptFailed("broken: " + cause.getMessage());
     }
 
+    /** Returns whether the upstream seems to hang and has sent no part of this response for a while either. */
     boolean isSilent(long now) {
-        boolean waits = phase == Phase.RUNNING && upstream.isSilent(now);
-        return waits && now - lastByteAt > UpstreamLoad.SHORTEST_SILENCE_MILLIS;
+        boolean upstreamSilent = phase == Phase.RUNNING && upstream.isSilent(now);
+        return upstreamSilent && now - lastByteAt > UpstreamLoad.SHORTEST_SILENCE_MILLIS;
     }
 
-    /** Gives the attempt up: cancels the request at the upstream and gives its place back. */
-    void giveUp() {
+    /** Ends the attempt early: cancels the request at the upstream and releases the slot. */
+    void abandon() {
         if (phase == Phase.ENDED) {
             return;
         }
-        boolean drains = phase == Phase.DRAINING;
+        boolean draining = phase == Phase.DRAINING;
         end(phase == Phase.CONNECTING ? SlotOutcome.UNUSED : SlotOutcome.ABANDONED);
-        if (!drains && exchange != null) {
+        if (!draining && exchange != null) {
             exchange.abort();
         }
     }
@@ -380,15 +388,15 @@
         slot.end(ended);
     }
 
-    /** Names how far the attempt is. */
+    /** The phases of an attempt. */
     private enum Phase {
-        /** Nothing was sent yet. */
+        /** The connection is being made; nothing has been sent. */
         CONNECTING,
-        /** The request was sent. */
+        /** The request has been sent, and the response is passed on. */
         RUNNING,
-        /** The rest of an answer comes that nobody is to get. */
+        /** The rest of a response is read and discarded. */
         DRAINING,
-        /** Nothing is to be expected any more. */
+        /** The slot has been released. */
         ENDED
     }
 }
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -16,47 +16,47 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Carries one exchange at a time over one connection.
+ * A connection to an upstream, which carries one exchange at a time.
  *
- * <p>Guards against an answer that reaches the wrong caller: a connection whose exchange did not end cleanly is closed,
- * so that whatever the upstream still sends on it has nobody to reach.
+ * <p>A connection whose exchange did not end cleanly is closed, so that a late response can't reach another caller.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamExchange {
     private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d{1,6})");
 
-    /** How long before the upstream closes an idle connection it is no longer used; covers a slow way there. */
-    private static final long KEEP_MARGIN_MILLIS = 1_000;
+    /** How long before its timeout an idle connection is no longer reused, in milliseconds; covers network delay. */
+    private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
-    private final UpstreamConnections pool;
+    private final UpstreamConnections connections;
     private final String address;
     private Channel channel;
     private UpstreamListener listener;
-    private boolean requestWhole;
-    private boolean answerWhole;
+    private boolean requestComplete;
+    private boolean responseComplete;
     private boolean reusable;
-    private boolean skipping;
-    private long allowedMillis;
+    private boolean skippingResponse;
+    private long maxIdleMillis;
 
-    UpstreamConnection(UpstreamConnections pool, String address) {
+    UpstreamConnection(UpstreamConnections connections, String address) {
         super(false);
-        this.pool = pool;
+        this.connections = connections;
         this.address = address;
     }
 
+    /** Starts an exchange on a new or idle connection. */
     void begin(Channel connected, UpstreamListener receiver) {
         channel = connected;
         listener = receiver;
-        requestWhole = false;
-        answerWhole = false;
+        requestComplete = false;
+        responseComplete = false;
         reusable = true;
-        skipping = false;
-        allowedMillis = Long.MAX_VALUE;
+        skippingResponse = false;
+        maxIdleMillis = Long.MAX_VALUE;
     }
 
     /** {@inheritDoc} */
     @Override
     public ChannelFuture write(HttpObject part) {
-        requestWhole |= part instanceof LastHttpContent;
+        requestComplete |= part instanceof LastHttpContent;
         return channel.writeAndFlush(part);
     }
 
@@ -68,8 +68,8 @@
 
     /** {@inheritDoc} */
     @Override
-    public void skipAnswer() {
-        skipping = true;
+    public void skipResponse() {
+        skippingResponse = true;
         reusable = false;
     }
 
@@ -85,14 +85,14 @@
     /** {@inheritDoc} */
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.forget(address, this);
-        broken(new java.nio.channels.ClosedChannelException());
+        connections.remove(address, this);
+        fail(new java.nio.channels.ClosedChannelException());
     }
 
     /** {@inheritDoc} */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        broken(cause);
+        fail(cause);
         context.close();
     }
 
@@ -109,7 +109,7 @@
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
         if (listener == null || part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
-            broken(new java.net.ProtocolException("unexpected bytes from the upstream"));
+            fail(new java.net.ProtocolException("unexpected bytes from the upstream"));
             context.close();
             return;
         }
@@ -118,45 +118,46 @@
                 return;
             }
             reusable &= HttpUtil.isKeepAlive(response);
-            allowedMillis = keepAliveMillis(response);
+            maxIdleMillis = keepAliveMillis(response);
             listener.onHead(response);
         }
         if (part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
-            if (listener != null && !skipping) {
+            if (listener != null && !skippingResponse) {
                 listener.onContent(content.content());
             } else {
                 content.release();
             }
-            if (last && skipping) {
-                skipping = false;
+            if (last && skippingResponse) {
+                skippingResponse = false;
             } else if (last && listener != null) {
-                end();
+                complete();
             }
         }
     }
 
-    /** Returns for how long the upstream keeps the idle connection, less a margin for a request on its way. */
+    /** Returns how long the idle connection may be reused, in milliseconds: the stated Keep-Alive timeout less a margin. */
     private static long keepAliveMillis(HttpResponse response) {
-        Matcher stated = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
-        return stated.find()
-                ? Math.max(0, Long.parseLong(stated.group(1)) * 1_000 - KEEP_MARGIN_MILLIS)
+        Matcher timeout = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
+        return timeout.find()
+                ? Math.max(0, Long.parseLong(timeout.group(1)) * 1_000 - KEEP_ALIVE_MARGIN_MILLIS)
                 : Long.MAX_VALUE;
     }
 
-    private void end() {
-        answerWhole = true;
+    /** Ends the exchange, and keeps the connection for reuse where request and response are complete. */
+    private void complete() {
+        responseComplete = true;
         UpstreamListener receiver = listener;
         listener = null;
-        if (requestWhole && answerWhole && reusable) {
-            pool.keep(address, this, channel, allowedMillis);
+        if (requestComplete && responseComplete && reusable) {
+            connections.returnIdle(address, this, channel, maxIdleMillis);
         } else {
             channel.close();
         }
         receiver.onEnd();
     }
 
-    private void broken(Throwable cause) {
+    private void fail(Throwable cause) {
         UpstreamListener receiver = listener;
         listener = null;
         if (receiver != null) {
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -17,75 +17,75 @@
 import org.radishspur.model.table.UpstreamRow;
 
 /**
- * Decides which engine gets a request, and when.
+ * Decides when each request is dispatched, and to which engine.
  */
 interface Dispatcher {
 
     /**
-     * Takes a request.
+     * Handles the arrival of a request.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    void arrive(Arrival arrival, long now);
+    void onArrival(Arrival arrival, long now);
 
     /**
-     * Learns that the first token of an answer came.
+     * Handles the first token of an answer.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    default void firstToken(Arrival arrival, long now) {}
+    default void onFirstToken(Arrival arrival, long now) {}
 
     /**
-     * Learns that an engine could not be reached, so that the request provably did not run.
+     * Handles an attempt whose engine could not be reached, so that the request provably did not run.
      *
      * @param arrival the request.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    default void unreachable(Arrival arrival, long now) {
-        arrive(arrival, now);
+    default void onUnreachable(Arrival arrival, long now) {
+        onArrival(arrival, now);
     }
 
     /**
-     * Learns how an attempt ended.
+     * Handles the end of an attempt.
      *
      * @param arrival the request.
      * @param ending how it ended.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    default void ended(Arrival arrival, PermitOutcome.Ending ending, long now) {}
+    default void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {}
 
     /**
-     * Takes an engine's report of its load, which is old.
+     * Handles an engine's load report, which is out of date when it arrives.
      *
      * @param engine the name of the engine.
      * @param running the number of requests that it ran.
      * @param waiting the number of requests that waited inside it.
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    default void reported(String engine, int running, int waiting, long now) {}
+    default void onLoadReport(String engine, int running, int waiting, long now) {}
 
     /**
-     * Lets time pass.
+     * Handles a clock tick.
      *
-     * @param now the clock in microseconds.
+     * @param now the current virtual time in microseconds.
      */
-    default void tick(long now) {}
+    default void onTick(long now) {}
 
     /**
-     * Carries out what a dispatcher decides.
+     * Gives a dispatcher its engines and carries out its decisions.
      */
-    interface Floor {
+    interface EnginePool {
         /**
-         * Returns the engines that don't lie down.
+         * Returns the engines that are up.
          *
          * @return the engines.
          */
-        List<FakeEngine> engines();
+        List<SimulatedEngine> engines();
 
         /**
-         * Gives a request to an engine.
+         * Dispatches a request to an engine.
          *
          * @param arrival the request.
          * @param engine the name of the engine.
@@ -93,7 +93,7 @@
         void dispatch(Arrival arrival, String engine);
 
         /**
-         * Refuses a request for good.
+         * Refuses a request, which is not retried.
          *
          * @param arrival the request.
          */
@@ -101,63 +101,64 @@
     }
 
     /**
-     * Gives requests to the engines in turn.
+     * Dispatches requests to the engines in turn.
      */
     final class RoundRobin implements Dispatcher {
-        private final Floor floor;
+        private final EnginePool pool;
         private int next;
 
-        RoundRobin(Floor floor) {
-            this.floor = floor;
+        RoundRobin(EnginePool pool) {
+            this.pool = pool;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            List<FakeEngine> engines = floor.engines();
-            floor.dispatch(arrival, engines.get(next++ % engines.size()).name());
+        public void onArrival(Arrival arrival, long now) {
+            List<SimulatedEngine> engines = pool.engines();
+            pool.dispatch(arrival, engines.get(next++ % engines.size()).name());
         }
     }
 
     /**
-     * Gives each request to the engine with the fewest requests that have not come back.
+     * Dispatches each request to the engine with the fewest outstanding requests.
      */
     final class LeastOutstanding implements Dispatcher {
-        private final Floor floor;
+        private final EnginePool pool;
 
-        LeastOutstanding(Floor floor) {
-            this.floor = floor;
+        LeastOutstanding(EnginePool pool) {
+            this.pool = pool;
         }
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            FakeEngine least = floor.engines().stream()
-                    .min(Comparator.comparingInt(FakeEngine::load))
+        public void onArrival(Arrival arrival, long now) {
+            SimulatedEngine leastLoaded = pool.engines().stream()
+                    .min(Comparator.comparingInt(SimulatedEngine::outstandingRequests))
                     .orElseThrow();
-            floor.dispatch(arrival, least.name());
+            pool.dispatch(arrival, leastLoaded.name());
         }
     }
 
     /**
-     * Asks the scheduler of the product.
+     * Dispatches as the product's scheduler decides.
      */
     final class Scheduled implements Dispatcher {
         private static final int QUEUE_LIMIT = 2_000;
-        private static final long ATTEMPT_STEP = 1_000_000;
+        /** Keeps the permit ids of a request's attempts apart; more than the requests of a workload. */
+        private static final long SEQUENCES_PER_ATTEMPT = 1_000_000;
 
-        private final Floor floor;
+        private final EnginePool pool;
         private final PoolScheduler scheduler;
         private final Map<PermitId, Arrival> arrivals = new HashMap<>();
         private final Map<Integer, Integer> attempts = new HashMap<>();
         private final Map<Integer, Long> dispatchedAt = new HashMap<>();
         private final Map<Integer, Long> firstTokenAt = new HashMap<>();
 
-        Scheduled(Floor floor, SchedulerOptions options, int concurrencyLimit) {
-            this.floor = floor;
-            List<UpstreamRow> rows = floor.engines().stream()
+        Scheduled(EnginePool pool, SchedulerOptions options, int concurrencyLimit) {
+            this.pool = pool;
+            List<UpstreamRow> rows = pool.engines().stream()
                     .map(engine -> new UpstreamRow(
-                            engine.name(), "127.0.0.1:1", "domain", "speed-" + engine.usualSpeed(), false))
+                            engine.name(), "127.0.0.1:1", "domain", "speed-" + engine.normalSpeed(), false))
                     .toList();
             PoolRow row = new PoolRow("pool", PoolKind.ENGINE, rows, QUEUE_LIMIT, concurrencyLimit, Map.of());
             scheduler = new PoolScheduler(row, options, "experiment");
@@ -165,8 +166,8 @@
 
         /** {@inheritDoc} */
         @Override
-        public void arrive(Arrival arrival, long now) {
-            PermitId id = idOf(arrival);
+        public void onArrival(Arrival arrival, long now) {
+            PermitId id = permitIdOf(arrival);
             arrivals.put(id, arrival);
             scheduler.arrive(
                     new PermitRequest(
@@ -178,65 +179,67 @@
                             new Work(arrival.promptTokens(), arrival.announcedTokens(), arrival.blocks()),
                             "request-" + arrival.number()),
                     now);
-            carryOut(now);
+            applyDecisions(now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void unreachable(Arrival arrival, long now) {
-            scheduler.finish(idOf(arrival), PermitOutcome.of(PermitOutcome.Ending.UNREACHABLE), now);
+        public void onUnreachable(Arrival arrival, long now) {
+            scheduler.finish(permitIdOf(arrival), PermitOutcome.of(PermitOutcome.Ending.UNREACHABLE), now);
             attempts.merge(arrival.number(), 1, Integer::sum);
-            arrive(arrival, now);
+            onArrival(arrival, now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void firstToken(Arrival arrival, long now) {
+        public void onFirstToken(Arrival arrival, long now) {
             firstTokenAt.put(arrival.number(), now);
-            scheduler.firstToken(idOf(arrival), now);
+            scheduler.firstToken(permitIdOf(arrival), now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void ended(Arrival arrival, PermitOutcome.Ending ending, long now) {
-            long dispatched = dispatchedAt.getOrDefault(arrival.number(), now);
-            long first = firstTokenAt.getOrDefault(arrival.number(), dispatched) - dispatched;
+        public void onEnd(Arrival arrival, PermitOutcome.Ending ending, long now) {
+            long startedAt = dispatchedAt.getOrDefault(arrival.number(), now);
+            long firstTokenMicros = firstTokenAt.getOrDefault(arrival.number(), startedAt) - startedAt;
             if (ending == PermitOutcome.Ending.CANCELLED) {
-                scheduler.cancel(idOf(arrival), now);
+                scheduler.cancel(permitIdOf(arrival), now);
             } else {
                 scheduler.finish(
-                        idOf(arrival), new PermitOutcome(ending, first, now - dispatched, arrival.outputTokens()), now);
+                        permitIdOf(arrival),
+                        new PermitOutcome(ending, firstTokenMicros, now - startedAt, arrival.outputTokens()),
+                        now);
             }
-            carryOut(now);
+            applyDecisions(now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void reported(String engine, int running, int waiting, long now) {
+        public void onLoadReport(String engine, int running, int waiting, long now) {
             scheduler.loadReported(engine, running, waiting, now);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void tick(long now) {
-            carryOut(now);
+        public void onTick(long now) {
+            applyDecisions(now);
         }
 
-        private void carryOut(long now) {
+        private void applyDecisions(long now) {
             for (PermitAction action : scheduler.decide(now)) {
                 if (action instanceof PermitAction.Grant grant) {
                     Arrival arrival = arrivals.get(grant.id());
                     dispatchedAt.put(arrival.number(), now);
-                    floor.dispatch(arrival, grant.upstream());
+                    pool.dispatch(arrival, grant.upstream());
                 } else if (action instanceof PermitAction.Refuse refuse) {
-                    floor.refuse(arrivals.get(refuse.id()));
+                    pool.refuse(arrivals.get(refuse.id()));
                 }
             }
         }
 
-        private PermitId idOf(Arrival arrival) {
+        private PermitId permitIdOf(Arrival arrival) {
             long attempt = attempts.getOrDefault(arrival.number(), 0);
-            return new PermitId("entry", 1, arrival.number() + attempt * ATTEMPT_STEP);
+            return new PermitId("entry", 1, arrival.number() + attempt * SEQUENCES_PER_ATTEMPT);
         }
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadCommand.java
@@ -7,33 +7,36 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures calls against an address, optionally in turn with calls against another one.
+ * Measures the latency of calls to an address, optionally against that of a baseline address called in alternation.
  */
 @Command(name = "load", mixinStandardHelpOptions = true)
 public final class LoadCommand implements Callable<Integer> {
     @Option(names = "--target", required = true, description = "The address to call.")
     private String target;
 
-    @Option(names = "--baseline", description = "An address to call in turn with the target.")
+    @Option(names = "--baseline", description = "An address to call in alternation with the target, for comparison.")
     private String baseline;
 
     @Option(names = "--path", defaultValue = "/", description = "The path to call.")
     private String path;
 
-    @Option(names = "--connections", defaultValue = "1", description = "Connections that each call in a closed loop.")
+    @Option(
+            names = "--connections",
+            defaultValue = "1",
+            description = "Connections; each waits for an answer before its next call.")
     private int connections;
 
     @Option(names = "--requests", defaultValue = "2000", description = "Calls in each round.")
     private int requests;
 
-    @Option(names = "--rounds", defaultValue = "5", description = "Rounds, the first of which is not counted.")
+    @Option(names = "--rounds", defaultValue = "5", description = "Rounds; the first one warms up and is not counted.")
     private int rounds;
 
     @Option(names = "--tokens", defaultValue = "1", description = "Tokens to ask for in each answer.")
     private int tokens;
 
     @Option(names = "--keys", description = "Send an idempotency key with each call.")
-    private boolean keys;
+    private boolean idempotencyKeys;
 
     /** {@inheritDoc} */
     @Override
@@ -42,7 +45,7 @@
         LoadResult baselines = new LoadResult();
         try (LoadClient client = new LoadClient()) {
             for (int round = 0; round < rounds; round++) {
-                LoadClient.Plan plan = new LoadClient.Plan(path, connections, requests, tokens, keys);
+                LoadClient.Plan plan = new LoadClient.Plan(path, connections, requests, tokens, idempotencyKeys);
                 LoadResult fromTarget = client.run(target, plan);
                 LoadResult fromBaseline = baseline == null ? new LoadResult() : client.run(baseline, plan);
                 if (round > 0) {
@@ -57,10 +60,10 @@
             System.out.printf(
                     Locale.ROOT,
                     "added     p50 %d us (ratio %.2f), p99 %d us (ratio %.2f)%n",
-                    targets.micros(50) - baselines.micros(50),
-                    targets.micros(50) / (double) Math.max(1, baselines.micros(50)),
-                    targets.micros(99) - baselines.micros(99),
-                    targets.micros(99) / (double) Math.max(1, baselines.micros(99)));
+                    targets.latencyMicros(50) - baselines.latencyMicros(50),
+                    targets.latencyMicros(50) / (double) Math.max(1, baselines.latencyMicros(50)),
+                    targets.latencyMicros(99) - baselines.latencyMicros(99),
+                    targets.latencyMicros(99) / (double) Math.max(1, baselines.latencyMicros(99)));
         }
         return targets.failures() == 0 ? 0 : 1;
     }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures what a claim and an edit cost in the state machine: time, heap and snapshot.
+ * Measures what claims and edits cost in the state machine: time, heap and snapshot size.
  */
 @Command(name = "state", mixinStandardHelpOptions = true)
 final class MeasureState implements Callable<Integer> {
@@ -44,7 +44,7 @@
             samples.add(System.nanoTime() - beganAt);
         }
         long heap = (Samples.usedHeap() - before) / claims;
-        report("claims", claims, samples, heap, state);
+        printResults("claims", claims, samples, heap, state);
     }
 
     private static void measureEdits(int edits) {
@@ -62,10 +62,10 @@
             samples.add(System.nanoTime() - beganAt);
         }
         long heap = (Samples.usedHeap() - before) / edits;
-        report("edits over 500 rows", edits, samples, heap, state);
+        printResults("edits over 500 rows", edits, samples, heap, state);
     }
 
-    private static void report(String what, int count, Samples samples, long heap, ControlState state) {
+    private static void printResults(String label, int count, Samples samples, long heap, ControlState state) {
         long beganAt = System.nanoTime();
         ControlState.Image image = state.image();
         long copiedAt = System.nanoTime();
@@ -78,7 +78,7 @@
                 "%d %s: apply p50 %.1f us, %d bytes of heap each; snapshot of %d bytes copied in %.1f ms,"
                         + " encoded in %.0f ms, restored in %.0f ms%n",
                 count,
-                what,
+                label,
                 samples.medianMicros(),
                 heap,
                 encoded.length,
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -10,11 +10,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * Prints how moves to versions of every kind end, at different rates of requests.
+ * Prints how simulated moves to versions of every kind end, at several request rates, by the product's policy and by a
+ * canary of fixed steps.
+ *
+ * <p>In the table, {@code inTime} counts good versions whose move completed in time, {@code takenBack} bad versions that
+ * were taken back, and {@code wrongly} good versions that were taken back. {@code ofWindow} is the mean of the requests
+ * to the new version as a share of those expected in the window. {@code after2s} counts the requests to bad versions
+ * later than two seconds after their first fault.
  */
 @Command(name = "moves", mixinStandardHelpOptions = true)
 public final class MoveCommand implements Callable<Integer> {
-    private static final double[] RATES = {5, 50, 500};
+    private static final double[] REQUESTS_PER_MINUTE = {5, 50, 500};
     private static final double WINDOW_MINUTES = 60;
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -22,7 +28,7 @@
     private long firstSeed;
 
     @Option(names = "--seeds", defaultValue = "40", description = "How many moves of each kind and rate.")
-    private int seeds;
+    private int movesPerRate;
 
     /** {@inheritDoc} */
     @Override
@@ -31,19 +37,19 @@
                 + "  after2s  medianTakeBack(s)");
         int moves = 0;
         for (VersionKind kind : VersionKind.values()) {
-            for (double rate : RATES) {
-                print(kind, rate, "ours", run(kind, rate, MoveTrial::run));
-                print(kind, rate, "canary", run(kind, rate, MoveTrial::runFixedCanary));
-                moves += seeds;
+            for (double rate : REQUESTS_PER_MINUTE) {
+                print(kind, rate, "ours", runTrials(kind, rate, MoveTrial::run));
+                print(kind, rate, "canary", runTrials(kind, rate, MoveTrial::runFixedCanary));
+                moves += movesPerRate;
             }
         }
         System.out.println(moves + " moves by each policy");
         return 0;
     }
 
-    private List<MoveOutcome> run(VersionKind kind, double rate, Function<MoveTrial, MoveOutcome> policy) {
+    private List<MoveOutcome> runTrials(VersionKind kind, double rate, Function<MoveTrial, MoveOutcome> policy) {
         List<MoveOutcome> outcomes = new ArrayList<>();
-        for (int trial = 0; trial < seeds; trial++) {
+        for (int trial = 0; trial < movesPerRate; trial++) {
             boolean secondRoute = kind == VersionKind.FAILS_ON_ONE_ROUTE && trial % 2 == 0;
             outcomes.add(policy.apply(new MoveTrial(kind, rate, secondRoute, firstSeed + trial)));
         }
@@ -51,27 +57,27 @@
     }
 
     private static void print(VersionKind kind, double rate, String policy, List<MoveOutcome> outcomes) {
-        long bad = outcomes.stream().filter(MoveOutcome::bad).count();
+        long bad = outcomes.stream().filter(MoveOutcome::badVersion).count();
         long good = outcomes.size() - bad;
         long inTime = outcomes.stream()
-                .filter(outcome -> !outcome.bad() && outcome.completedInTime() && !outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.completedInTime() && !outcome.takenBack())
                 .count();
         long takenBack = outcomes.stream()
-                .filter(outcome -> outcome.bad() && outcome.takenBack())
+                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
                 .count();
         long wrongly = outcomes.stream()
-                .filter(outcome -> !outcome.bad() && outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.takenBack())
                 .count();
         double shareToNew = outcomes.stream()
                 .mapToDouble(outcome -> outcome.toNew() / (rate * WINDOW_MINUTES))
                 .average()
                 .orElse(0);
-        long after = outcomes.stream()
-                .filter(MoveOutcome::bad)
+        long afterFirstFault = outcomes.stream()
+                .filter(MoveOutcome::badVersion)
                 .mapToLong(MoveOutcome::afterFirstFault)
                 .sum();
         double median = outcomes.stream()
-                .filter(outcome -> outcome.bad() && outcome.takenBack())
+                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
                 .mapToLong(MoveOutcome::takeBackMillis)
                 .sorted()
                 .skip(takenBack / 2)
@@ -89,7 +95,7 @@
                 bad,
                 wrongly,
                 shareToNew,
-                after,
+                afterFirstFault,
                 median / MILLIS_PER_SECOND);
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ExploreCommand.java
@@ -8,20 +8,23 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs schedules with fresh seeds for as long as one likes, and names the seed of the first one that fails.
+ * Runs schedules with random seeds for a given time, and prints the seed of the first one that fails.
  */
 @Command(name = "explore", mixinStandardHelpOptions = true)
 public final class ExploreCommand implements Callable<Integer> {
-    private static final int GREATEST_SIZE = 5;
-    private static final int LEAST_SIZE = 3;
+    private static final int MAXIMUM_REPLICAS = 5;
+    private static final int MINIMUM_REPLICAS = 3;
 
-    @Option(names = "--seconds", defaultValue = "60", description = "How long to go on.")
+    @Option(names = "--seconds", defaultValue = "60", description = "How long to run, in seconds.")
     private long seconds;
 
     @Option(names = "--seed", description = "Run only this seed.")
-    private Long only;
+    private Long onlySeed;
 
-    @Option(names = "--faulty-millis", defaultValue = "20000", description = "How long faults strike, in virtual time.")
+    @Option(
+            names = "--faulty-millis",
+            defaultValue = "20000",
+            description = "How long faults occur, in milliseconds of virtual time.")
     private long faultyMillis;
 
     /** {@inheritDoc} */
@@ -33,8 +36,9 @@
         long steps = 0;
         long commits = 0;
         while (System.nanoTime() < until) {
-            long seed = only != null ? only : ThreadLocalRandom.current().nextLong();
-            int size = seed % 2 == 0 ? LEAST_SIZE : GREATEST_SIZE;
+            long seed =
+                    onlySeed != null ? onlySeed : ThreadLocalRandom.current().nextLong();
+            int size = seed % 2 == 0 ? MINIMUM_REPLICAS : MAXIMUM_REPLICAS;
             try {
                 ReplicaSchedule.Outcome outcome = new ReplicaSchedule(seed, size, FaultRates.HARSH).run(faultyMillis);
                 schedules++;
@@ -45,12 +49,12 @@
                 failure.printStackTrace(System.out);
                 return 1;
             }
-            if (only != null) {
+            if (onlySeed != null) {
                 break;
             }
         }
         System.out.println(schedules + " schedules, " + steps + " steps, " + commits + " commits in "
-                + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt) + " ms: all held");
+                + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAt) + " ms: no invariant violated");
         return 0;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -27,16 +27,16 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Runs one random schedule: replicas, clients that race and resend, and faults; then an end without faults, in which
- * the replicas must recover.
+ * Simulates replicas under one random schedule of faults, with clients that send conflicting requests and resend edits.
+ * A phase without faults follows, in which the replicas must recover.
  */
 public final class ReplicaSchedule implements SimulatedReplica.World {
     private static final long LEASE_MILLIS = 220;
     private static final long TICK_MILLIS = 10;
-    private static final long CLIENT_MILLIS = 15;
-    private static final long FAULT_MILLIS = 200;
-    private static final long STARTS_AT = 10_000;
-    private static final long HEAL_MILLIS = 12_000;
+    private static final long CLIENT_INTERVAL_MILLIS = 15;
+    private static final long FAULT_INTERVAL_MILLIS = 200;
+    private static final long START_MILLIS = 10_000;
+    private static final long RECOVERY_MILLIS = 12_000;
     private static final int POOLS = 4;
     private static final int KEYS = 40;
 
@@ -45,22 +45,22 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, SimulatedReplica> replicas = new TreeMap<>();
     private final SafetyObserver observer = new SafetyObserver();
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final List<TableEdit> sentEdits = new ArrayList<>();
     private final int size;
-    private long now = STARTS_AT;
+    private long now = START_MILLIS;
     private long sequence;
     private long steps;
-    private int identities;
-    private int edits;
-    private boolean faulty = true;
+    private int lastIdentity;
+    private int lastEdit;
+    private boolean faultsActive = true;
 
     /**
-     * Prepares a schedule.
+     * Prepares a schedule whose leaders answer reads under a lease.
      *
-     * @param seed decides everything that is random.
+     * @param seed the seed of all random decisions.
      * @param size the number of replicas.
-     * @param rates how often each fault strikes.
+     * @param rates how often each fault occurs.
      */
     public ReplicaSchedule(long seed, int size, FaultRates rates) {
         this(seed, size, rates, LEASE_MILLIS);
@@ -69,10 +69,11 @@
     /**
      * Prepares a schedule.
      *
-     * @param seed decides everything that happens.
+     * @param seed the seed of all random decisions.
      * @param size the number of replicas.
-     * @param rates how often faults happen.
-     * @param leaseMillis how long a leader reads under a lease, or 0 where a majority confirms each read.
+     * @param rates how often each fault occurs.
+     * @param leaseMillis how long a leader answers reads under a lease, in milliseconds, or 0 if a majority confirms each
+     *     read.
      */
     public ReplicaSchedule(long seed, int size, FaultRates rates, long leaseMillis) {
         this.random = new Random(seed);
@@ -97,28 +98,30 @@
     }
 
     /**
-     * Runs the schedule to its end.
+     * Runs the schedule to its end and checks the invariants throughout.
      *
-     * @param faultyMillis how long faults strike.
-     * @return how much happened.
+     * @param faultyMillis how long faults occur, in milliseconds of virtual time.
+     * @return counts of what happened.
+     * @throws Violation if an invariant was violated.
      */
     public Outcome run(long faultyMillis) {
         replicas.values().forEach(SimulatedReplica::start);
         schedule(this::tick, TICK_MILLIS);
-        schedule(this::client, CLIENT_MILLIS);
-        schedule(this::strike, FAULT_MILLIS);
-        advance(STARTS_AT + faultyMillis);
-        heal();
-        long before = observer.commits();
-        advance(now + HEAL_MILLIS);
-        checkRecovered(before);
-        return new Outcome(steps, observer.commits(), observer.answers().size(), observer.grants());
+        schedule(this::sendClientRequest, CLIENT_INTERVAL_MILLIS);
+        schedule(this::injectFaults, FAULT_INTERVAL_MILLIS);
+        runUntil(START_MILLIS + faultyMillis);
+        endFaults();
+        long commitIndexBefore = observer.highestCommitIndex();
+        runUntil(now + RECOVERY_MILLIS);
+        checkRecovered(commitIndexBefore);
+        return new Outcome(
+                steps, observer.highestCommitIndex(), observer.answers().size(), observer.grants());
     }
 
-    private void advance(long until) {
-        while (!events.isEmpty() && events.peek().at() <= until) {
+    private void runUntil(long until) {
+        while (!events.isEmpty() && events.peek().dueAt() <= until) {
             Event event = events.remove();
-            now = Math.max(now, event.at());
+            now = Math.max(now, event.dueAt());
             steps++;
             event.action().run();
         }
@@ -130,106 +133,106 @@
         schedule(this::tick, TICK_MILLIS);
     }
 
-    private void client() {
-        schedule(this::client, CLIENT_MILLIS);
+    private void sendClientRequest() {
+        schedule(this::sendClientRequest, CLIENT_INTERVAL_MILLIS);
         List<SimulatedReplica> running =
                 replicas.values().stream().filter(SimulatedReplica::isRunning).toList();
         if (running.isEmpty()) {
             return;
         }
-        SimulatedReplica asked = running.get(random.nextInt(running.size()));
+        SimulatedReplica target = running.get(random.nextInt(running.size()));
         for (SimulatedReplica candidate : running) {
             if (candidate.replica().core().role() == Role.LEADER && random.nextInt(4) > 0) {
-                asked = candidate;
+                target = candidate;
             }
         }
         if (random.nextBoolean()) {
-            edit(asked);
+            sendEdit(target);
         } else {
-            claim(asked);
+            sendClaim(target);
         }
-        asked.step();
+        target.step();
     }
 
-    private void edit(SimulatedReplica asked) {
+    private void sendEdit(SimulatedReplica target) {
         boolean resend = !sentEdits.isEmpty() && random.nextInt(4) == 0;
-        TableEdit edit = resend ? sentEdits.get(random.nextInt(sentEdits.size())) : newEdit(asked);
+        TableEdit edit = resend ? sentEdits.get(random.nextInt(sentEdits.size())) : newEdit(target);
         if (!resend) {
             sentEdits.add(edit);
         }
-        asked.replica()
+        target.replica()
                 .propose(
                         new ControlCommand.ApplyEdit(edit, now),
                         end -> {
                             if (end instanceof Proposal.Committed committed
                                     && committed.answer() instanceof ControlAnswer.OfEdit answer) {
-                                observer.edited(edit.changeId(), answer.answer());
+                                observer.recordEditAnswer(edit.changeId(), answer.answer());
                             }
                         },
-                        asked.clock());
+                        target.clock());
     }
 
-    /** Makes an edit that expects what the asked replica knows, so that racing edits expect equal revisions. */
-    private TableEdit newEdit(SimulatedReplica asked) {
+    /** Makes an edit that expects the revision known to the given replica, so that concurrent edits expect the same revision. */
+    private TableEdit newEdit(SimulatedReplica target) {
         String pool = "pool-" + random.nextInt(POOLS);
-        edits++;
-        PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), edits, 1, Map.of());
-        var present = asked.replica().state().tables().tables().pools().get(pool);
+        lastEdit++;
+        PoolRow row = new PoolRow(pool, PoolKind.SERVICE, List.of(), lastEdit, 1, Map.of());
+        var present = target.replica().state().tables().tables().pools().get(pool);
         long revision = present == null ? 0 : present.revision();
-        return new TableEdit("change-" + edits, List.of(new RowChange.PutPool(row, revision)));
+        return new TableEdit("change-" + lastEdit, List.of(new RowChange.PutPool(row, revision)));
     }
 
-    private void claim(SimulatedReplica asked) {
+    private void sendClaim(SimulatedReplica target) {
         RequestKey key = new RequestKey("organisation", "key-" + random.nextInt(KEYS));
         ClaimHolder holder = new ClaimHolder("entry-" + random.nextInt(3), 1, random.nextInt(KEYS));
         ControlCommand command = new ControlCommand.Claim(key, "same", holder, now);
-        asked.replica()
+        target.replica()
                 .propose(
                         command,
                         end -> {
                             if (end instanceof Proposal.Committed committed
                                     && committed.answer() instanceof ControlAnswer.OfClaim answer
                                     && answer.answer() instanceof ClaimAnswer.Granted) {
-                                observer.granted(key.key(), holder);
+                                observer.recordGrant(key.key(), holder);
                             }
                         },
-                        asked.clock());
+                        target.clock());
     }
 
-    private void strike() {
-        if (!faulty) {
+    private void injectFaults() {
+        if (!faultsActive) {
             return;
         }
-        schedule(this::strike, FAULT_MILLIS);
+        schedule(this::injectFaults, FAULT_INTERVAL_MILLIS);
         if (random.nextDouble() < rates.crash()) {
             crashOne();
         }
         if (random.nextDouble() < rates.freeze()) {
-            SimulatedReplica frozen = any();
+            SimulatedReplica frozen = randomReplica();
             frozen.freeze();
             schedule(frozen::thaw, 50 + random.nextInt(1_500));
         }
-        if (random.nextDouble() < rates.cut()) {
-            cutOne();
+        if (random.nextDouble() < rates.partition()) {
+            partitionOne();
         }
     }
 
     private void crashOne() {
-        SimulatedReplica crashed = any();
+        SimulatedReplica crashed = randomReplica();
         crashed.crash();
-        // Only one disk may be lost at a time: a majority that loses its disks has nothing to recover from.
-        if (random.nextDouble() < rates.diskLoss() && isConfigurationWhole(crashed)) {
-            crashed.loseDisk(crashed.node() + "#" + ++identities);
+        // At most one disk is lost at a time: a majority that lost its disks would have nothing to recover from.
+        if (random.nextDouble() < rates.diskLoss() && canLoseDisk(crashed)) {
+            crashed.loseDisk(crashed.node() + "#" + ++lastIdentity);
         }
         schedule(crashed::start, 20 + random.nextInt(1_000));
     }
 
-    /** Returns whether a majority of the voters would still have their disks, were one more to be lost. */
-    private boolean isConfigurationWhole(SimulatedReplica losing) {
+    /** Returns whether a replica may lose its disk: every other voter still has its disk, and no membership change is open. */
+    private boolean canLoseDisk(SimulatedReplica crashed) {
         Configuration latest = latestConfiguration();
         Set<String> present = new TreeSet<>();
         replicas.values().stream()
-                .filter(replica -> replica != losing)
+                .filter(replica -> replica != crashed)
                 .map(SimulatedReplica::identity)
                 .forEach(present::add);
         long kept = latest.voters().stream().filter(present::contains).count();
@@ -251,37 +254,37 @@
         return latest;
     }
 
-    private void cutOne() {
-        String from = any().node();
+    private void partitionOne() {
+        String from = randomReplica().node();
         boolean oneWay = random.nextBoolean();
-        List<String> made = new ArrayList<>();
+        List<String> newCuts = new ArrayList<>();
         for (String other : replicas.keySet()) {
             if (!other.equals(from) && random.nextInt(3) > 0) {
-                made.add(from + other);
+                newCuts.add(from + other);
                 if (!oneWay) {
-                    made.add(other + from);
+                    newCuts.add(other + from);
                 }
             }
         }
-        cuts.addAll(made);
-        schedule(() -> cuts.removeAll(made), 100 + random.nextInt(2_500));
+        cutLinks.addAll(newCuts);
+        schedule(() -> cutLinks.removeAll(newCuts), 100 + random.nextInt(2_500));
     }
 
-    private void heal() {
-        faulty = false;
-        cuts.clear();
+    private void endFaults() {
+        faultsActive = false;
+        cutLinks.clear();
         replicas.values().forEach(replica -> {
             while (replica.replica() != null && !replica.isRunning()) {
                 replica.thaw();
             }
             replica.start();
         });
-        repair();
+        replaceBlankReplicasRepeatedly();
     }
 
-    /** Does what an operator does after a disk was lost: asks the leader to let the blank replica take its place. */
-    private void repair() {
-        schedule(this::repair, FAULT_MILLIS);
+    /** Replaces lost replicas, as an operator does: asks the leader to let the blank replica take the lost one's place. */
+    private void replaceBlankReplicasRepeatedly() {
+        schedule(this::replaceBlankReplicasRepeatedly, FAULT_INTERVAL_MILLIS);
         for (SimulatedReplica leader : replicas.values()) {
             if (!leader.isRunning() || leader.replica().core().role() != Role.LEADER) {
                 continue;
@@ -300,8 +303,8 @@
         }
     }
 
-    private void checkRecovered(long before) {
-        if (observer.commits() <= before) {
+    private void checkRecovered(long commitIndexBefore) {
+        if (observer.highestCommitIndex() <= commitIndexBefore) {
             throw new Violation(Violation.Invariant.NO_PROGRESS, "nothing was committed after the faults had ended");
         }
         List<SimulatedReplica> running = List.copyOf(replicas.values());
@@ -314,25 +317,26 @@
                 }
             });
             for (SimulatedReplica other : running) {
-                observer.checkMatching(replica.replica().core(), other.replica().core());
+                observer.checkLogMatching(
+                        replica.replica().core(), other.replica().core());
             }
         }
-        boolean whole = running.stream()
+        boolean allVoters = running.stream()
                 .allMatch(replica -> latestConfiguration().voters().contains(replica.identity()));
-        if (!whole) {
+        if (!allVoters) {
             throw new Violation(
                     Violation.Invariant.NO_PROGRESS,
                     "a lost replica was not replaced: " + latestConfiguration()
                             + running.stream()
-                                    .map(r -> r.identity() + " "
-                                            + r.replica().core().role() + " c"
-                                            + r.replica().core().commitIndex() + " l"
-                                            + r.replica().core().lastIndex())
+                                    .map(replica -> replica.identity() + " "
+                                            + replica.replica().core().role() + " commit index "
+                                            + replica.replica().core().commitIndex() + " last index "
+                                            + replica.replica().core().lastIndex())
                                     .toList());
         }
     }
 
-    private SimulatedReplica any() {
+    private SimulatedReplica randomReplica() {
         List<SimulatedReplica> all = List.copyOf(replicas.values());
         return all.get(random.nextInt(all.size()));
     }
@@ -346,7 +350,7 @@
     /** {@inheritDoc} */
     @Override
     public long writeDelay() {
-        return random.nextInt(rates.longestWriteMillis());
+        return random.nextInt(rates.maximumWriteMillis());
     }
 
     /** {@inheritDoc} */
@@ -358,20 +362,20 @@
     /** {@inheritDoc} */
     @Override
     public void send(SimulatedReplica from, String to, RaftMessage message) {
-        if (faulty && random.nextDouble() < rates.loss()) {
+        if (faultsActive && random.nextDouble() < rates.messageLoss()) {
             return;
         }
-        int copies = faulty && random.nextDouble() < rates.duplication() ? 2 : 1;
+        int copies = faultsActive && random.nextDouble() < rates.messageDuplication() ? 2 : 1;
         String sender = from.identity();
         for (int copy = 0; copy < copies; copy++) {
-            schedule(() -> deliver(from.node(), sender, to, message), random.nextInt(rates.longestDelayMillis()));
+            schedule(() -> deliver(from.node(), sender, to, message), random.nextInt(rates.maximumDelayMillis()));
         }
     }
 
     private void deliver(String fromNode, String sender, String to, RaftMessage message) {
         SimulatedReplica receiver = replicas.get(to.substring(0, 1));
-        boolean cut = cuts.contains(fromNode + receiver.node());
-        if (!cut && receiver.identity().equals(to)) {
+        boolean isCut = cutLinks.contains(fromNode + receiver.node());
+        if (!isCut && receiver.identity().equals(to)) {
             receiver.receive(sender, message);
         }
     }
@@ -385,17 +389,17 @@
     /** {@inheritDoc} */
     @Override
     public void crashed(SimulatedReplica replica) {
-        repairDuringFaults();
+        scheduleReplacementDuringFaults();
     }
 
-    /** Lets operators repair in the middle of faults as well, so that a second loss may follow at once. */
-    private void repairDuringFaults() {
-        if (faulty) {
-            schedule(this::repairOnce, 1 + random.nextInt(1_500));
+    /** Replaces lost replicas while faults still occur, so that a further disk may be lost soon after. */
+    private void scheduleReplacementDuringFaults() {
+        if (faultsActive) {
+            schedule(this::replaceBlankReplicasOnce, 1 + random.nextInt(1_500));
         }
     }
 
-    private void repairOnce() {
+    private void replaceBlankReplicasOnce() {
         for (SimulatedReplica leader : replicas.values()) {
             if (leader.isRunning() && leader.replica().core().role() == Role.LEADER) {
                 ControlReplica control = leader.replica();
@@ -415,27 +419,27 @@
     }
 
     /**
-     * Tells how much happened in a schedule.
+     * Counts what happened in a schedule.
      *
      * @param steps the number of events.
-     * @param commits the number of committed entries.
+     * @param commits the index of the last committed entry.
      * @param edits the number of answered edits.
-     * @param grants the number of claimed keys.
+     * @param grants the number of keys whose claim was granted.
      */
     public record Outcome(long steps, long commits, int edits, int grants) {}
 
     /**
-     * Holds an action that happens at a time.
+     * Holds an action that is due at a point of virtual time.
      *
-     * @param at the time in milliseconds.
-     * @param sequence decides between events of the same time.
+     * @param dueAt the time in milliseconds.
+     * @param sequence the order of events that are due at the same time.
      * @param action the action.
      */
-    private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
+    private record Event(long dueAt, long sequence, Runnable action) implements Comparable<Event> {
         /** {@inheritDoc} */
         @Override
         public int compareTo(Event other) {
-            int order = Long.compare(at, other.at);
+            int order = Long.compare(dueAt, other.dueAt);
             return order != 0 ? order : Long.compare(sequence, other.sequence);
         }
     }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -16,38 +16,40 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Runs one replica whose process can crash, freeze and lose its disk, and whose clock runs a little fast or slow.
+ * Runs one replica in virtual time. Its process can crash, freeze and lose its disk, and its clock runs slightly fast or
+ * slow.
  */
 final class SimulatedReplica {
     private static final int ENTRIES_PER_SNAPSHOT = 40;
-    private static final int MAXIMUM_PENDING = 1_000;
-    private static final int TRAILING = 10;
-    private static final int PART_BYTES = 8_000;
-    private static final double DRIFT = 0.04;
+    private static final int MAXIMUM_PENDING_PROPOSALS = 1_000;
+    private static final int TRAILING_ENTRIES = 10;
+    private static final int SNAPSHOT_PART_BYTES = 8_000;
+    /** The clock's rate differs from that of virtual time by this share at most. */
+    private static final double MAXIMUM_CLOCK_DRIFT = 0.04;
 
     private final World world;
     private final Random random;
     private final String node;
     private final double clockRate;
-    private final RaftOptions raft;
-    private final Deque<Pending> unwritten = new ArrayDeque<>();
+    private final RaftOptions raftOptions;
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
     private String identity;
     private MemoryDisk disk;
     private ControlReplica replica;
-    private int run;
-    private int frozen;
+    private int runNumber;
+    private int freezeCount;
     private long frozenAt;
-    private long stoodStill;
+    private long clockStoppedMillis;
 
     SimulatedReplica(
-            World world, Random random, String node, String identity, Configuration initial, RaftOptions raft) {
-        this.raft = raft;
+            World world, Random random, String node, String identity, Configuration initial, RaftOptions raftOptions) {
+        this.raftOptions = raftOptions;
         this.world = world;
         this.random = random;
         this.node = node;
         this.identity = identity;
         this.disk = new MemoryDisk(initial);
-        this.clockRate = 1 - DRIFT + 2 * DRIFT * random.nextDouble();
+        this.clockRate = 1 - MAXIMUM_CLOCK_DRIFT + 2 * MAXIMUM_CLOCK_DRIFT * random.nextDouble();
     }
 
     String node() {
@@ -64,69 +66,70 @@
     }
 
     boolean isRunning() {
-        return replica != null && frozen == 0;
+        return replica != null && freezeCount == 0;
     }
 
     /**
-     * Returns the monotonic clock of the host. Where leaders hold no lease it stands still while the host is frozen, as that of
-     * a suspended machine does.
+     * Returns the monotonic clock of the host, in milliseconds. If leaders hold no lease, the clock stops while the host is
+     * frozen, as on a suspended machine.
      */
     long clock() {
-        return (long) ((world.now() - stoodStill) * clockRate);
+        return (long) ((world.now() - clockStoppedMillis) * clockRate);
     }
 
     void start() {
         if (replica != null) {
             return;
         }
-        run++;
+        runNumber++;
         replica = new ControlReplica(
-                new ControlReplica.Options(raft, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING),
+                new ControlReplica.Options(
+                        raftOptions, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING_PROPOSALS),
                 identity,
                 disk.recover(),
                 new ControlReplica.Surroundings(
-                        (to, message) -> world.send(this, to, message), new Writer(), state -> {}, random),
+                        (to, message) -> world.send(this, to, message), new DelayedWriter(), state -> {}, random),
                 clock());
         step();
     }
 
-    /** Ends the process; of the batches that are not yet synced, the first few may have reached the disk anyway. */
+    /** Ends the process. Of the batches not yet synced, a random number of the first ones reach the disk. */
     void crash() {
         if (replica == null) {
             return;
         }
-        int survivors = unwritten.isEmpty() ? 0 : random.nextInt(unwritten.size() + 1);
+        int survivors = pendingWrites.isEmpty() ? 0 : random.nextInt(pendingWrites.size() + 1);
         for (int index = 0; index < survivors; index++) {
-            disk.write(unwritten.removeFirst().batch());
+            disk.write(pendingWrites.removeFirst().batch());
         }
-        unwritten.clear();
+        pendingWrites.clear();
         replica = null;
-        frozen = 0;
+        freezeCount = 0;
         world.crashed(this);
     }
 
-    /** Loses the disk; the next start is that of a blank replica under an identity that was never used before. */
+    /** Ends the process and loses its disk. The next start is that of a blank replica under an identity never used before. */
     void loseDisk(String freshIdentity) {
         crash();
         identity = freshIdentity;
         disk = new MemoryDisk(Configuration.ofVoters(java.util.Set.of()));
     }
 
-    /** Returns the options of a replica that answers reads under a lease of some milliseconds, or of none. */
+    /** Returns the Raft options for a read lease of so many milliseconds, or for none if 0. */
     static RaftOptions options(long leaseMillis) {
-        return new RaftOptions(50, 300, leaseMillis, 16, PART_BYTES, TRAILING);
+        return new RaftOptions(50, 300, leaseMillis, 16, SNAPSHOT_PART_BYTES, TRAILING_ENTRIES);
     }
 
     void freeze() {
-        frozenAt = frozen == 0 ? world.now() : frozenAt;
-        frozen++;
+        frozenAt = freezeCount == 0 ? world.now() : frozenAt;
+        freezeCount++;
     }
 
     void thaw() {
-        boolean wakes = frozen == 1;
-        frozen = Math.max(0, frozen - 1);
-        if (wakes && raft.leaseMillis() == 0) {
-            stoodStill += world.now() - frozenAt;
+        boolean resumes = freezeCount == 1;
+        freezeCount = Math.max(0, freezeCount - 1);
+        if (resumes && raftOptions.leaseMillis() == 0) {
+            clockStoppedMillis += world.now() - frozenAt;
         }
     }
 
@@ -149,48 +152,48 @@
         world.observe(this);
     }
 
-    private void finishWrite(int ofRun) {
-        if (replica == null || ofRun != run || unwritten.isEmpty()) {
+    private void finishWrite(int expectedRun) {
+        if (replica == null || expectedRun != runNumber || pendingWrites.isEmpty()) {
             return;
         }
-        if (frozen > 0) {
-            world.schedule(() -> finishWrite(ofRun), 1);
+        if (freezeCount > 0) {
+            world.schedule(() -> finishWrite(expectedRun), 1);
             return;
         }
-        Pending pending = unwritten.removeFirst();
+        PendingWrite pending = pendingWrites.removeFirst();
         disk.write(pending.batch());
         pending.written().accept(clock());
         step();
     }
 
     /**
-     * Holds a batch on its way to the disk.
+     * Holds a batch that is not yet durable.
      *
      * @param batch the batch.
-     * @param written what waits for it.
+     * @param written called with the clock once the batch is durable.
      */
-    private record Pending(WriteBatch batch, LongConsumer written) {}
+    private record PendingWrite(WriteBatch batch, LongConsumer written) {}
 
     /**
-     * Writes batches after a random time, in order.
+     * Makes batches durable in order, each after a delay.
      */
-    private final class Writer implements ControlReplica.Writer {
+    private final class DelayedWriter implements ControlReplica.Writer {
         /** {@inheritDoc} */
         @Override
         public void write(WriteBatch batch, LongConsumer written) {
-            unwritten.addLast(new Pending(batch, written));
-            int ofRun = run;
-            world.schedule(() -> finishWrite(ofRun), world.writeDelay());
+            pendingWrites.addLast(new PendingWrite(batch, written));
+            int expectedRun = runNumber;
+            world.schedule(() -> finishWrite(expectedRun), world.writeDelay());
         }
 
         /** {@inheritDoc} */
         @Override
-        public void stage(Supplier<Snapshot> making, Consumer<Snapshot> staged) {
-            int ofRun = run;
+        public void stage(Supplier<Snapshot> snapshotSource, Consumer<Snapshot> staged) {
+            int expectedRun = runNumber;
             world.schedule(
                     () -> {
-                        if (replica != null && ofRun == run) {
-                            staged.accept(making.get());
+                        if (replica != null && expectedRun == runNumber) {
+                            staged.accept(snapshotSource.get());
                             step();
                         }
                     },
@@ -205,18 +208,18 @@
     }
 
     /**
-     * Gives a replica its network, its clock and its observer.
+     * Provides the simulated environment of a replica: time, write delays, network and checks.
      */
     interface World {
         /**
-         * Returns the true time.
+         * Returns the virtual time, which is free of the replicas' clock drift.
          *
          * @return the time in milliseconds.
          */
         long now();
 
         /**
-         * Returns how long the next write takes.
+         * Returns the delay of the next write.
          *
          * @return the time in milliseconds.
          */
@@ -226,12 +229,12 @@
          * Runs an action later.
          *
          * @param action the action.
-         * @param delay the time in milliseconds.
+         * @param delay the delay in milliseconds.
          */
         void schedule(Runnable action, long delay);
 
         /**
-         * Sends a message.
+         * Sends a message, which may be delayed, duplicated or lost.
          *
          * @param from the sender.
          * @param to the identity of the receiver.
@@ -240,16 +243,16 @@
         void send(SimulatedReplica from, String to, RaftMessage message);
 
         /**
-         * Checks what must always hold.
+         * Checks the invariants after a step of a replica.
          *
          * @param replica the replica that has just made a step.
          */
         void observe(SimulatedReplica replica);
 
         /**
-         * Learns that a process has ended.
+         * Handles the end of a replica's process.
          *
-         * @param replica the replica.
+         * @param replica the replica whose process has ended.
          */
         void crashed(SimulatedReplica replica);
     }
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -39,24 +39,24 @@
 import org.radishspur.node.upstream.UpstreamHeaders;
 
 /**
- * Answers as a model engine or a plain service would, and logs each request that it ran. What it answers follows from
- * the request alone, so that a test can tell whether a caller got the whole answer to its own request.
+ * Stands in for a model engine or a plain service, and logs each request that it runs. The answer depends only on the
+ * request, so that a test can check that a caller received the complete answer to its own request.
  */
 public final class StandInUpstream implements AutoCloseable {
-    /** The header that says how many tokens the answer is to have. */
+    /** The request header with the number of tokens in the answer; 1 if it is missing. */
     public static final String TOKENS = "Stand-In-Tokens";
 
-    /** The header that names the request in the log. */
+    /** The request header with the name under which the request is logged. */
     public static final String NAME = "Stand-In-Name";
 
-    /** The header whose presence makes the upstream crash. */
+    /** The request header whose presence ends the process without cleanup, as a crash does. */
     public static final String CRASH = "Stand-In-Crash";
 
-    private static final int GREATEST_BODY = 16 << 20;
-    private static final int CRASH_CODE = 42;
+    private static final int MAXIMUM_BODY_BYTES = 16 << 20;
+    private static final int CRASH_EXIT_CODE = 42;
 
-    /** An engine without a pace hands out so many tokens in one piece; one write for each would take longer than all else. */
-    private static final int TOKENS_AT_ONCE = 64;
+    /** Tokens in each write of an engine without a token time; one write for each token would dominate the run time. */
+    private static final int TOKENS_PER_CHUNK = 64;
 
     private final Kind kind;
     private final long tokenMicros;
@@ -65,15 +65,16 @@
     private final Writer log;
     private final AtomicBoolean draining = new AtomicBoolean();
     private final AtomicBoolean failing = new AtomicBoolean();
-    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger runningRequests = new AtomicInteger();
 
     /**
-     * Starts to listen on the loopback address.
+     * Starts to listen on the loopback address and opens the log file.
      *
      * @param port the port, or 0 to let the system choose one.
-     * @param kind what to stand in for.
-     * @param tokenMicros the time for each token of an answer.
-     * @param logFile the file that gets a line for each request that ran.
+     * @param kind the kind of upstream.
+     * @param tokenMicros the time for each token of an engine's answer, or for the complete answer of a service, in
+     *     microseconds; 0 for no delay.
+     * @param logFile the file to which a line is appended when a request starts, ends or is cancelled.
      */
     public StandInUpstream(int port, Kind kind, long tokenMicros, Path logFile) {
         this.kind = kind;
@@ -91,8 +92,8 @@
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(GREATEST_BODY))
-                                .addLast(new Connection());
+                                .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
+                                .addLast(new RequestHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -101,36 +102,36 @@
     }
 
     /**
-     * Makes the text of one token.
+     * Returns the server-sent event that carries one token.
      *
      * @param body the body of the request.
-     * @param index the number of the token.
-     * @return the event that carries the token.
+     * @param index the position of the token in the answer, from 0.
+     * @return the event.
      */
     public static String token(String body, int index) {
         return "data: " + Integer.toHexString(body.hashCode() * 31 + index) + "\n\n";
     }
 
     /**
-     * Makes the whole answer of a service.
+     * Returns the complete answer of a service.
      *
      * @param body the body of the request.
-     * @return the answer.
+     * @return the answer, as JSON.
      */
     public static String serviceAnswer(String body) {
         return "{\"recorded\":\"" + Integer.toHexString(body.hashCode()) + "\"}";
     }
 
     /**
-     * Fails every request from now on, or none.
+     * Sets whether requests fail with status 500 from now on.
      *
-     * @param fails whether to fail.
+     * @param fails whether requests fail.
      */
     public void failing(boolean fails) {
         failing.set(fails);
     }
 
-    /** Refuses further requests, as an engine that is leaving. */
+    /** Refuses further requests with status 503, as an engine does that drains before it stops. */
     public void drain() {
         draining.set(true);
     }
@@ -138,7 +139,7 @@
     /**
      * Returns the address that the upstream listens on.
      *
-     * @return the address.
+     * @return the IP address and the port.
      */
     public String address() {
         return "127.0.0.1:" + ((java.net.InetSocketAddress) channel.localAddress()).getPort();
@@ -170,64 +171,64 @@
     }
 
     /**
-     * Names what can be stood in for.
+     * Names the kinds of upstream.
      */
     public enum Kind {
         /** A model engine, which streams tokens. */
         ENGINE,
-        /** A plain service, which answers at once. */
+        /** A plain service, which sends its complete answer at once. */
         SERVICE
     }
 
     /**
-     * Serves one connection.
+     * Answers the requests of one connection.
      */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String body = request.content().toString(StandardCharsets.UTF_8);
             if (draining.get()) {
-                refuse(context);
+                sendDrainingRefusal(context);
                 return;
             }
             String name = request.headers().get(NAME, "-");
             record("start " + name + ' ' + request.headers().get(UpstreamHeaders.REQUEST, "-"));
             if (request.headers().contains(CRASH)) {
-                Runtime.getRuntime().halt(CRASH_CODE);
+                Runtime.getRuntime().halt(CRASH_EXIT_CODE);
             }
             if (failing.get()) {
-                fail(context);
+                sendFailure(context);
                 return;
             }
             int tokens = request.headers().getInt(TOKENS, 1);
             if (kind == Kind.SERVICE) {
                 long delay = tokenMicros;
-                context.executor().schedule(() -> answer(context, name, body), delay, TimeUnit.MICROSECONDS);
+                context.executor().schedule(() -> sendServiceAnswer(context, name, body), delay, TimeUnit.MICROSECONDS);
             } else {
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
                 HttpUtil.setTransferEncodingChunked(head, true);
-                head.headers().setInt(UpstreamHeaders.LOAD_RUNNING, running.incrementAndGet());
+                head.headers().setInt(UpstreamHeaders.LOAD_RUNNING, runningRequests.incrementAndGet());
                 head.headers().setInt(UpstreamHeaders.LOAD_WAITING, 0);
                 context.write(head);
-                stream(context, name, body, 0, tokens);
+                streamTokens(context, name, body, 0, tokens);
             }
         }
 
-        private void stream(ChannelHandlerContext context, String name, String body, int index, int tokens) {
+        private void streamTokens(ChannelHandlerContext context, String name, String body, int index, int tokens) {
             if (!context.channel().isActive()) {
-                running.decrementAndGet();
+                runningRequests.decrementAndGet();
                 record("cancelled " + name);
                 return;
             }
             if (index == tokens) {
-                running.decrementAndGet();
+                runningRequests.decrementAndGet();
                 record("end " + name);
                 context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
                 return;
             }
-            int until = Math.min(tokens, index + (tokenMicros == 0 ? TOKENS_AT_ONCE : 1));
+            int until = Math.min(tokens, index + (tokenMicros == 0 ? TOKENS_PER_CHUNK : 1));
             StringBuilder text = new StringBuilder();
             for (int token = index; token < until; token++) {
                 text.append(token(body, token));
@@ -235,15 +236,15 @@
             var content = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             context.writeAndFlush(new DefaultHttpContent(content)).addListener(written -> {
                 if (written.isSuccess()) {
-                    next(context, () -> stream(context, name, body, until, tokens));
+                    runAfterTokenTime(context, () -> streamTokens(context, name, body, until, tokens));
                 } else {
-                    running.decrementAndGet();
+                    runningRequests.decrementAndGet();
                     record("cancelled " + name);
                 }
             });
         }
 
-        private void next(ChannelHandlerContext context, Runnable action) {
+        private void runAfterTokenTime(ChannelHandlerContext context, Runnable action) {
             if (tokenMicros == 0) {
                 context.executor().execute(action);
             } else {
@@ -251,7 +252,7 @@
             }
         }
 
-        private void answer(ChannelHandlerContext context, String name, String body) {
+        private void sendServiceAnswer(ChannelHandlerContext context, String name, String body) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
@@ -263,14 +264,14 @@
             context.writeAndFlush(response);
         }
 
-        private void fail(ChannelHandlerContext context) {
+        private void sendFailure(ChannelHandlerContext context) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.INTERNAL_SERVER_ERROR);
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
             context.writeAndFlush(response);
         }
 
-        private void refuse(ChannelHandlerContext context) {
+        private void sendDrainingRefusal(ChannelHandlerContext context) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
             response.headers().set(UpstreamHeaders.ADMISSION, UpstreamHeaders.ADMISSION_DRAINING);
--- a/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
@@ -21,31 +21,31 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Edits the tables through real processes while control hosts are killed, frozen and lose their disks.
+ * Edits the tables of a cluster of processes while control nodes are killed, suspended and replaced after the loss of a disk.
  */
 class ControlUnderKillsTest {
     @TempDir
     Path folder;
 
-    private static TableEdit edit(int number) {
+    private static TableEdit createPoolEdit(int number) {
         PoolRow row = new PoolRow("pool-" + number, PoolKind.SERVICE, List.of(), number + 1, 1, Map.of());
         return new TableEdit("change-" + number, List.of(new RowChange.PutPool(row, 0)));
     }
 
-    /** Sends an edit to one node after the other until it has an answer, as an operator's script would. */
-    private static void editUntilAnswered(ProcessCluster cluster, int number) {
-        int[] tries = {number};
+    /** Submits an edit to each node in turn until one accepts it, as an operator's script would. */
+    private static void submitUntilAccepted(ProcessCluster cluster, int number) {
+        int[] attempts = {number};
         ProcessCluster.await(() -> {
-            String node = ProcessCluster.NODES.get(tries[0]++ % 3);
-            return cluster.isAlive(node) && cluster.edit(node, edit(number)) == 200;
+            String node = ProcessCluster.NODES.get(attempts[0]++ % 3);
+            return cluster.isAlive(node) && cluster.submitEdit(node, createPoolEdit(number)) == 200;
         });
     }
 
-    private static void assertAllInForce(ProcessCluster cluster, int edits) {
+    private static void assertEditsAppliedOnLiveNodes(ProcessCluster cluster, int edits) {
         for (String node : ProcessCluster.NODES) {
             if (cluster.isAlive(node)) {
                 ProcessCluster.await(() -> cluster.revision(node) == edits);
-                String tables = cluster.get(node, "/v1/tables");
+                String tables = cluster.getAdmin(node, "/v1/tables");
                 for (int number = 0; number < edits; number++) {
                     assertThat(tables).contains("\"pool-" + number + "\"");
                 }
@@ -53,9 +53,9 @@
         }
     }
 
-    /** Guards against a failure in which an edit that was answered as accepted is missing, or counted twice. */
+    /** Guards against an accepted edit that is lost or applied twice when the leader is killed. */
     @Test
-    void aKilledLeaderLosesAndDoublesNoEdit() {
+    void noEditIsLostOrAppliedTwiceWhenTheLeaderIsKilled() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             String leader = cluster.leader();
@@ -63,82 +63,84 @@
                 if (number == 30) {
                     cluster.kill(leader);
                 }
-                editUntilAnswered(cluster, number);
+                submitUntilAccepted(cluster, number);
             }
-            assertAllInForce(cluster, 60);
+            assertEditsAppliedOnLiveNodes(cluster, 60);
             cluster.startNode(leader);
-            assertAllInForce(cluster, 60);
-            assertThat(cluster.edit("a", edit(7))).isEqualTo(200);
+            assertEditsAppliedOnLiveNodes(cluster, 60);
+            assertThat(cluster.submitEdit("a", createPoolEdit(7))).isEqualTo(200);
             assertThat(cluster.revision("a")).isEqualTo(60);
         }
     }
 
-    /** Guards against a failure in which a host that was frozen accepts an edit or shows old rows as the latest. */
+    /** Guards against a suspended leader that, once resumed, accepts an edit or reports outdated rows as the current ones. */
     @Test
-    void aFrozenLeaderThatWakesAcceptsNothingAndCatchesUp() {
+    void aResumedLeaderReportsNoStaleRevisionAndCatchesUp() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
-            editUntilAnswered(cluster, 0);
+            submitUntilAccepted(cluster, 0);
             String leader = cluster.leader();
-            List<String> others = new ArrayList<>(ProcessCluster.NODES);
-            others.remove(leader);
-            cluster.signal(leader, "STOP");
+            List<String> otherNodes = new ArrayList<>(ProcessCluster.NODES);
+            otherNodes.remove(leader);
+            cluster.sendSignal(leader, "STOP");
             for (int number = 1; number < 10; number++) {
-                TableEdit edit = edit(number);
-                ProcessCluster.await(() -> cluster.edit(others.get(0), edit) == 200);
+                TableEdit edit = createPoolEdit(number);
+                ProcessCluster.await(() -> cluster.submitEdit(otherNodes.get(0), edit) == 200);
             }
-            cluster.signal(leader, "CONT");
-            String seen = cluster.get(leader, "/v1/status");
-            if (seen.contains("\"leader\"")) {
-                assertThat(seen).contains("\"revision\":10");
+            cluster.sendSignal(leader, "CONT");
+            String status = cluster.getAdmin(leader, "/v1/status");
+            if (status.contains("\"leader\"")) {
+                assertThat(status).contains("\"revision\":10");
             }
-            assertAllInForce(cluster, 10);
+            assertEditsAppliedOnLiveNodes(cluster, 10);
         }
     }
 
-    /** Guards against a failure in which edits are gone after a disk was replaced and a second host died. */
+    /** Guards against edits that are lost when a node gets an empty disk and the leader is killed afterwards. */
     @Test
-    void aReplacedDiskAndASecondLossLoseNothing() throws Exception {
+    void noEditIsLostWhenAReplicaIsReplacedAndTheLeaderIsKilled() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             for (int number = 0; number < 20; number++) {
-                editUntilAnswered(cluster, number);
+                submitUntilAccepted(cluster, number);
             }
             String leader = cluster.leader();
-            String lost = ProcessCluster.NODES.stream()
+            String replaced = ProcessCluster.NODES.stream()
                     .filter(node -> !node.equals(leader))
                     .findFirst()
                     .orElseThrow();
-            cluster.kill(lost);
-            wipe(folder.resolve("data-" + lost));
+            cluster.kill(replaced);
+            deleteFolder(folder.resolve("data-" + replaced));
             NodeMain.main(new String[] {
-                "format", "--settings", folder.resolve(lost + ".json").toString()
+                "format", "--settings", folder.resolve(replaced + ".json").toString()
             });
-            cluster.startNode(lost);
-            ProcessCluster.await(
-                    () -> cluster.call(leader, HttpRequest.BodyPublishers.noBody(), "/v1/replicas/" + lost + "/replace")
-                                    .statusCode()
-                            == 200);
+            cluster.startNode(replaced);
+            ProcessCluster.await(() -> cluster.callAdmin(
+                                    leader,
+                                    HttpRequest.BodyPublishers.noBody(),
+                                    "/v1/replicas/" + replaced + "/replace")
+                            .statusCode()
+                    == 200);
             ProcessCluster.await(() -> {
-                String status = cluster.get(leader, "/v1/status");
-                return status.contains("\"learners\":[]") && !status.contains(lost + "#founder");
+                String status = cluster.getAdmin(leader, "/v1/status");
+                return status.contains("\"learners\":[]") && !status.contains(replaced + "#founder");
             });
             cluster.kill(leader);
-            editUntilAnswered(cluster, 20);
-            assertAllInForce(cluster, 21);
+            submitUntilAccepted(cluster, 20);
+            assertEditsAppliedOnLiveNodes(cluster, 21);
         }
     }
 
     @Test
-    void racingOperatorsWithEqualRevisionsGetOneAcceptedEdit() {
+    void onlyOneOfSeveralConcurrentEditsWithTheSameExpectedRevisionIsAccepted() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
-            editUntilAnswered(cluster, 0);
+            submitUntilAccepted(cluster, 0);
             List<CompletableFuture<Integer>> answers = new ArrayList<>();
             for (int operator = 0; operator < 9; operator++) {
                 String node = ProcessCluster.NODES.get(operator % 3);
                 PoolRow row = new PoolRow("pool-0", PoolKind.SERVICE, List.of(), 100 + operator, 1, Map.of());
                 TableEdit edit = new TableEdit("racing-" + operator, List.of(new RowChange.PutPool(row, 1)));
-                answers.add(CompletableFuture.supplyAsync(() -> cluster.edit(node, edit)));
+                answers.add(CompletableFuture.supplyAsync(() -> cluster.submitEdit(node, edit)));
             }
             List<Integer> codes = answers.stream().map(CompletableFuture::join).toList();
             assertThat(codes).filteredOn(code -> code == 200).hasSize(1);
@@ -147,17 +149,17 @@
     }
 
     @Test
-    void anEditWithoutTheTokenIsRefused() throws Exception {
+    void anEditWithAWrongTokenIsRefused() throws Exception {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
             ProcessCluster.await(() -> !cluster.leader().isEmpty());
             Path token = folder.resolve("admin.token");
             Files.writeString(token, "another-secret-altogether");
-            assertThat(cluster.edit("a", edit(0))).isEqualTo(401);
-            assertThat(Json.INSTANCE.write(edit(0))).isNotEmpty();
+            assertThat(cluster.submitEdit("a", createPoolEdit(0))).isEqualTo(401);
+            assertThat(Json.INSTANCE.write(createPoolEdit(0))).isNotEmpty();
         }
     }
 
-    private static void wipe(Path data) throws Exception {
+    private static void deleteFolder(Path data) throws Exception {
         try (var files = Files.walk(data)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
@@ -5,55 +5,57 @@
 import java.net.ServerSocket;
 
 /**
- * Hands out each port once, below the range that the system gives to outgoing connections.
+ * Allocates each port of the loopback address at most once, from below the range that the system uses for ephemeral ports.
  *
- * <p>A port that was drawn from the system and freed again may be drawn by somebody else before the process that it is meant
- * for listens there. A block of ports belongs to whoever listens on its first one, so that test runs side by side share none.
+ * <p>An ephemeral port that was obtained from the system and closed again may be given to another process before the intended
+ * one listens on it. A test run reserves a block of ports by listening on the first port of the block, so that concurrent
+ * test runs use different ports.
  */
 final class TestPorts {
-    private static final int FIRST = 20_000;
-    private static final int END = 32_000;
-    private static final int BLOCK = 500;
+    private static final int FIRST_PORT = 20_000;
+    private static final int END_PORT = 32_000;
+    private static final int BLOCK_SIZE = 500;
 
     private static final TestPorts INSTANCE = new TestPorts();
 
-    private final ServerSocket claim;
-    private int last;
+    private final ServerSocket blockSocket;
+    private int lastPort;
 
     private TestPorts() {
-        claim = claimBlock();
-        last = claim.getLocalPort();
+        blockSocket = reserveBlock();
+        lastPort = blockSocket.getLocalPort();
     }
 
     /**
-     * Returns a port that nobody listens on and that this process hasn't been given before.
+     * Returns a port on which no process listens and that this method hasn't returned before.
      *
      * @return the port.
+     * @throws IllegalStateException if no block is free, or no port is left in the block.
      */
     static int next() {
-        return INSTANCE.draw();
+        return INSTANCE.allocate();
     }
 
-    private synchronized int draw() {
-        while (last < claim.getLocalPort() + BLOCK - 1) {
-            last++;
-            try (ServerSocket socket = listen(last)) {
+    private synchronized int allocate() {
+        while (lastPort < blockSocket.getLocalPort() + BLOCK_SIZE - 1) {
+            lastPort++;
+            try (ServerSocket socket = listen(lastPort)) {
                 return socket.getLocalPort();
             } catch (IOException exception) {
                 System.getLogger(TestPorts.class.getName())
-                        .log(System.Logger.Level.INFO, "Port " + last + " is taken; trying the next.");
+                        .log(System.Logger.Level.INFO, "Port " + lastPort + " is in use; trying the next one.");
             }
         }
-        throw new IllegalStateException("all ports of the block are used");
+        throw new IllegalStateException("no free port is left in the block");
     }
 
-    private static ServerSocket claimBlock() {
-        for (int port = FIRST; port < END; port += BLOCK) {
+    private static ServerSocket reserveBlock() {
+        for (int port = FIRST_PORT; port < END_PORT; port += BLOCK_SIZE) {
             try {
                 return listen(port);
             } catch (IOException exception) {
                 System.getLogger(TestPorts.class.getName())
-                        .log(System.Logger.Level.INFO, "Port block " + port + " is taken; trying the next.");
+                        .log(System.Logger.Level.INFO, "Port block " + port + " is in use; trying the next one.");
             }
         }
         throw new IllegalStateException("no block of ports is free");
