--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -79,7 +79,7 @@
             advance(rollout, RolloutStage.MOVING, evidence, "no evidence against the version");
         } else if (rollout.stage() == RolloutStage.MOVING
                 && loop.nowMillis() - movingSince.computeIfAbsent(name, key -> loop.nowMillis()) > MOVE_MILLIS) {
-            advance(rollout, RolloutStage.COMPLETED, evidence, "all requests go to the version");
+            advance(rollout, RolloutStage.COMPLETED, evidence, "the requests have moved");
         }
     }
 
