--- a/command/src/main/java/org/radishspur/command/AdminClient.java
+++ b/command/src/main/java/org/radishspur/command/AdminClient.java
@@ -74,18 +74,18 @@
             HttpResponse<String> response = client.send(builder.build(), HttpResponse.BodyHandlers.ofString());
             JsonNode body = Json.INSTANCE.readTree(response.body(), ErrorCode.CALL_INVALID);
             if (response.statusCode() == UNAVAILABLE && body.has("code")) {
-                throw new CommandFailure(
+                throw new CommandException(
                         ExitCode.UNREACHABLE, body.path("detail").asText());
             }
             if (response.statusCode() == UNAUTHORISED || response.statusCode() == NOT_FOUND) {
-                throw new CommandFailure(ExitCode.FAILED, body.path("detail").asText());
+                throw new CommandException(ExitCode.FAILED, body.path("detail").asText());
             }
             return new Reply(response.statusCode(), body);
         } catch (IOException exception) {
-            throw new CommandFailure(ExitCode.UNREACHABLE, "node at " + address + " did not answer: " + exception);
+            throw new CommandException(ExitCode.UNREACHABLE, "node at " + address + " did not answer: " + exception);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
-            throw new CommandFailure(ExitCode.UNREACHABLE, "interrupted");
+            throw new CommandException(ExitCode.UNREACHABLE, "interrupted");
         }
     }
 
@@ -96,10 +96,10 @@
      * @param body the JSON body.
      */
     record Reply(int status, JsonNode body) {
-        private static final int FIRST_FAILURE = 300;
+        private static final int FIRST_ERROR_STATUS = 300;
 
         boolean isSuccess() {
-            return status < FIRST_FAILURE;
+            return status < FIRST_ERROR_STATUS;
         }
     }
 }
--- a/command/src/main/java/org/radishspur/command/CommandFailure.java
+++ b/command/src/main/java/org/radishspur/command/CommandException.java
@@ -3,12 +3,12 @@
 /**
  * Ends a command with an exit code and a sentence for the operator.
  */
-final class CommandFailure extends RuntimeException {
+final class CommandException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final ExitCode exitCode;
 
-    CommandFailure(ExitCode exitCode, String sentence) {
+    CommandException(ExitCode exitCode, String sentence) {
         super(sentence);
         this.exitCode = exitCode;
     }
--- a/command/src/main/java/org/radishspur/command/CommandMain.java
+++ b/command/src/main/java/org/radishspur/command/CommandMain.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 
 import org.radishspur.model.error.RadishspurException;
-import org.radishspur.node.settings.SettingsFaults;
+import org.radishspur.node.settings.InvalidSettingsException;
 import org.radishspur.node.settings.SettingsReader;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -43,7 +43,7 @@
         return new CommandLine(new CommandMain())
                 .setExecutionExceptionHandler((exception, line, parsed) -> {
                     line.getErr().println(exception.getMessage());
-                    if (exception instanceof CommandFailure failure) {
+                    if (exception instanceof CommandException failure) {
                         return failure.exitCode().code();
                     }
                     return exception instanceof RadishspurException ? ExitCode.INVALID.code() : ExitCode.FAILED.code();
@@ -92,7 +92,7 @@
                 System.out.println(
                         "settings of node " + SettingsReader.INSTANCE.read(file).node() + " are valid");
                 return ExitCode.DONE.code();
-            } catch (SettingsFaults faults) {
+            } catch (InvalidSettingsException faults) {
                 faults.faults().forEach(fault -> System.err.println(fault.path() + ": " + fault.problem()));
                 return ExitCode.INVALID.code();
             }
--- a/command/src/main/java/org/radishspur/command/EventLines.java
+++ b/command/src/main/java/org/radishspur/command/EventReader.java
@@ -19,7 +19,7 @@
 /**
  * Reads structured events from the logs of any number of processes, through which other lines may be strewn.
  */
-enum EventLines {
+enum EventReader {
     /** The only instance; it keeps no state. */
     INSTANCE;
 
--- a/command/src/main/java/org/radishspur/command/LossesCommand.java
+++ b/command/src/main/java/org/radishspur/command/LossesCommand.java
@@ -23,7 +23,7 @@
                 "Counts requests that were not served, by time, cause and rank, from the logs of any number of processes.",
         mixinStandardHelpOptions = true)
 final class LossesCommand implements Callable<Integer> {
-    private static final int LEAST_ERROR = 400;
+    private static final int FIRST_ERROR_STATUS = 400;
     private static final long MILLIS_PER_SECOND = 1_000;
 
     @Parameters(paramLabel = "FILE", description = "Log files; standard input where there are none.")
@@ -39,20 +39,20 @@
     /** {@inheritDoc} */
     @Override
     public Integer call() throws IOException {
-        Map<Loss, Long> counts = new TreeMap<>(Comparator.comparingLong(Loss::window)
-                .thenComparing(Loss::cause)
-                .thenComparingInt(Loss::rank));
-        EventLines.INSTANCE.read(
+        Map<LossKey, Long> counts = new TreeMap<>(Comparator.comparingLong(LossKey::windowStart)
+                .thenComparing(LossKey::cause)
+                .thenComparingInt(LossKey::rank));
+        EventReader.INSTANCE.read(
                 files,
                 line -> line.contains("\"request\""),
-                event -> lossOf(event).ifPresent(loss -> counts.merge(loss, 1L, Long::sum)));
+                event -> lossKeyOf(event).ifPresent(loss -> counts.merge(loss, 1L, Long::sum)));
         System.out.printf("%12s  %-44s %5s %8s%n", "from", "cause", "rank", "requests");
         counts.forEach((loss, count) ->
-                System.out.printf("%12d  %-44s %5d %8d%n", loss.window(), loss.cause(), loss.rank(), count));
+                System.out.printf("%12d  %-44s %5d %8d%n", loss.windowStart(), loss.cause(), loss.rank(), count));
         return ExitCode.DONE.code();
     }
 
-    private Optional<Loss> lossOf(JsonNode event) {
+    private Optional<LossKey> lossKeyOf(JsonNode event) {
         String reason = event.path("reason").asText();
         boolean begun = event.path("events").asLong() > 0;
         String cause =
@@ -62,18 +62,19 @@
                     case "FAILED" -> "failed: " + reason + (begun ? ", in the answer" : "");
                     case "LEFT" -> begun ? "left in the answer" : "left before the answer";
                     case "ANSWERED" ->
-                        event.path("status").asInt() >= LEAST_ERROR
+                        event.path("status").asInt() >= FIRST_ERROR_STATUS
                                 ? "upstream answered " + event.path("status").asInt()
                                 : "";
                     default -> "";
                 };
         return cause.isEmpty()
                 ? Optional.empty()
-                : Optional.of(new Loss(window(event), cause, event.path("rank").asInt()));
+                : Optional.of(new LossKey(
+                        windowStart(event), cause, event.path("rank").asInt()));
     }
 
     /** Returns the second in which the window of an event begins, counted from the epoch. */
-    private long window(JsonNode event) {
+    private long windowStart(JsonNode event) {
         if (windowSeconds <= 0) {
             return 0;
         }
@@ -84,9 +85,9 @@
     /**
      * Names one kind of loss.
      *
-     * @param window the second in which its window begins, 0 where all is counted together.
+     * @param windowStart the second in which its window begins, 0 where all is counted together.
      * @param cause why requests were not served.
      * @param rank the rank of the organisation and the tier of the route as one number.
      */
-    private record Loss(long window, String cause, int rank) {}
+    private record LossKey(long windowStart, String cause, int rank) {}
 }
--- a/command/src/main/java/org/radishspur/command/TableFile.java
+++ b/command/src/main/java/org/radishspur/command/TableFile.java
@@ -36,7 +36,7 @@
         try {
             return Json.INSTANCE.read(Files.readString(file), TableFile.class, ErrorCode.TABLE_INVALID);
         } catch (IOException exception) {
-            throw new CommandFailure(ExitCode.INVALID, "can't read " + file);
+            throw new CommandException(ExitCode.INVALID, "can't read " + file);
         }
     }
 
--- a/command/src/main/java/org/radishspur/command/TraceCommand.java
+++ b/command/src/main/java/org/radishspur/command/TraceCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true)
 final class TraceCommand implements Callable<Integer> {
     /** The causes in a sentence, by the reason that a refusal or failure states. */
-    private static final Map<String, String> CAUSES = Map.of(
+    private static final Map<String, String> EXPLANATIONS = Map.of(
             "overload", "no place was expected to become free in the pool while an answer was worth waiting for",
             "quota", "the organisation had used up its limit",
             "unconfirmed", "the entry had no confirmation by the control leader and could not be sure what is in force",
@@ -47,7 +47,7 @@
     @Override
     public Integer call() throws IOException {
         List<JsonNode> events = new ArrayList<>();
-        EventLines.INSTANCE.read(files, line -> line.contains(request), event -> {
+        EventReader.INSTANCE.read(files, line -> line.contains(request), event -> {
             if (event.path("request").asText().equals(request)) {
                 events.add(event);
             }
@@ -59,21 +59,22 @@
         events.sort(Comparator.comparingLong(event -> event.path("at").asLong()));
         events.forEach(event -> System.out.println(Json.INSTANCE.write(event)));
         if (explain) {
-            System.out.println(cause(events));
+            System.out.println(explanation(events));
         }
         return ExitCode.DONE.code();
     }
 
-    private static String cause(List<JsonNode> events) {
+    private static String explanation(List<JsonNode> events) {
         JsonNode last = events.get(events.size() - 1);
         String reason = last.path("reason").asText("");
         String where = last.path("upstream").asText("").isEmpty()
                 ? ""
                 : " at upstream " + last.path("upstream").asText();
         return switch (last.path("event").asText()) {
-            case "REFUSED" -> "The request was refused and has not run: " + CAUSES.getOrDefault(reason, reason) + '.';
+            case "REFUSED" ->
+                "The request was refused and has not run: " + EXPLANATIONS.getOrDefault(reason, reason) + '.';
             case "FAILED" ->
-                "The request failed" + where + ": " + CAUSES.getOrDefault(reason, reason) + " ("
+                "The request failed" + where + ": " + EXPLANATIONS.getOrDefault(reason, reason) + " ("
                         + last.path("cause").asText() + ").";
             case "LEFT" -> "The caller left before its answer was whole" + where + '.';
             case "ANSWERED" ->
--- a/command/src/test/java/org/radishspur/command/CapturedOutput.java
+++ b/command/src/test/java/org/radishspur/command/CapturedOutput.java
@@ -13,7 +13,7 @@
  */
 final class CapturedOutput implements BeforeEachCallback, AfterEachCallback {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-    private final PrintStream before = System.out;
+    private final PrintStream originalOut = System.out;
 
     /** {@inheritDoc} */
     @Override
@@ -24,7 +24,7 @@
     /** {@inheritDoc} */
     @Override
     public void afterEach(ExtensionContext context) {
-        System.setOut(before);
+        System.setOut(originalOut);
     }
 
     String text() {
--- a/command/src/test/java/org/radishspur/command/LossesCommandTest.java
+++ b/command/src/test/java/org/radishspur/command/LossesCommandTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void countsEachWindowByItself() throws IOException {
+    void countsEachWindowSeparately() throws IOException {
         CommandMain.run("losses", "--window", "2", log());
         assertThat(printed.text().lines().map(String::strip))
                 .anyMatch(line -> line.matches("0 +refused: overload +1 +1"))
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void leavesOutWhatWasServed() throws IOException {
+    void omitsRequestsThatWereServed() throws IOException {
         CommandMain.run("losses", log());
         assertThat(printed.text().lines()).hasSize(5);
     }
--- a/command/src/test/java/org/radishspur/command/TraceCommandTest.java
+++ b/command/src/test/java/org/radishspur/command/TraceCommandTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void putsTheLinesOfSeveralProcessesInOrder() throws IOException {
+    void sortsEventsOfSeveralProcessesByTime() throws IOException {
         String one = file("one.log", "{\"at\":20,\"event\":\"FAILED\",\"request\":\"r1\",\"reason\":\"timeout\"}");
         String two = file(
                 "two.log",
@@ -55,19 +55,19 @@
     }
 
     @Test
-    void explainsARefusalDuringACut() throws IOException {
+    void explainsARefusalWithoutControlLeaderConfirmation() throws IOException {
         String log = file("log", "{\"at\":1,\"event\":\"REFUSED\",\"request\":\"r1\",\"reason\":\"unconfirmed\"}");
         CommandMain.run("trace", "--explain", "r1", log);
         assertThat(printed.text()).contains("no confirmation by the control leader");
     }
 
     @Test
-    void saysThatNothingIsKnown() throws IOException {
+    void failsForARequestThatNoEventNames() throws IOException {
         assertThat(CommandMain.run("trace", "r1", file("log", "nothing"))).isEqualTo(ExitCode.FAILED.code());
     }
 
     @Test
-    void namesAFileThatIsNotThere() {
+    void exitsWithInvalidForAMissingFile() {
         assertThat(CommandMain.run("trace", "r1", folder.resolve("none").toString()))
                 .isEqualTo(ExitCode.INVALID.code());
     }
--- a/node/src/main/java/org/radishspur/node/Node.java
+++ b/node/src/main/java/org/radishspur/node/Node.java
@@ -26,18 +26,18 @@
  */
 public final class Node implements AutoCloseable {
     private static final long POLL_MILLIS = 20;
-    private static final long HANDOVER_MILLIS = 300;
+    private static final long HANDOVER_WAIT_MILLIS = 300;
 
     private final NodeSettings settings;
     private final NodeMetrics metrics = new NodeMetrics();
-    private final ControlLoop loop = new ControlLoop();
+    private final ControlLoop controlLoop = new ControlLoop();
     private final EventLoopGroup group;
     private final NodeCore core;
     private final CallerServices services;
     private final Supervisor.Scheduler.ForThread scheduler = new Supervisor.Scheduler.ForThread();
-    private final Supervisor root;
+    private final Supervisor rootSupervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
-    private volatile CallerServer callers;
+    private volatile CallerServer callerServer;
 
     /**
      * Creates a node and starts it.
@@ -51,30 +51,33 @@
         String secret = SecretFile.INSTANCE.read(settings.sharedKeyFile());
         String token = SecretFile.INSTANCE.read(settings.adminTokenFile());
         PeerKey key = new PeerKey(secret);
-        loop.onFailure(cause -> failed.countDown());
+        controlLoop.onFailure(cause -> failed.countDown());
         group = new MultiThreadIoEventLoopGroup(settings.limits().trafficThreads(), NioIoHandler.newFactory());
         core = new NodeCore(
-                settings, incarnation, loop, inbox -> new PeerLinks(settings, key, incarnation, group, inbox, metrics));
+                settings,
+                incarnation,
+                controlLoop,
+                inbox -> new PeerLinks(settings, key, incarnation, group, inbox, metrics));
         services = new CallerServices(settings, core, metrics);
         registerGauges();
-        root = new Supervisor("node", scheduler, loop::nowMillis)
+        rootSupervisor = new Supervisor("node", scheduler, controlLoop::nowMillis)
                 .supervise("peer-server", () -> new PeerServer(settings, key, group, core, metrics))
                 .supervise("edges", () -> edges(token));
         core.start();
-        root.start(cause -> failed.countDown());
+        rootSupervisor.start(cause -> failed.countDown());
     }
 
     private Supervisor edges(String token) {
-        Supervisor edges = new Supervisor("edges", scheduler, loop::nowMillis)
+        Supervisor edges = new Supervisor("edges", scheduler, controlLoop::nowMillis)
                 .supervise("admin-server", () -> new AdminServer(settings, token, core, metrics, this::isReady, group));
         if (settings.isEntry()) {
-            edges.supervise("caller-server", () -> callers = new CallerServer(services, group));
+            edges.supervise("caller-server", () -> callerServer = new CallerServer(services, group));
         }
         return edges;
     }
 
     private boolean isReady() {
-        CallerServer current = callers;
+        CallerServer current = callerServer;
         return core.isReady() && (!settings.isEntry() || current != null && current.isListening());
     }
 
@@ -105,14 +108,14 @@
     public int shutDown() {
         PartLog.NODE.info("Node " + settings.node() + " shuts down.");
         core.beginShutdown();
-        pause(HANDOVER_MILLIS);
-        if (callers != null) {
-            callers.stopAccepting();
+        sleep(HANDOVER_WAIT_MILLIS);
+        if (callerServer != null) {
+            callerServer.stopAccepting();
         }
         long until = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(settings.timeouts().shutdownMillis());
         while (services.inProgress() > 0 && System.nanoTime() < until) {
-            pause(POLL_MILLIS);
+            sleep(POLL_MILLIS);
         }
         int cut = services.inProgress();
         PartLog.NODE.info("Node " + settings.node() + " stops; it cut off " + cut + " requests.");
@@ -123,14 +126,14 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        root.close();
+        rootSupervisor.close();
         scheduler.close();
         core.close();
-        loop.close();
+        controlLoop.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException exception) {
--- a/node/src/main/java/org/radishspur/node/NodeMain.java
+++ b/node/src/main/java/org/radishspur/node/NodeMain.java
@@ -28,7 +28,7 @@
     static final int EXIT_FAILED = 1;
 
     /** The settings or the data folder are not fit to start with. */
-    static final int EXIT_UNFIT = 3;
+    static final int EXIT_INVALID_SETUP = 3;
 
     /** A planned stop had to cut off requests. */
     static final int EXIT_CUT_OFF = 4;
@@ -52,7 +52,7 @@
                     if (!(exception instanceof RadishspurException)) {
                         exception.printStackTrace(line.getErr());
                     }
-                    return EXIT_UNFIT;
+                    return EXIT_INVALID_SETUP;
                 })
                 .execute(arguments);
         if (code != 0) {
@@ -118,7 +118,7 @@
                 names = "--found",
                 description = "Found a new cluster together with all other control nodes. Never use this again on a "
                         + "node whose disk was lost: without it the node joins under a new identity.")
-        private boolean found;
+        private boolean foundCluster;
 
         /** {@inheritDoc} */
         @Override
@@ -126,7 +126,7 @@
             NodeSettings read = settings.read();
             Path path = read.dataFolder().orElseThrow();
             String suffix = Integer.toString(new SecureRandom().nextInt(SUFFIX_BOUND), Character.MAX_RADIX);
-            Identity identity = found
+            Identity identity = foundCluster
                     ? Identity.ofFounder(read.cluster(), read.node(), read.controlNodes())
                     : Identity.ofJoiner(read.cluster(), read.node(), suffix);
             new DataFolder(path).format(identity);
--- a/node/src/main/java/org/radishspur/node/log/EventCode.java
+++ b/node/src/main/java/org/radishspur/node/log/EventCode.java
@@ -87,11 +87,11 @@
     /** Lines were left out because too many came. */
     SUPPRESSED(false, "lines");
 
-    private final boolean ofRequest;
+    private final boolean requestEvent;
     private final List<String> fields;
 
     EventCode(boolean ofRequest, String... fields) {
-        this.ofRequest = ofRequest;
+        this.requestEvent = ofRequest;
         this.fields = List.of(fields);
     }
 
@@ -100,8 +100,8 @@
      *
      * @return whether it does.
      */
-    public boolean isOfRequest() {
-        return ofRequest;
+    public boolean isRequestEvent() {
+        return requestEvent;
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/log/EventLog.java
+++ b/node/src/main/java/org/radishspur/node/log/EventLog.java
@@ -20,7 +20,7 @@
  */
 public final class EventLog implements AutoCloseable {
     /** How many lines may wait to be written; some 2 MB. */
-    private static final int QUEUE_LINES = 8_192;
+    private static final int QUEUE_CAPACITY_LINES = 8_192;
 
     /** How many lines of single requests are written a second; at 150 bytes this is a tenth of a megabyte. */
     private static final int REQUEST_LINES_PER_SECOND = 400;
@@ -29,15 +29,15 @@
     private static final long POLL_MILLIS = 1_000;
 
     /** One in so many successful requests is logged; the same ones by their id at every process. */
-    private static final int SAMPLED = 16;
+    private static final int SAMPLING_INTERVAL_REQUESTS = 16;
 
     private final String node;
     private final PrintStream out;
     private final JsonFactory json = new JsonFactory();
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
-    private final AtomicLong suppressed = new AtomicLong();
-    private final AtomicLong second = new AtomicLong();
-    private final AtomicLong linesInSecond = new AtomicLong();
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
+    private final AtomicLong suppressedLines = new AtomicLong();
+    private final AtomicLong currentSecond = new AtomicLong();
+    private final AtomicLong requestLinesInSecond = new AtomicLong();
     private final Thread writer;
     private volatile boolean closed;
 
@@ -76,7 +76,7 @@
         if (isWithinRate()) {
             enqueue(line(code, request, values));
         } else {
-            suppressed.incrementAndGet();
+            suppressedLines.incrementAndGet();
         }
     }
 
@@ -87,7 +87,7 @@
      * @return whether it is.
      */
     public boolean samples(String request) {
-        return Math.floorMod(request.hashCode(), SAMPLED) == 0;
+        return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
     }
 
     /** {@inheritDoc} */
@@ -104,15 +104,15 @@
 
     private boolean isWithinRate() {
         long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
-        if (second.getAndSet(now) != now) {
-            linesInSecond.set(0);
+        if (currentSecond.getAndSet(now) != now) {
+            requestLinesInSecond.set(0);
         }
-        return linesInSecond.incrementAndGet() <= REQUEST_LINES_PER_SECOND;
+        return requestLinesInSecond.incrementAndGet() <= REQUEST_LINES_PER_SECOND;
     }
 
     private void enqueue(String text) {
         if (!queue.offer(text)) {
-            suppressed.incrementAndGet();
+            suppressedLines.incrementAndGet();
         }
     }
 
@@ -150,7 +150,7 @@
         while (!closed || !queue.isEmpty()) {
             try {
                 String text = closed ? queue.poll() : queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
-                long left = suppressed.getAndSet(0);
+                long left = suppressedLines.getAndSet(0);
                 if (left > 0) {
                     out.println(line(EventCode.SUPPRESSED, "", left));
                 }
--- a/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
+++ b/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
@@ -21,11 +21,11 @@
     /** {@inheritDoc} */
     @Override
     protected InternalLogger newInstance(String name) {
-        return new WarningsOnly(name);
+        return new WarningLogger(name);
     }
 
     /** Puts the arguments in where the format has a pair of braces; those that are left stand at the end. */
-    private static String fill(String format, Object... arguments) {
+    private static String expandPlaceholders(String format, Object... arguments) {
         StringBuilder text = new StringBuilder();
         int from = 0;
         for (Object argument : arguments) {
@@ -41,17 +41,17 @@
         return text.append(format, from, format.length()).toString();
     }
 
-    private static Throwable causeAmong(Object... arguments) {
+    private static Throwable trailingThrowable(Object... arguments) {
         return arguments.length > 0 && arguments[arguments.length - 1] instanceof Throwable cause ? cause : null;
     }
 
     /**
      * Takes the lines of one class.
      */
-    private static final class WarningsOnly extends AbstractInternalLogger {
+    private static final class WarningLogger extends AbstractInternalLogger {
         private static final long serialVersionUID = 1L;
 
-        WarningsOnly(String name) {
+        WarningLogger(String name) {
             super(name);
         }
 
@@ -137,7 +137,7 @@
 
         @Override
         public void warn(String format, Object... arguments) {
-            warn(fill(format, arguments), causeAmong(arguments));
+            warn(expandPlaceholders(format, arguments), trailingThrowable(arguments));
         }
 
         @Override
@@ -167,7 +167,7 @@
 
         @Override
         public void error(String format, Object... arguments) {
-            error(fill(format, arguments), causeAmong(arguments));
+            error(expandPlaceholders(format, arguments), trailingThrowable(arguments));
         }
 
         @Override
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
@@ -26,7 +26,7 @@
  * Serves the metrics of a process as text, on any path of an address of their own.
  */
 public final class MetricsServer implements Child {
-    private static final int BODY_BYTES = 8_192;
+    private static final int MAXIMUM_BODY_BYTES = 8_192;
 
     private final HostPort address;
     private final EventLoopGroup group;
@@ -52,8 +52,8 @@
         channel = Listener.INSTANCE.listen(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(BODY_BYTES))
-                    .addLast(new Reception());
+                    .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
+                    .addLast(new RequestHandler());
         });
     }
 
@@ -68,7 +68,7 @@
     /**
      * Answers the questions of one connection, one a connection.
      */
-    private final class Reception extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsText.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsText.java
@@ -23,24 +23,24 @@
      */
     public String write(MetricRegistry registry) {
         StringBuilder text = new StringBuilder();
-        registry.getCounters().forEach((name, counter) -> sample(text, name + "_total", "", counter.getCount()));
+        registry.getCounters().forEach((name, counter) -> appendSample(text, name + "_total", "", counter.getCount()));
         registry.getGauges().forEach((name, gauge) -> {
             if (gauge.getValue() instanceof Number number) {
-                sample(text, name, "", number.doubleValue());
+                appendSample(text, name, "", number.doubleValue());
             }
         });
         registry.getTimers().forEach((name, timer) -> {
             Snapshot snapshot = timer.getSnapshot();
             for (double quantile : QUANTILES) {
                 String label = "{quantile=\"" + quantile + "\"}";
-                sample(text, name + "_seconds", label, snapshot.getValue(quantile) / NANOS_PER_SECOND);
+                appendSample(text, name + "_seconds", label, snapshot.getValue(quantile) / NANOS_PER_SECOND);
             }
-            sample(text, name + "_seconds_count", "", timer.getCount());
+            appendSample(text, name + "_seconds_count", "", timer.getCount());
         });
         return text.toString();
     }
 
-    private static void sample(StringBuilder text, String name, String label, double value) {
+    private static void appendSample(StringBuilder text, String name, String label, double value) {
         text.append("radishspur_")
                 .append(name.toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9_]", "_"))
                 .append(label)
--- a/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
@@ -22,7 +22,7 @@
     private final Counter answered = registry.counter("requests.answered");
     private final Counter replayed = registry.counter("requests.replayed");
     private final Counter truncated = registry.counter("requests.truncated");
-    private final Counter localClaims = registry.counter("claims.local-only");
+    private final Counter localOnlyClaims = registry.counter("claims.local-only");
     private final Counter retriesOverBudget = registry.counter("retries.over-budget");
     private final Timer claimTime = registry.timer("claims.time");
     private final Timer permitTime = registry.timer("permits.time");
@@ -100,7 +100,7 @@
 
     /** Counts a claim that only this node knows of. */
     public void claimedLocally() {
-        localClaims.inc();
+        localOnlyClaims.inc();
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/settings/FieldReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/FieldReader.java
@@ -15,12 +15,12 @@
  */
 final class FieldReader {
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
-    private static final int GREATEST_PORT = 65_535;
+    private static final int MAXIMUM_PORT = 65_535;
 
     private final JsonNode object;
     private final String path;
     private final List<TableFault> faults;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> readNames = new HashSet<>();
 
     FieldReader(JsonNode object, String path, List<TableFault> faults) {
         this.object = object;
@@ -32,7 +32,7 @@
     }
 
     private JsonNode field(String name) {
-        known.add(name);
+        readNames.add(name);
         JsonNode value = object.path(name);
         return value.isNull() ? MissingNode.getInstance() : value;
     }
@@ -101,8 +101,8 @@
             return new HostPort("127.0.0.1", 0);
         }
         HostPort address = HostPort.parse(value.textValue());
-        if (address.port() > GREATEST_PORT) {
-            fault(name, "must have a port from 0 to " + GREATEST_PORT);
+        if (address.port() > MAXIMUM_PORT) {
+            fault(name, "must have a port from 0 to " + MAXIMUM_PORT);
         }
         return address;
     }
@@ -124,7 +124,7 @@
         return readers;
     }
 
-    <E extends Enum<E>> Set<E> choices(String name, Class<E> type) {
+    <E extends Enum<E>> Set<E> enumSet(String name, Class<E> type) {
         Set<E> chosen = java.util.EnumSet.noneOf(type);
         JsonNode value = field(name);
         for (JsonNode element : value) {
@@ -139,9 +139,9 @@
     }
 
     /** Reports the fields that nobody has asked for. */
-    void finish() {
+    void rejectUnknownFields() {
         object.fieldNames().forEachRemaining(name -> {
-            if (!known.contains(name)) {
+            if (!readNames.contains(name)) {
                 fault(name, "is not known here");
             }
         });
--- a/node/src/main/java/org/radishspur/node/settings/FleetSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/FleetSettings.java
@@ -75,7 +75,7 @@
      * @param retrySlack how many more that may be, over all entries.
      * @param greatestTrialShare the greatest share of requests that a version under trial may get.
      * @param quota how far quotas may be exceeded.
-     * @param toleratedLosses how many control hosts may be lost at once, their disks with them.
+     * @param toleratedHostLosses how many control hosts may be lost at once, their disks with them.
      */
     public record Bounds(
             long revokeMillis,
@@ -84,7 +84,7 @@
             int retrySlack,
             double greatestTrialShare,
             QuotaLedger.Tolerance quota,
-            int toleratedLosses) {
+            int toleratedHostLosses) {
 
         /**
          * Returns how many control hosts vote, so that a majority is left after the losses that are borne.
@@ -92,7 +92,7 @@
          * @return the number.
          */
         public int voters() {
-            return 2 * toleratedLosses + 1;
+            return 2 * toleratedHostLosses + 1;
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/settings/SettingsFaults.java
+++ b/node/src/main/java/org/radishspur/node/settings/InvalidSettingsException.java
@@ -10,7 +10,7 @@
 /**
  * Reports every fault of a settings file at once.
  */
-public final class SettingsFaults extends RadishspurException {
+public final class InvalidSettingsException extends RadishspurException {
     private static final long serialVersionUID = 1L;
 
     private final transient List<TableFault> faults;
@@ -20,7 +20,7 @@
      *
      * @param faults every fault found.
      */
-    public SettingsFaults(List<TableFault> faults) {
+    public InvalidSettingsException(List<TableFault> faults) {
         super(
                 ErrorCode.SETTINGS_INVALID,
                 faults.stream()
--- a/node/src/main/java/org/radishspur/node/settings/SecretFile.java
+++ b/node/src/main/java/org/radishspur/node/settings/SecretFile.java
@@ -16,7 +16,7 @@
     /** The only instance; reading keeps no state. */
     INSTANCE;
 
-    private static final int LEAST_CHARACTERS = 16;
+    private static final int MINIMUM_CHARACTERS = 16;
 
     /**
      * Reads the secret and checks that nobody but its owner can.
@@ -33,9 +33,9 @@
                         ErrorCode.FILE_UNREADABLE, file + " must be readable by its owner only (chmod 600)");
             }
             String secret = Files.readString(file).strip();
-            if (secret.length() < LEAST_CHARACTERS) {
+            if (secret.length() < MINIMUM_CHARACTERS) {
                 throw new RadishspurException(
-                        ErrorCode.FILE_UNREADABLE, file + " must hold at least " + LEAST_CHARACTERS + " characters");
+                        ErrorCode.FILE_UNREADABLE, file + " must hold at least " + MINIMUM_CHARACTERS + " characters");
             }
             return secret;
         } catch (IOException exception) {
--- a/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
@@ -22,13 +22,13 @@
     /** The only instance; reading keeps no state. */
     INSTANCE;
 
-    private static final long SECOND = 1_000;
-    private static final long MINUTE = 60 * SECOND;
-    private static final long HOUR = 60 * MINUTE;
-    private static final long DAY = 24 * HOUR;
-    private static final int KIBIBYTE = 1 << 10;
-    private static final int MEBIBYTE = 1 << 20;
-    private static final long GIBIBYTE = 1L << 30;
+    private static final long SECOND_MILLIS = 1_000;
+    private static final long MINUTE_MILLIS = 60 * SECOND_MILLIS;
+    private static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
+    private static final long DAY_MILLIS = 24 * HOUR_MILLIS;
+    private static final int KIBIBYTE_BYTES = 1 << 10;
+    private static final int MEBIBYTE_BYTES = 1 << 20;
+    private static final long GIBIBYTE_BYTES = 1L << 30;
 
     /**
      * Reads a settings file; relative paths in it start from its own folder.
@@ -59,25 +59,25 @@
                 root.text("cluster"),
                 root.text("node"),
                 root.text("failureDomain"),
-                root.choices("roles", Role.class),
+                root.enumSet("roles", Role.class),
                 root.address("callerAddress"),
                 root.address("peerAddress"),
                 root.address("adminAddress"),
-                path(root.optionalText("dataFolder"), folder),
+                optionalPath(root.optionalText("dataFolder"), folder),
                 folder.resolve(root.text("sharedKeyFile")),
                 folder.resolve(root.text("adminTokenFile")),
                 peers(root),
                 limits(root.object("limits")),
                 timeouts(root.object("timeouts")));
-        root.finish();
-        check(settings, faults);
+        root.rejectUnknownFields();
+        checkConsistency(settings, faults);
         if (!faults.isEmpty()) {
-            throw new SettingsFaults(faults);
+            throw new InvalidSettingsException(faults);
         }
         return settings;
     }
 
-    private static Optional<Path> path(String text, Path folder) {
+    private static Optional<Path> optionalPath(String text, Path folder) {
         return text.isEmpty() ? Optional.empty() : Optional.of(folder.resolve(text));
     }
 
@@ -85,46 +85,46 @@
         List<PeerSettings> peers = new ArrayList<>();
         for (FieldReader peer : root.objects("peers")) {
             peers.add(new PeerSettings(peer.text("node"), peer.address("address"), peer.flag("control", false)));
-            peer.finish();
+            peer.rejectUnknownFields();
         }
         return peers;
     }
 
     private static Limits limits(FieldReader fields) {
         Limits limits = new Limits(
-                (int) fields.number("headerBytes", 16 * KIBIBYTE, KIBIBYTE, MEBIBYTE),
-                (int) fields.number("initialBodyBytes", 16 * KIBIBYTE, KIBIBYTE, MEBIBYTE),
-                (int) fields.number("storedAnswerBytes", 64 * KIBIBYTE, 0, MEBIBYTE),
-                (int) fields.number("frameBytes", 4 * MEBIBYTE, 64 * KIBIBYTE, 64 * MEBIBYTE),
+                (int) fields.number("headerBytes", 16 * KIBIBYTE_BYTES, KIBIBYTE_BYTES, MEBIBYTE_BYTES),
+                (int) fields.number("initialBodyBytes", 16 * KIBIBYTE_BYTES, KIBIBYTE_BYTES, MEBIBYTE_BYTES),
+                (int) fields.number("storedAnswerBytes", 64 * KIBIBYTE_BYTES, 0, MEBIBYTE_BYTES),
+                (int) fields.number("frameBytes", 4 * MEBIBYTE_BYTES, 64 * KIBIBYTE_BYTES, 64 * MEBIBYTE_BYTES),
                 (int) fields.number("trafficThreads", Runtime.getRuntime().availableProcessors(), 1, 256),
                 (int) fields.number("callerConnections", 20_000, 1, 1_000_000),
                 fields.share("retryShare", 0.1),
                 (int) fields.number("entriesPerSnapshot", 10_000, 10, 10_000_000),
-                fields.number("minimumFreeBytes", 64L * MEBIBYTE, 0, 1024 * GIBIBYTE));
-        fields.finish();
+                fields.number("minimumFreeBytes", 64L * MEBIBYTE_BYTES, 0, 1024 * GIBIBYTE_BYTES));
+        fields.rejectUnknownFields();
         return limits;
     }
 
     private static Timeouts timeouts(FieldReader fields) {
         Timeouts timeouts = new Timeouts(
-                fields.number("connectMillis", SECOND, 1, MINUTE),
-                fields.number("firstByteMillis", MINUTE, 1, HOUR),
-                fields.number("idleMillis", 30 * SECOND, 1, HOUR),
-                fields.number("callerIdleMillis", 2 * MINUTE, 1, DAY),
-                fields.number("upstreamKeepMillis", 4 * SECOND, 0, HOUR),
-                fields.number("controlCallMillis", 5 * SECOND, 10, MINUTE),
-                fields.number("heartbeatMillis", 500, 10, MINUTE),
-                fields.number("nodeLostMillis", 3 * SECOND, 100, HOUR),
-                fields.number("raftHeartbeatMillis", 100, 5, MINUTE),
-                fields.number("electionMillis", 600, 50, MINUTE),
-                fields.number("shutdownMillis", 10 * MINUTE, 0, DAY),
-                fields.number("claimKeepMillis", DAY, SECOND, 30 * DAY),
-                fields.number("suspectKeepMillis", 10 * MINUTE, SECOND, 30 * DAY));
-        fields.finish();
+                fields.number("connectMillis", SECOND_MILLIS, 1, MINUTE_MILLIS),
+                fields.number("firstByteMillis", MINUTE_MILLIS, 1, HOUR_MILLIS),
+                fields.number("idleMillis", 30 * SECOND_MILLIS, 1, HOUR_MILLIS),
+                fields.number("callerIdleMillis", 2 * MINUTE_MILLIS, 1, DAY_MILLIS),
+                fields.number("upstreamKeepMillis", 4 * SECOND_MILLIS, 0, HOUR_MILLIS),
+                fields.number("controlCallMillis", 5 * SECOND_MILLIS, 10, MINUTE_MILLIS),
+                fields.number("heartbeatMillis", 500, 10, MINUTE_MILLIS),
+                fields.number("nodeLostMillis", 3 * SECOND_MILLIS, 100, HOUR_MILLIS),
+                fields.number("raftHeartbeatMillis", 100, 5, MINUTE_MILLIS),
+                fields.number("electionMillis", 600, 50, MINUTE_MILLIS),
+                fields.number("shutdownMillis", 10 * MINUTE_MILLIS, 0, DAY_MILLIS),
+                fields.number("claimKeepMillis", DAY_MILLIS, SECOND_MILLIS, 30 * DAY_MILLIS),
+                fields.number("suspectKeepMillis", 10 * MINUTE_MILLIS, SECOND_MILLIS, 30 * DAY_MILLIS));
+        fields.rejectUnknownFields();
         return timeouts;
     }
 
-    private static void check(NodeSettings settings, List<TableFault> faults) {
+    private static void checkConsistency(NodeSettings settings, List<TableFault> faults) {
         if (settings.isControl() && settings.dataFolder().isEmpty()) {
             faults.add(new TableFault("dataFolder", "must be given for a control node"));
         }
--- a/node/src/main/java/org/radishspur/node/transport/Listener.java
+++ b/node/src/main/java/org/radishspur/node/transport/Listener.java
@@ -19,7 +19,7 @@
     INSTANCE;
 
     /** How many connections may wait to be accepted; a balancer may move all callers of a host here at once. */
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_BACKLOG = 1_024;
 
     /**
      * Starts to listen.
@@ -33,7 +33,7 @@
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
--- a/node/src/test/java/org/radishspur/node/log/EventLogTest.java
+++ b/node/src/test/java/org/radishspur/node/log/EventLogTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void writesOneObjectALine() {
+    void writesOneJsonObjectPerLine() {
         try (EventLog log = new EventLog("node-1", new PrintStream(out))) {
             log.emitFor(EventCode.RETRIED, "r1", "not-run", "i-1", 2, 30L);
         }
@@ -37,13 +37,13 @@
     }
 
     @Nested
-    class InAFlood {
+    class UnderHighLoad {
         /**
          * Fifty times as many requests fail in one second as may be logged. Their lines are left out and counted; what the
          * process believes is written all the same.
          */
         @Test
-        void leavesLinesOfRequestsOutAndKeepsChangesOfBelief() {
+        void suppressesRequestEventsAboveTheRateLimitAndKeepsProcessEvents() {
             try (EventLog log = new EventLog("node-1", new PrintStream(out))) {
                 for (int count = 0; count < 20_000; count++) {
                     log.emitFor(EventCode.LEFT, "r" + count, "i-1", 5L);
@@ -58,7 +58,7 @@
         /** Whoever reads standard output has stopped: the thread that reports must not wait for it. */
         @Test
         @Timeout(30)
-        void neverWaitsForAStuckReader() throws InterruptedException {
+        void doesNotBlockTheCallerWhenOutputIsBlocked() throws InterruptedException {
             CountDownLatch free = new CountDownLatch(1);
             PrintStream stuck = new PrintStream(new OutputStream() {
                 @Override
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void isDescribedForOperatorsEventByEvent() throws IOException {
+    void everyEventAndFieldIsDocumentedForOperators() throws IOException {
         String page = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
         for (EventCode code : EventCode.values()) {
             assertThat(page).contains('`' + code.name() + '`');
