--- a/node/src/main/java/org/radishspur/node/log/EventCode.java
+++ b/node/src/main/java/org/radishspur/node/log/EventCode.java
@@ -3,44 +3,44 @@
 import java.util.List;
 
 /**
- * Lists the structured events that processes log, each with the names of its fields.
+ * Lists the structured events that the programs entry and control log, with the names of their fields.
  */
 public enum EventCode {
     /** A process has started. */
     STARTED(false, "role", "failureDomain", "founding"),
-    /** A process begins a planned stop. */
+    /** A process has begun to shut down. */
     STOPPING(false, "inProgress"),
-    /** A process has ended a planned stop. */
+    /** A process has finished its shutdown. */
     STOPPED(false, "cutOff"),
-    /** The settings were read again. */
+    /** The settings file was read again. */
     RELOADED(false, "seeds"),
-    /** A catalogue came into force at this process. */
+    /** Another catalogue has come into force at this process. */
     CATALOGUE(false, "revision", "routes", "organisations"),
-    /** The host list has changed at this process. */
+    /** The host list that this process uses has changed. */
     HOST_LIST(false, "term", "reading", "upstreams", "leaving"),
-    /** The control leader was lost or found. */
+    /** This process has lost contact with the control leader, or has a leader again. */
     CONTROL(false, "state", "leader", "ageMillis"),
-    /** An entry has attached to another scheduler; an empty name stands for the entry itself. */
+    /** An entry has attached to another scheduler; an empty name means that the entry schedules by itself. */
     SCHEDULER(false, "scheduler", "before", "asked"),
-    /** A scheduler has not answered an entry, or the connection to it was lost. */
+    /** A scheduler did not answer an entry, or the connection to it was lost. */
     SCHEDULER_LOST(false, "scheduler", "cause"),
-    /** A control replica has read its disk. */
+    /** A control replica has recovered its state from its disk. */
     RECOVERED(false, "replica", "entries", "snapshotIndex"),
     /** The role of a control replica has changed. */
     ROLE(false, "role", "term", "voters"),
-    /** A member of the control group is being replaced or added. */
+    /** A voter of the control group is being replaced or added. */
     MEMBER(false, "candidate", "replaced", "started"),
     /** The platform's host list could not be read. */
     LIST_FAILED(false, "cause"),
-    /** A rollout has changed its stage. */
+    /** A rollout moves on to another stage. */
     ROLLOUT(false, "pool", "target", "stage", "answers", "failures", "cause"),
-    /** A scheduler sends nothing more into a failure domain, or sends there again. */
+    /** A scheduler has stopped sending requests to a failure domain, or sends them again. */
     EVACUATION(false, "failureDomain", "state", "inProgress"),
     /** An operator's call was answered. */
     OPERATOR(false, "call", "status", "revision", "millis"),
-    /** A request was sent to an upstream. */
+    /** A request was sent to an upstream; logged for a sample of the requests only. */
     SENT(true, "upstream", "inProgress", "waitedMillis", "deadlineMillis", "revision"),
-    /** A request was ended by the system, without having run. */
+    /** The system refused a request that has not run. */
     REFUSED(
             true,
             "reason",
@@ -52,7 +52,7 @@
             "revision",
             "rank",
             "returning"),
-    /** A request was ended by the system, and may have run. */
+    /** The system ended a request that may have run. */
     FAILED(
             true,
             "reason",
@@ -65,9 +65,9 @@
             "expectedTokens",
             "rank",
             "returning"),
-    /** A request goes to another upstream. */
+    /** A request is retried at another upstream. */
     RETRIED(true, "reason", "upstream", "attempt", "millis"),
-    /** An answer was passed on to its end. */
+    /** An answer was forwarded to its end; logged for errors and for a sample of the other answers. */
     ANSWERED(
             true,
             "status",
@@ -80,11 +80,11 @@
             "expectedTokens",
             "rank",
             "returning"),
-    /** A caller left before its answer was whole. */
+    /** A caller disconnected before its answer was complete. */
     LEFT(true, "upstream", "millis", "events", "promptTokens", "expectedTokens", "rank", "returning"),
-    /** An upstream gets nothing for a moment. */
+    /** An upstream is ejected: it gets no requests for some time. */
     EJECTED(false, "upstream", "cause"),
-    /** Lines were left out because too many came. */
+    /** Lines were dropped, because they exceeded the rate limit or the queue was full. */
     SUPPRESSED(false, "lines");
 
     private final boolean requestEvent;
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Returns whether the event belongs to one request; such lines are left out first when too many come.
+     * Returns whether the event belongs to one request; such events are subject to a rate limit.
      *
      * @return whether it does.
      */
--- a/node/src/main/java/org/radishspur/node/log/EventLog.java
+++ b/node/src/main/java/org/radishspur/node/log/EventLog.java
@@ -12,23 +12,23 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 
 /**
- * Writes structured events as JSON, one a line, without ever holding up the thread that reports them.
+ * Writes structured events as JSON, one object per line, without ever blocking the thread that reports them.
  *
- * <p>Guards against a flood of lines that costs more than the requests it tells of: beyond a rate, lines of single
- * requests are left out and counted. Lines that change what the process believes are always taken, unless the queue is
- * full.
+ * <p>Under overload, logging every request could cost more than the requests themselves. Events of single requests are
+ * therefore limited to a rate, and those beyond it are dropped and counted. Events of the process are dropped only when the
+ * queue is full.
  */
 public final class EventLog implements AutoCloseable {
-    /** How many lines may wait to be written; some 2 MB. */
+    /** Maximum number of lines that wait to be written; about 2 MB. */
     private static final int QUEUE_CAPACITY_LINES = 8_192;
 
-    /** How many lines of single requests are written a second; at 150 bytes this is a tenth of a megabyte. */
+    /** Maximum rate of request events, in lines per second; at 150 bytes a line, less than 0.1 MB/s. */
     private static final int REQUEST_LINES_PER_SECOND = 400;
 
-    /** How long the writer waits for a line before it looks whether lines were left out, in milliseconds. */
+    /** How long the writer waits for a line before it checks whether lines were dropped, in milliseconds. */
     private static final long POLL_MILLIS = 1_000;
 
-    /** One in so many successful requests is logged; the same ones by their id at every process. */
+    /** One in this many successful requests is logged, chosen by its id so that all processes log the same ones. */
     private static final int SAMPLING_INTERVAL_REQUESTS = 16;
 
     private final String node;
@@ -42,7 +42,7 @@
     private volatile boolean closed;
 
     /**
-     * Creates a log.
+     * Creates a log and starts the thread that writes it.
      *
      * @param node the name of the process.
      * @param out where the lines go.
@@ -56,21 +56,21 @@
     }
 
     /**
-     * Reports an event.
+     * Logs an event of the process, unless the queue is full.
      *
      * @param code the event.
-     * @param values the values of its fields, in their order.
+     * @param values the values of its fields, in the order of {@link EventCode#fields()}.
      */
     public void emit(EventCode code, Object... values) {
         enqueue(line(code, "", values));
     }
 
     /**
-     * Reports an event of a request.
+     * Logs an event of a request, unless the rate limit is exceeded or the queue is full.
      *
      * @param code the event.
-     * @param request the caller's identification of the request.
-     * @param values the values of its fields, in their order.
+     * @param request the caller's id of the request.
+     * @param values the values of its fields, in the order of {@link EventCode#fields()}.
      */
     public void emitFor(EventCode code, String request, Object... values) {
         if (isWithinRate()) {
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Returns whether a request that goes well is among those that are logged.
+     * Returns whether a request is in the sample that is logged even if it succeeds.
      *
-     * @param request the caller's identification of the request.
-     * @return whether it is.
+     * @param request the caller's id of the request.
+     * @return whether it is in the sample.
      */
     public boolean samples(String request) {
         return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
@@ -150,9 +150,9 @@
         while (!closed || !queue.isEmpty()) {
             try {
                 String text = closed ? queue.poll() : queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
-                long left = suppressedLines.getAndSet(0);
-                if (left > 0) {
-                    out.println(line(EventCode.SUPPRESSED, "", left));
+                long dropped = suppressedLines.getAndSet(0);
+                if (dropped > 0) {
+                    out.println(line(EventCode.SUPPRESSED, "", dropped));
                 }
                 if (text != null) {
                     out.println(text);
@@ -161,7 +161,7 @@
                     out.flush();
                 }
             } catch (InterruptedException exception) {
-                // Only closing interrupts this thread; what is queued is still written.
+                // Only close() interrupts this thread; lines in the queue are still written.
                 closed = true;
             }
         }
--- a/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
+++ b/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
@@ -5,10 +5,10 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * Passes the warnings and errors of Netty on to the log, and leaves out the rest.
+ * Forwards the warnings and errors of Netty to the log, and discards lower levels.
  *
- * <p>Netty creates dozens of loggers at a start. Those of the Java platform read their configuration then, which is a tenth of
- * the processor time of a start; here the first line does so.
+ * <p>Netty creates dozens of loggers at startup. Creating loggers of the Java platform at that point loads the logging
+ * configuration, which takes a tenth of the processor time of a start; these loggers load it when the first line is logged.
  */
 public final class NettyLogFactory extends InternalLoggerFactory {
     /** The only instance. */
@@ -24,7 +24,7 @@
         return new WarningLogger(name);
     }
 
-    /** Puts the arguments in where the format has a pair of braces; those that are left stand at the end. */
+    /** Replaces each placeholder of the format by an argument, and appends the arguments without a placeholder. */
     private static String expandPlaceholders(String format, Object... arguments) {
         StringBuilder text = new StringBuilder();
         int from = 0;
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Takes the lines of one class.
+     * Logs the warnings and errors of one class of Netty.
      */
     private static final class WarningLogger extends AbstractInternalLogger {
         private static final long serialVersionUID = 1L;
--- a/node/src/main/java/org/radishspur/node/log/PartLog.java
+++ b/node/src/main/java/org/radishspur/node/log/PartLog.java
@@ -3,24 +3,24 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Writes short sentences to the log, each behind the prefix of the part that speaks.
+ * Writes log lines, each with a prefix that names the component that logs it.
  */
 public enum PartLog {
     /** The process as a whole. */
     NODE("[node]"),
     /** The control replica and its disk. */
     CONTROL("[control]"),
-    /** The connections between nodes. */
+    /** The connections between processes. */
     PEER("[peer]"),
-    /** The callers' edge. */
+    /** The server for callers. */
     CALLER("[caller]"),
-    /** The upstreams' edge. */
+    /** The connections to upstreams. */
     UPSTREAM("[upstream]"),
-    /** The owner of a pool's queue. */
+    /** The owner of a pool's queue in radishspur-node. */
     OWNER("[owner]"),
-    /** The operators' edge. */
+    /** The server for operators. */
     ADMIN("[admin]"),
-    /** The library that carries connections. */
+    /** The network library, Netty. */
     NETWORK("[network]"),
     /** The supervisor tree. */
     SUPERVISOR("[supervisor]");
@@ -31,46 +31,46 @@
         this.prefix = prefix;
     }
 
-    /** Finds the logger on the first line only: setting the logging up takes a tenth of a second of a start. */
+    /** Looks the logger up only when a line is logged, because loading the logging configuration takes 0.1 s at startup. */
     private System.Logger logger() {
         return System.getLogger("org.radishspur.node." + name().toLowerCase(java.util.Locale.ROOT));
     }
 
     /**
-     * Says something that an operator may want to know later.
+     * Logs information that an operator may need later.
      *
-     * @param sentence the sentence.
+     * @param message the text, without the prefix.
      */
-    public void info(String sentence) {
-        logger().log(Level.INFO, prefix + ' ' + sentence);
+    public void info(String message) {
+        logger().log(Level.INFO, prefix + ' ' + message);
     }
 
     /**
-     * Says something that an operator may have to act on.
+     * Logs a warning that an operator may have to act on.
      *
-     * @param sentence the sentence.
+     * @param message the text, without the prefix.
      */
-    public void warn(String sentence) {
-        logger().log(Level.WARNING, prefix + ' ' + sentence);
+    public void warn(String message) {
+        logger().log(Level.WARNING, prefix + ' ' + message);
     }
 
     /**
-     * Says something that an operator may have to act on, with its cause.
+     * Logs a warning that an operator may have to act on, with its cause.
      *
-     * @param sentence the sentence.
-     * @param cause what led to it, or null where nothing did.
+     * @param message the text, without the prefix.
+     * @param cause the cause, or null if there is none.
      */
-    public void warn(String sentence, Throwable cause) {
-        logger().log(Level.WARNING, prefix + ' ' + sentence, cause);
+    public void warn(String message, Throwable cause) {
+        logger().log(Level.WARNING, prefix + ' ' + message, cause);
     }
 
     /**
-     * Reports a failure with its cause.
+     * Logs an error with its cause.
      *
-     * @param sentence the sentence.
+     * @param message the text, without the prefix.
      * @param cause the failure.
      */
-    public void error(String sentence, Throwable cause) {
-        logger().log(Level.ERROR, prefix + ' ' + sentence, cause);
+    public void error(String message, Throwable cause) {
+        logger().log(Level.ERROR, prefix + ' ' + message, cause);
     }
 }
--- a/node/src/main/java/org/radishspur/node/log/package-info.java
+++ b/node/src/main/java/org/radishspur/node/log/package-info.java
@@ -1,4 +1,8 @@
 /**
- * Writes the log with a fixed prefix for each part of the daemon.
+ * Writes log lines and structured events.
+ *
+ * <p>The program radishspur-node and the platform's programs entry and control all log lines by {@link
+ * org.radishspur.node.log.PartLog}, so this package has no counterpart; only entry and control write structured events, by
+ * {@link org.radishspur.node.log.EventLog}.
  */
 package org.radishspur.node.log;
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
@@ -23,9 +23,10 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Serves the metrics of a process as text, on any path of an address of their own.
+ * Serves the metrics of a process as text over HTTP, on every path of an address used for nothing else.
  */
 public final class MetricsServer implements Child {
+    /** Maximum size of a request's body, which is ignored. */
     private static final int MAXIMUM_BODY_BYTES = 8_192;
 
     private final HostPort address;
@@ -36,9 +37,9 @@
     /**
      * Creates a server that doesn't listen yet.
      *
-     * @param address where to listen.
-     * @param group the threads that serve.
-     * @param registry the metrics.
+     * @param address the address to listen on.
+     * @param group the threads that serve the connections.
+     * @param registry the metrics to serve.
      */
     public MetricsServer(HostPort address, EventLoopGroup group, MetricRegistry registry) {
         this.address = address;
@@ -66,7 +67,7 @@
     }
 
     /**
-     * Answers the questions of one connection, one a connection.
+     * Answers the first request of a connection with all metrics, then closes the connection.
      */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsText.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsText.java
@@ -6,7 +6,7 @@
 import com.codahale.metrics.Snapshot;
 
 /**
- * Writes metrics as the usual text exposition, one sample a line.
+ * Writes metrics in the Prometheus text format, one sample per line.
  */
 public enum MetricsText {
     /** The only instance; it keeps no state. */
--- a/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
@@ -11,8 +11,8 @@
 import org.radishspur.model.error.RetryReason;
 
 /**
- * Holds the counters of one node; every refusal reason, retry reason and error code has one from the start, so that a
- * reason that never occurred shows as 0.
+ * Holds the counters and timers of one node of radishspur-node. Every refusal reason, retry reason and error code has a
+ * counter from the start, so that one that never occurred is shown as 0.
  */
 public final class NodeMetrics {
     private final MetricRegistry registry = new MetricRegistry();
@@ -28,7 +28,7 @@
     private final Timer permitTime = registry.timer("permits.time");
 
     /**
-     * Creates the counters.
+     * Creates the counters, all 0.
      */
     public NodeMetrics() {
         for (RefusalReason reason : RefusalReason.values()) {
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns the registry, for gauges and for reports.
+     * Returns the registry, to which gauges are added and from which reports are written.
      *
      * @return the registry.
      */
@@ -69,7 +69,7 @@
         retries.get(reason).inc();
     }
 
-    /** Counts a retry that was not made, because retries had used up their share. */
+    /** Counts a retry that was not made, because the retry budget was used up. */
     public void retryOverBudget() {
         retriesOverBudget.inc();
     }
@@ -83,28 +83,28 @@
         errors.get(code).inc();
     }
 
-    /** Counts an answer of an upstream that reached its caller whole. */
+    /** Counts an answer of an upstream that was delivered to its caller in full. */
     public void answered() {
         answered.inc();
     }
 
-    /** Counts a stored answer that was given again. */
+    /** Counts a stored answer that was sent again to a caller that resent its request. */
     public void replayed() {
         replayed.inc();
     }
 
-    /** Counts an answer that broke off after it had begun. */
+    /** Counts an answer that was cut off after it had begun. */
     public void truncated() {
         truncated.inc();
     }
 
-    /** Counts a claim that only this node knows of. */
+    /** Counts a claim that only this node holds, because the control leader was unreachable. */
     public void claimedLocally() {
         localOnlyClaims.inc();
     }
 
     /**
-     * Returns the timer of claims.
+     * Returns the timer of claims, each from its request until the answer or the failure.
      *
      * @return the timer.
      */
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Returns the timer of permits.
+     * Returns the timer of granted permits, each from its request until the grant.
      *
      * @return the timer.
      */
--- a/node/src/main/java/org/radishspur/node/transport/Listener.java
+++ b/node/src/main/java/org/radishspur/node/transport/Listener.java
@@ -12,24 +12,24 @@
 import org.radishspur.node.settings.HostPort;
 
 /**
- * Listens on an address and sets each accepted connection up.
+ * Binds listening sockets and initialises each accepted connection.
  */
 public enum Listener {
     /** The only instance; it keeps no state. */
     INSTANCE;
 
-    /** How many connections may wait to be accepted; a balancer may move all callers of a host here at once. */
+    /** Maximum number of connections that wait to be accepted; a load balancer may move all callers of a host here at once. */
     private static final int ACCEPT_BACKLOG = 1_024;
 
     /**
-     * Starts to listen.
+     * Binds an address and waits until it is bound. Throws Netty's exception if that fails, such as for an address in use.
      *
-     * @param address where to listen.
-     * @param group the threads that carry the connections.
-     * @param setup adds the handlers of an accepted connection.
-     * @return the channel that listens; closing it stops the listening.
+     * @param address the address to listen on.
+     * @param group the threads that serve the connections.
+     * @param initializer adds the handlers to an accepted connection.
+     * @return the listening channel, which stops listening when it is closed.
      */
-    public Channel listen(HostPort address, EventLoopGroup group, Consumer<SocketChannel> setup) {
+    public Channel listen(HostPort address, EventLoopGroup group, Consumer<SocketChannel> initializer) {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -39,7 +39,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        setup.accept(accepted);
+                        initializer.accept(accepted);
                     }
                 })
                 .bind(address.toSocketAddress())
--- a/node/src/test/java/org/radishspur/node/log/EventLogTest.java
+++ b/node/src/test/java/org/radishspur/node/log/EventLogTest.java
@@ -39,8 +39,8 @@
     @Nested
     class UnderHighLoad {
         /**
-         * Fifty times as many requests fail in one second as may be logged. Their lines are left out and counted; what the
-         * process believes is written all the same.
+         * 50 times as many request events as the rate limit allows must not fill the log: those beyond the limit are
+         * dropped and counted, and events of the process are written nevertheless.
          */
         @Test
         void suppressesRequestEventsAboveTheRateLimitAndKeepsProcessEvents() {
@@ -55,26 +55,26 @@
             assertThat(lines()).filteredOn(line -> line.contains("SUPPRESSED")).isNotEmpty();
         }
 
-        /** Whoever reads standard output has stopped: the thread that reports must not wait for it. */
+        /** A reader of standard output that has stalled must not block the thread that reports events. */
         @Test
         @Timeout(30)
         void doesNotBlockTheCallerWhenOutputIsBlocked() throws InterruptedException {
-            CountDownLatch free = new CountDownLatch(1);
-            PrintStream stuck = new PrintStream(new OutputStream() {
+            CountDownLatch released = new CountDownLatch(1);
+            PrintStream blocked = new PrintStream(new OutputStream() {
                 @Override
                 public void write(int octet) throws IOException {
                     try {
-                        free.await(20, TimeUnit.SECONDS);
+                        released.await(20, TimeUnit.SECONDS);
                     } catch (InterruptedException exception) {
                         throw new IOException(exception);
                     }
                 }
             });
-            EventLog log = new EventLog("node-1", stuck);
+            EventLog log = new EventLog("node-1", blocked);
             for (int count = 0; count < 50_000; count++) {
                 log.emit(EventCode.CONTROL, "lost", "leader", 600L);
             }
-            free.countDown();
+            released.countDown();
             log.close();
         }
     }
