--- a/node/src/main/java/org/radishspur/node/settings/FieldReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/FieldReader.java
@@ -11,7 +11,8 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Reads the fields of one JSON object and collects every fault instead of stopping at the first one.
+ * Reads the fields of one JSON object. A fault is added to a list and a default returned, so that all faults are found in
+ * one pass.
  */
 final class FieldReader {
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
@@ -48,7 +49,7 @@
     String text(String name) {
         JsonNode value = field(name);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            fault(name, "must be a text that isn't empty");
+            fault(name, "must be a non-empty string");
             return "";
         }
         return value.textValue();
@@ -57,39 +58,39 @@
     String optionalText(String name) {
         JsonNode value = field(name);
         if (!value.isMissingNode() && !value.isTextual()) {
-            fault(name, "must be a text");
+            fault(name, "must be a string");
         }
         return value.asText("");
     }
 
-    boolean flag(String name, boolean standard) {
+    boolean flag(String name, boolean defaultValue) {
         JsonNode value = field(name);
         if (!value.isMissingNode() && !value.isBoolean()) {
             fault(name, "must be true or false");
         }
-        return value.asBoolean(standard);
+        return value.asBoolean(defaultValue);
     }
 
-    long number(String name, long standard, long least, long greatest) {
+    long number(String name, long defaultValue, long minimum, long maximum) {
         JsonNode value = field(name);
         if (value.isMissingNode()) {
-            return standard;
+            return defaultValue;
         }
-        if (!value.canConvertToLong() || value.longValue() < least || value.longValue() > greatest) {
-            fault(name, "must be a whole number from " + least + " to " + greatest);
-            return standard;
+        if (!value.canConvertToLong() || value.longValue() < minimum || value.longValue() > maximum) {
+            fault(name, "must be a whole number from " + minimum + " to " + maximum);
+            return defaultValue;
         }
         return value.longValue();
     }
 
-    double share(String name, double standard) {
+    double share(String name, double defaultValue) {
         JsonNode value = field(name);
         if (value.isMissingNode()) {
-            return standard;
+            return defaultValue;
         }
         if (!value.isNumber() || value.doubleValue() < 0 || value.doubleValue() > 1) {
             fault(name, "must be a number from 0 to 1");
-            return standard;
+            return defaultValue;
         }
         return value.doubleValue();
     }
@@ -97,7 +98,7 @@
     HostPort address(String name) {
         JsonNode value = field(name);
         if (!ADDRESS.matcher(value.asText("")).matches()) {
-            fault(name, "must be an IP number and a port, as 10.0.0.7:8000");
+            fault(name, "must be an IP address and a port, such as 10.0.0.7:8000");
             return new HostPort("127.0.0.1", 0);
         }
         HostPort address = HostPort.parse(value.textValue());
@@ -138,11 +139,11 @@
         return chosen;
     }
 
-    /** Reports the fields that nobody has asked for. */
+    /** Adds a fault for each field that has not been read. */
     void rejectUnknownFields() {
         object.fieldNames().forEachRemaining(name -> {
             if (!readNames.contains(name)) {
-                fault(name, "is not known here");
+                fault(name, "is not a known field");
             }
         });
     }
--- a/node/src/main/java/org/radishspur/node/settings/FleetSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/FleetSettings.java
@@ -7,21 +7,22 @@
 import org.radishspur.decision.dispatch.QuotaLedger;
 
 /**
- * Holds what a process is told that finds the others by itself, as an entry or as a control host.
+ * Holds the settings of one process of the platform's programs entry and control. The process discovers the other processes
+ * by itself.
  *
  * @param node the name of the process, for logs.
- * @param failureDomain the failure domain that it stands in.
- * @param peerAddress where other processes connect.
- * @param callerAddress where callers connect; only entries have one.
- * @param readyAddress where the balancer asks whether the entry takes callers; only entries have one.
- * @param operatorAddress where operators connect; only control hosts have one.
- * @param operatorPort the port at which operators reach any control host.
- * @param seeds the peer addresses of some control hosts, perhaps stale.
- * @param founding whether the whole system starts for the first time, with empty disks.
+ * @param failureDomain the failure domain of its host.
+ * @param peerAddress the address to which other processes connect.
+ * @param callerAddress the address to which callers connect; only entries have one.
+ * @param readyAddress the address at which the load balancer checks whether the entry is ready; only entries have one.
+ * @param operatorAddress the address to which operators connect; only control hosts have one.
+ * @param operatorPort the port to which operators connect on every control host.
+ * @param seeds the peer addresses of some control hosts, which may be stale.
+ * @param founding whether the whole system starts for the first time, with empty disks, and founds a new control group.
  * @param dataFolder the folder for the state of a control host.
- * @param hostListAddress where the platform lists its hosts.
- * @param metricsAddress where metrics are served, if anywhere.
- * @param bounds the times and shares that the platform's users count on.
+ * @param hostListAddress the address at which the platform serves its host list.
+ * @param metricsAddress the address at which metrics are served, if they are.
+ * @param bounds the bounds that the platform's users rely on, over all processes together.
  */
 public record FleetSettings(
         String node,
@@ -38,7 +39,7 @@
         Optional<HostPort> metricsAddress,
         Bounds bounds) {
 
-    /** Copies the seeds. */
+    /** Creates the settings with a copy of the seeds. */
     public FleetSettings {
         seeds = List.copyOf(seeds);
     }
@@ -46,10 +47,10 @@
     /**
      * Returns these settings with other seeds.
      *
-     * @param others the seeds.
+     * @param newSeeds the new seeds.
      * @return the changed settings.
      */
-    public FleetSettings withSeeds(List<HostPort> others) {
+    public FleetSettings withSeeds(List<HostPort> newSeeds) {
         return new FleetSettings(
                 node,
                 failureDomain,
@@ -58,7 +59,7 @@
                 readyAddress,
                 operatorAddress,
                 operatorPort,
-                others,
+                newSeeds,
                 founding,
                 dataFolder,
                 hostListAddress,
@@ -67,15 +68,15 @@
     }
 
     /**
-     * Holds what the users count on.
+     * Holds the bounds that the platform's users rely on.
      *
-     * @param revokeMillis after this time a key that was taken away must not work anywhere, in milliseconds.
-     * @param graceMillis how long a planned stop may take, in milliseconds.
-     * @param retryShare the greatest share of requests that may be sent to another upstream.
-     * @param retrySlack how many more that may be, over all entries.
-     * @param greatestTrialShare the greatest share of requests that a version under trial may get.
-     * @param quota how far quotas may be exceeded.
-     * @param toleratedHostLosses how many control hosts may be lost at once, their disks with them.
+     * @param revokeMillis the time after which a revoked key must be refused everywhere, in milliseconds.
+     * @param graceMillis the maximum duration of a shutdown, in milliseconds.
+     * @param retryShare the maximum share of requests that may be retried at another upstream, from 0 to 1.
+     * @param retrySlack the number of retries allowed beyond that share, at all entries together.
+     * @param greatestTrialShare the maximum share of requests that a version under trial may get, from 0 to 1.
+     * @param quota the tolerance by which quotas may be exceeded.
+     * @param toleratedHostLosses the number of control hosts that may be lost at once, together with their disks.
      */
     public record Bounds(
             long revokeMillis,
@@ -87,9 +88,9 @@
             int toleratedHostLosses) {
 
         /**
-         * Returns how many control hosts vote, so that a majority is left after the losses that are borne.
+         * Returns the number of voters in the control group, of which a majority remains after the tolerated losses.
          *
-         * @return the number.
+         * @return the number of voters.
          */
         public int voters() {
             return 2 * toleratedHostLosses + 1;
--- a/node/src/main/java/org/radishspur/node/settings/HostPort.java
+++ b/node/src/main/java/org/radishspur/node/settings/HostPort.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * Names an address by IP number and port.
+ * Holds an IP address and a port.
  *
- * @param host the IP number.
- * @param port the port, or 0 to let the system choose one.
+ * @param host the IP address; one of version 6 is in brackets.
+ * @param port the port; 0 lets the operating system choose one to listen on.
  */
 public record HostPort(String host, int port) {
 
@@ -15,6 +15,8 @@
      *
      * @param text the text.
      * @return the address.
+     * @throws IndexOutOfBoundsException if the text has no colon.
+     * @throws NumberFormatException if no number follows the last colon.
      */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -22,7 +24,7 @@
     }
 
     /**
-     * Returns the address in the form that sockets take; nothing is looked up.
+     * Converts the address for use with sockets, without a DNS lookup, because the host is an IP address.
      *
      * @return the socket address.
      */
--- a/node/src/main/java/org/radishspur/node/settings/InvalidSettingsException.java
+++ b/node/src/main/java/org/radishspur/node/settings/InvalidSettingsException.java
@@ -8,7 +8,7 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Reports every fault of a settings file at once.
+ * Thrown for an invalid settings file; lists all of its faults.
  */
 public final class InvalidSettingsException extends RadishspurException {
     private static final long serialVersionUID = 1L;
@@ -16,9 +16,9 @@
     private final transient List<TableFault> faults;
 
     /**
-     * Creates the report.
+     * Creates the exception, whose message lists the faults with their paths.
      *
-     * @param faults every fault found.
+     * @param faults all faults of the file.
      */
     public InvalidSettingsException(List<TableFault> faults) {
         super(
@@ -32,7 +32,7 @@
     /**
      * Returns the faults.
      *
-     * @return every fault found.
+     * @return all faults of the file.
      */
     public List<TableFault> faults() {
         return faults;
--- a/node/src/main/java/org/radishspur/node/settings/Limits.java
+++ b/node/src/main/java/org/radishspur/node/settings/Limits.java
@@ -1,17 +1,17 @@
 package org.radishspur.node.settings;
 
 /**
- * Holds the sizes that bound what a node takes on.
+ * Holds the limits on sizes, connections, threads and retries of a node.
  *
- * @param headerBytes the greatest size of a request's headers, and of its first line.
- * @param initialBodyBytes how much of a body is read before the request is dispatched.
- * @param storedAnswerBytes the largest answer that is stored for resends.
- * @param frameBytes the largest frame between processes.
- * @param trafficThreads the number of threads that carry traffic.
- * @param callerConnections the greatest number of callers' connections.
- * @param retryShare the greatest share of requests that may be retried.
- * @param entriesPerSnapshot how many log entries are applied between snapshots.
- * @param minimumFreeBytes the free space below which a control node takes no edits and claims.
+ * @param headerBytes the maximum size of a request's headers, and of its first line, each in bytes.
+ * @param initialBodyBytes how many bytes of a body are read at most before the request is dispatched.
+ * @param storedAnswerBytes the maximum size of an answer that is stored to replay it when its request is resent, in bytes.
+ * @param frameBytes the maximum size of a frame between processes, in bytes.
+ * @param trafficThreads the number of threads that serve connections.
+ * @param callerConnections the maximum number of callers' connections.
+ * @param retryShare the maximum share of requests that may be retried, from 0 to 1.
+ * @param entriesPerSnapshot the number of log entries that are applied between two snapshots.
+ * @param minimumFreeBytes the free disk space below which a control node refuses edits and claims, in bytes.
  */
 public record Limits(
         int headerBytes,
--- a/node/src/main/java/org/radishspur/node/settings/NodeSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/NodeSettings.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * Holds everything that a node must be told before it starts.
+ * Holds the settings of one node of the program radishspur-node, as {@link SettingsReader} reads them from a file.
  *
  * @param cluster the name of the cluster.
  * @param node the name of the node, unique within the cluster.
- * @param failureDomain the failure domain that the node stands in.
- * @param roles what the node does.
- * @param callerAddress where callers connect.
- * @param peerAddress where other nodes connect.
- * @param adminAddress where operators and the platform's balancer connect.
- * @param dataFolder the folder for the node's own state; only control nodes have one.
+ * @param failureDomain the failure domain of the node's host.
+ * @param roles the roles of the node.
+ * @param callerAddress the address to which callers connect.
+ * @param peerAddress the address to which other nodes connect.
+ * @param adminAddress the address to which operators and the platform's load balancer connect.
+ * @param dataFolder the folder for the state of a control node; other nodes need none.
  * @param sharedKeyFile the file with the key that all nodes of the cluster share.
- * @param adminTokenFile the file with the token that operators show.
+ * @param adminTokenFile the file with the token that operators authenticate with.
  * @param peers the other nodes of the cluster.
- * @param limits the sizes that bound what the node takes on.
- * @param timeouts the times of the node.
+ * @param limits the limits on sizes, connections, threads and retries.
+ * @param timeouts the timeouts and intervals.
  */
 public record NodeSettings(
         String cluster,
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns whether the node takes callers' requests.
+     * Returns whether the node accepts callers' requests.
      *
      * @return whether it does.
      */
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Lists the names of all control nodes, this one included if it is one.
+     * Returns the names of all control nodes, including this one if it is a control node.
      *
      * @return the names.
      */
--- a/node/src/main/java/org/radishspur/node/settings/PeerSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/PeerSettings.java
@@ -1,7 +1,7 @@
 package org.radishspur.node.settings;
 
 /**
- * Names another node of the cluster.
+ * Holds the settings for another node of the cluster.
  *
  * @param node the name of the node.
  * @param address its peer address.
--- a/node/src/main/java/org/radishspur/node/settings/Role.java
+++ b/node/src/main/java/org/radishspur/node/settings/Role.java
@@ -1,11 +1,11 @@
 package org.radishspur.node.settings;
 
 /**
- * Names what a node does.
+ * Lists the roles of a node of radishspur-node.
  */
 public enum Role {
-    /** It takes callers' requests. */
+    /** The node accepts callers' requests. */
     ENTRY,
-    /** It keeps a replica of the control state on its disk. */
+    /** The node keeps a replica of the control state on its disk. */
     CONTROL
 }
--- a/node/src/main/java/org/radishspur/node/settings/SecretFile.java
+++ b/node/src/main/java/org/radishspur/node/settings/SecretFile.java
@@ -10,19 +10,21 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Reads a file that holds a secret.
+ * Reads files that hold a secret.
  */
 public enum SecretFile {
     /** The only instance; reading keeps no state. */
     INSTANCE;
 
+    /** Minimum length of a secret, without surrounding white space. */
     private static final int MINIMUM_CHARACTERS = 16;
 
     /**
-     * Reads the secret and checks that nobody but its owner can.
+     * Reads the secret, after a check that neither the group nor other users can read the file.
      *
      * @param file the file.
      * @return the secret without surrounding white space.
+     * @throws RadishspurException if the file can't be read, can be read by others, or holds too short a secret.
      */
     public String read(Path file) {
         try {
--- a/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
@@ -16,7 +16,7 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Reads a settings file as a whole and reports every fault with its path and the allowed range.
+ * Reads the settings of a node from a JSON file, and reports all faults together, each with its path and the allowed range.
  */
 public enum SettingsReader {
     /** The only instance; reading keeps no state. */
@@ -31,10 +31,12 @@
     private static final long GIBIBYTE_BYTES = 1L << 30;
 
     /**
-     * Reads a settings file; relative paths in it start from its own folder.
+     * Reads a settings file; relative paths in it are resolved against its folder.
      *
      * @param file the file.
      * @return the settings.
+     * @throws InvalidSettingsException if a setting is missing, unknown or out of range.
+     * @throws RadishspurException if the file can't be read or isn't JSON.
      */
     public NodeSettings read(Path file) {
         try {
@@ -45,11 +47,13 @@
     }
 
     /**
-     * Reads settings from a text.
+     * Reads settings from a JSON text.
      *
      * @param text the JSON text.
-     * @param folder the folder from which relative paths start.
+     * @param folder the folder against which relative paths are resolved.
      * @return the settings.
+     * @throws InvalidSettingsException if a setting is missing, unknown or out of range.
+     * @throws RadishspurException if the text isn't JSON.
      */
     public NodeSettings parse(String text, Path folder) {
         JsonNode tree = Json.INSTANCE.readTree(text, ErrorCode.SETTINGS_INVALID);
@@ -129,7 +133,7 @@
             faults.add(new TableFault("dataFolder", "must be given for a control node"));
         }
         if (settings.controlNodes().isEmpty()) {
-            faults.add(new TableFault("peers", "must name a control node, since this node is none"));
+            faults.add(new TableFault("peers", "must name a control node, since this node isn't one"));
         }
         Set<String> names = new HashSet<>(Set.of(settings.node()));
         for (int index = 0; index < settings.peers().size(); index++) {
--- a/node/src/main/java/org/radishspur/node/settings/Timeouts.java
+++ b/node/src/main/java/org/radishspur/node/settings/Timeouts.java
@@ -1,21 +1,21 @@
 package org.radishspur.node.settings;
 
 /**
- * Holds the times of a node, in milliseconds.
+ * Holds the timeouts and intervals of a node, in milliseconds.
  *
- * @param connectMillis how long making a connection to an upstream may take.
- * @param firstByteMillis how long an upstream may be silent before its answer begins.
- * @param idleMillis how long an upstream may be silent in the middle of its answer.
- * @param callerIdleMillis how long a caller's connection may be silent between requests, and in the middle of one.
- * @param upstreamKeepMillis how long an unused connection to an upstream is kept.
- * @param controlCallMillis how long an edit or a claim may take.
- * @param heartbeatMillis how often a node shows the control nodes that it lives.
- * @param nodeLostMillis how long a node may be silent before it counts as lost.
- * @param raftHeartbeatMillis how often the control leader shows that it leads.
- * @param electionMillis how long a control node waits at least before it seeks an election.
- * @param shutdownMillis how long a planned stop waits for requests in progress.
- * @param claimKeepMillis how long a request's key is remembered.
- * @param suspectKeepMillis how long a crash suspect is remembered.
+ * @param connectMillis the maximum time to connect to an upstream.
+ * @param firstByteMillis the maximum time without data from an upstream before its answer begins.
+ * @param idleMillis the maximum time without data from an upstream within its answer.
+ * @param callerIdleMillis the maximum time without data from a caller, between requests and within one.
+ * @param upstreamKeepMillis how long an idle connection to an upstream is kept open.
+ * @param controlCallMillis the maximum duration of a call to the control leader, such as an edit or a claim.
+ * @param heartbeatMillis the interval between the heartbeats that a node sends to the control nodes.
+ * @param nodeLostMillis the time without a heartbeat after which a node is considered lost.
+ * @param raftHeartbeatMillis the interval between the control leader's Raft heartbeats.
+ * @param electionMillis the minimum time without a Raft heartbeat after which a control node starts an election.
+ * @param shutdownMillis the maximum time that a shutdown waits for requests in progress.
+ * @param claimKeepMillis how long the claim of a request's idempotency key is kept.
+ * @param suspectKeepMillis how long a request is kept as a suspect of crashing upstreams.
  */
 public record Timeouts(
         long connectMillis,
