--- a/node/src/main/java/org/radishspur/node/Node.java
+++ b/node/src/main/java/org/radishspur/node/Node.java
@@ -22,10 +22,14 @@
 import org.radishspur.node.supervise.Supervisor;
 
 /**
- * Runs one node: the control thread, the traffic threads and the edges, under one supervisor.
+ * Runs one node of the program radishspur-node: the control thread, the traffic threads, and the servers for peers,
+ * operators and callers, which one root supervisor restarts when they fail.
  */
 public final class Node implements AutoCloseable {
+    /** How often a shutdown checks whether requests are still in progress, in milliseconds. */
     private static final long POLL_MILLIS = 20;
+
+    /** How long a shutdown lets other nodes take over pools and leadership before it stops accepting requests. */
     private static final long HANDOVER_WAIT_MILLIS = 300;
 
     private final NodeSettings settings;
@@ -43,10 +47,13 @@
      * Creates a node and starts it.
      *
      * @param settings the settings of the node.
+     * @throws org.radishspur.model.error.RadishspurException if a file of secrets can't be read, holds too short a secret,
+     *     or is readable by other users.
      */
     public Node(NodeSettings settings) {
         this.settings = settings;
-        // A later run of the process has a later number, as long as the wall clock doesn't go back over a restart.
+        // The incarnation grows with each run of the process, provided that the wall clock doesn't go back across a
+        // restart.
         long incarnation = System.currentTimeMillis();
         String secret = SecretFile.INSTANCE.read(settings.sharedKeyFile());
         String token = SecretFile.INSTANCE.read(settings.adminTokenFile());
@@ -62,18 +69,18 @@
         registerGauges();
         rootSupervisor = new Supervisor("node", scheduler, controlLoop::nowMillis)
                 .supervise("peer-server", () -> new PeerServer(settings, key, group, core, metrics))
-                .supervise("edges", () -> edges(token));
+                .supervise("edges", () -> httpServers(token));
         core.start();
         rootSupervisor.start(cause -> failed.countDown());
     }
 
-    private Supervisor edges(String token) {
-        Supervisor edges = new Supervisor("edges", scheduler, controlLoop::nowMillis)
+    private Supervisor httpServers(String token) {
+        Supervisor httpServers = new Supervisor("edges", scheduler, controlLoop::nowMillis)
                 .supervise("admin-server", () -> new AdminServer(settings, token, core, metrics, this::isReady, group));
         if (settings.isEntry()) {
-            edges.supervise("caller-server", () -> callerServer = new CallerServer(services, group));
+            httpServers.supervise("caller-server", () -> callerServer = new CallerServer(services, group));
         }
-        return edges;
+        return httpServers;
     }
 
     private boolean isReady() {
@@ -92,7 +99,7 @@
     }
 
     /**
-     * Waits until a part of the node has failed for good.
+     * Waits until a component of the node has failed permanently.
      *
      * @throws InterruptedException if the waiting thread is interrupted.
      */
@@ -101,26 +108,27 @@
     }
 
     /**
-     * Stops as planned: hands over what this node owns, takes no new requests, and waits for those in progress.
+     * Shuts down in order: hands over pools and leadership, stops accepting requests, and waits for those in progress, for
+     * no longer than the settings allow.
      *
-     * @return how many requests were cut off because the time ran out.
+     * @return the number of requests that were still in progress when the time was up, and were cut off.
      */
     public int shutDown() {
-        PartLog.NODE.info("Node " + settings.node() + " shuts down.");
+        PartLog.NODE.info("Node " + settings.node() + " is shutting down.");
         core.beginShutdown();
         sleep(HANDOVER_WAIT_MILLIS);
         if (callerServer != null) {
             callerServer.stopAccepting();
         }
-        long until = System.nanoTime()
+        long deadlineNanos = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(settings.timeouts().shutdownMillis());
-        while (services.inProgress() > 0 && System.nanoTime() < until) {
+        while (services.inProgress() > 0 && System.nanoTime() < deadlineNanos) {
             sleep(POLL_MILLIS);
         }
-        int cut = services.inProgress();
-        PartLog.NODE.info("Node " + settings.node() + " stops; it cut off " + cut + " requests.");
+        int cutOff = services.inProgress();
+        PartLog.NODE.info("Node " + settings.node() + " stops; " + cutOff + " requests in progress were cut off.");
         close();
-        return cut;
+        return cutOff;
     }
 
     /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/NodeMain.java
+++ b/node/src/main/java/org/radishspur/node/NodeMain.java
@@ -16,21 +16,21 @@
 import picocli.CommandLine.Option;
 
 /**
- * Starts the daemon from the command line.
+ * Runs the command line of the program radishspur-node: runs a node, formats its data folder, or checks its settings.
  */
 @Command(
         name = "radishspur-node",
-        description = "Schedules requests between callers and upstreams.",
+        description = "Schedules callers' requests onto upstreams.",
         mixinStandardHelpOptions = true,
         subcommands = {NodeMain.Run.class, NodeMain.Format.class, NodeMain.CheckSettings.class})
 public final class NodeMain {
-    /** The process ended because a part of it failed for good. */
+    /** A component of the process failed permanently. */
     static final int EXIT_FAILED = 1;
 
-    /** The settings or the data folder are not fit to start with. */
+    /** The settings or the data folder are invalid, so that the process did not start. */
     static final int EXIT_INVALID_SETUP = 3;
 
-    /** A planned stop had to cut off requests. */
+    /** A shutdown cut off requests that were still in progress. */
     static final int EXIT_CUT_OFF = 4;
 
     private NodeMain() {}
@@ -41,7 +41,7 @@
      * @param arguments the arguments.
      */
     public static void main(String[] arguments) {
-        // Threads that have started before an error would keep a useless process alive.
+        // Otherwise the threads that are still running would keep a failed process alive.
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> {
             PartLog.NODE.error("Thread " + thread.getName() + " failed.", failure);
             Runtime.getRuntime().halt(EXIT_FAILED);
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Names the settings file.
+     * Option of all subcommands that names the settings file.
      */
     static final class SettingsOption {
         @Option(names = "--settings", required = true, description = "The settings file of the node.")
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Runs the daemon until it is stopped.
+     * Runs the node until it is stopped.
      */
     @Command(name = "run", description = "Runs the node until it is stopped.", mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
@@ -93,7 +93,7 @@
             }));
             node.awaitFailure();
             if (stopping.compareAndSet(false, true)) {
-                PartLog.NODE.warn("Node ends because a part of it failed for good.");
+                PartLog.NODE.warn("The node stops because a component failed permanently.");
                 Runtime.getRuntime().halt(EXIT_FAILED);
             }
             main.join();
@@ -102,11 +102,11 @@
     }
 
     /**
-     * Formats the data folder of a control node.
+     * Formats the data folder of a control node, which writes its identity.
      */
     @Command(
             name = "format",
-            description = "Gives the data folder of a control node its identity, once in its life.",
+            description = "Initialises the data folder of a control node with an identity; done once for each folder.",
             mixinStandardHelpOptions = true)
     static final class Format implements Callable<Integer> {
         private static final int SUFFIX_BOUND = 1 << 30;
@@ -117,7 +117,7 @@
         @Option(
                 names = "--found",
                 description = "Found a new cluster together with all other control nodes. Never use this again on a "
-                        + "node whose disk was lost: without it the node joins under a new identity.")
+                        + "node whose disk was lost: format it without this option, and it joins under a new identity.")
         private boolean foundCluster;
 
         /** {@inheritDoc} */
@@ -136,11 +136,11 @@
     }
 
     /**
-     * Checks a settings file.
+     * Checks a settings file and lists every fault.
      */
     @Command(
             name = "check-settings",
-            description = "Checks a settings file and names every fault.",
+            description = "Checks a settings file and lists every fault.",
             mixinStandardHelpOptions = true)
     static final class CheckSettings implements Callable<Integer> {
         @CommandLine.Mixin
