--- a/node/src/main/java/org/radishspur/node/Node.java
+++ b/node/src/main/java/org/radishspur/node/Node.java
@@ -116,14 +116,14 @@
     public int shutDown() {
         PartLog.NODE.info("Node " + settings.node() + " is shutting down.");
         core.beginShutdown();
-        sleep(HANDOVER_WAIT_MILLIS);
+        sleepFor(HANDOVER_WAIT_MILLIS);
         if (callerServer != null) {
             callerServer.stopAccepting();
         }
         long deadlineNanos = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(settings.timeouts().shutdownMillis());
         while (services.inProgress() > 0 && System.nanoTime() < deadlineNanos) {
-            sleep(POLL_MILLIS);
+            sleepFor(POLL_MILLIS);
         }
         int cutOff = services.inProgress();
         PartLog.NODE.info("Node " + settings.node() + " stops; " + cutOff + " requests in progress were cut off.");
@@ -141,7 +141,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
     }
 
-    private static void sleep(long millis) {
+    private static void sleepFor(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException exception) {
--- a/node/src/main/java/org/radishspur/node/log/EventCode.java
+++ b/node/src/main/java/org/radishspur/node/log/EventCode.java
@@ -90,8 +90,8 @@
     private final boolean requestEvent;
     private final List<String> fields;
 
-    EventCode(boolean ofRequest, String... fields) {
-        this.requestEvent = ofRequest;
+    EventCode(boolean requestEvent, String... fields) {
+        this.requestEvent = requestEvent;
         this.fields = List.of(fields);
     }
 
--- a/node/src/main/java/org/radishspur/node/settings/FieldReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/FieldReader.java
@@ -15,7 +15,9 @@
  * one pass.
  */
 final class FieldReader {
+    /** An IP address of version 4, or of version 6 in brackets, and a port. */
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
+
     private static final int MAXIMUM_PORT = 65_535;
 
     private final JsonNode object;
--- a/node/src/main/java/org/radishspur/node/settings/HostPort.java
+++ b/node/src/main/java/org/radishspur/node/settings/HostPort.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Converts the address for use with sockets, without a DNS lookup, because the host is an IP address.
+     * Converts the address for use with sockets; an IP address needs no DNS lookup.
      *
      * @return the socket address.
      */
--- a/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
@@ -26,9 +26,9 @@
     private static final long MINUTE_MILLIS = 60 * SECOND_MILLIS;
     private static final long HOUR_MILLIS = 60 * MINUTE_MILLIS;
     private static final long DAY_MILLIS = 24 * HOUR_MILLIS;
-    private static final int KIBIBYTE_BYTES = 1 << 10;
-    private static final int MEBIBYTE_BYTES = 1 << 20;
-    private static final long GIBIBYTE_BYTES = 1L << 30;
+    private static final int KIBIBYTE = 1 << 10;
+    private static final int MEBIBYTE = 1 << 20;
+    private static final long GIBIBYTE = 1L << 30;
 
     /**
      * Reads a settings file; relative paths in it are resolved against its folder.
@@ -96,15 +96,15 @@
 
     private static Limits limits(FieldReader fields) {
         Limits limits = new Limits(
-                (int) fields.number("headerBytes", 16 * KIBIBYTE_BYTES, KIBIBYTE_BYTES, MEBIBYTE_BYTES),
-                (int) fields.number("initialBodyBytes", 16 * KIBIBYTE_BYTES, KIBIBYTE_BYTES, MEBIBYTE_BYTES),
-                (int) fields.number("storedAnswerBytes", 64 * KIBIBYTE_BYTES, 0, MEBIBYTE_BYTES),
-                (int) fields.number("frameBytes", 4 * MEBIBYTE_BYTES, 64 * KIBIBYTE_BYTES, 64 * MEBIBYTE_BYTES),
+                (int) fields.number("headerBytes", 16 * KIBIBYTE, KIBIBYTE, MEBIBYTE),
+                (int) fields.number("initialBodyBytes", 16 * KIBIBYTE, KIBIBYTE, MEBIBYTE),
+                (int) fields.number("storedAnswerBytes", 64 * KIBIBYTE, 0, MEBIBYTE),
+                (int) fields.number("frameBytes", 4 * MEBIBYTE, 64 * KIBIBYTE, 64 * MEBIBYTE),
                 (int) fields.number("trafficThreads", Runtime.getRuntime().availableProcessors(), 1, 256),
                 (int) fields.number("callerConnections", 20_000, 1, 1_000_000),
                 fields.share("retryShare", 0.1),
                 (int) fields.number("entriesPerSnapshot", 10_000, 10, 10_000_000),
-                fields.number("minimumFreeBytes", 64L * MEBIBYTE_BYTES, 0, 1024 * GIBIBYTE_BYTES));
+                fields.number("minimumFreeBytes", 64L * MEBIBYTE, 0, 1024 * GIBIBYTE));
         fields.rejectUnknownFields();
         return limits;
     }
