--- a/command/src/main/java/org/radishspur/command/CommandMain.java
+++ b/command/src/main/java/org/radishspur/command/CommandMain.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.Callable;
 
 import org.radishspur.model.error.RadishspurException;
-import org.radishspur.node.settings.SettingsFaults;
+import org.radishspur.node.settings.InvalidSettingsException;
 import org.radishspur.node.settings.SettingsReader;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
 /**
- * Runs the operators' command line.
+ * Runs the operators' command line program radishspur.
  */
 @Command(
         name = "radishspur",
-        description = "Edits and watches a radishspur cluster.",
+        description = "Changes and inspects a radishspur cluster.",
         mixinStandardHelpOptions = true,
         subcommands = {
             ApplyCommand.class,
@@ -43,7 +43,7 @@
         return new CommandLine(new CommandMain())
                 .setExecutionExceptionHandler((exception, line, parsed) -> {
                     line.getErr().println(exception.getMessage());
-                    if (exception instanceof CommandFailure failure) {
+                    if (exception instanceof CommandException failure) {
                         return failure.exitCode().code();
                     }
                     return exception instanceof RadishspurException ? ExitCode.INVALID.code() : ExitCode.FAILED.code();
@@ -52,11 +52,11 @@
     }
 
     /**
-     * Replaces a control replica whose disk was lost.
+     * Replaces the control replica of a node whose disk was lost.
      */
     @Command(
             name = "replace-replica",
-            description = "Lets a node with a freshly formatted disk take the place of its lost replica.",
+            description = "Replaces the lost control replica of a node with a new one on its freshly formatted disk.",
             mixinStandardHelpOptions = true)
     static final class ReplaceReplica implements Callable<Integer> {
         @CommandLine.Mixin
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Checks a settings file without starting anything.
+     * Checks a settings file without starting a node.
      */
     @Command(
             name = "check-settings",
-            description = "Checks a node's settings file and names every fault.",
+            description = "Checks a node's settings file and lists every fault.",
             mixinStandardHelpOptions = true)
     static final class CheckSettings implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "The settings file.")
@@ -92,7 +92,7 @@
                 System.out.println(
                         "settings of node " + SettingsReader.INSTANCE.read(file).node() + " are valid");
                 return ExitCode.DONE.code();
-            } catch (SettingsFaults faults) {
+            } catch (InvalidSettingsException faults) {
                 faults.faults().forEach(fault -> System.err.println(fault.path() + ": " + fault.problem()));
                 return ExitCode.INVALID.code();
             }
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
@@ -23,10 +23,11 @@
 import org.radishspur.node.transport.Listener;
 
 /**
- * Serves the metrics of a process as text, on any path of an address of their own.
+ * Serves the metrics of a process as text over HTTP, on every path of an address used for nothing else.
  */
 public final class MetricsServer implements Child {
-    private static final int BODY_BYTES = 8_192;
+    /** Maximum size of a request's body, which is ignored. */
+    private static final int MAXIMUM_BODY_BYTES = 8_192;
 
     private final HostPort address;
     private final EventLoopGroup group;
@@ -36,9 +37,9 @@
     /**
      * Creates a server that doesn't listen yet.
      *
-     * @param address where to listen.
-     * @param group the threads that serve.
-     * @param registry the metrics.
+     * @param address the address to listen on.
+     * @param group the threads that serve the connections.
+     * @param registry the metrics to serve.
      */
     public MetricsServer(HostPort address, EventLoopGroup group, MetricRegistry registry) {
         this.address = address;
@@ -52,8 +53,8 @@
         channel = Listener.INSTANCE.listen(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(BODY_BYTES))
-                    .addLast(new Reception());
+                    .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
+                    .addLast(new RequestHandler());
         });
     }
 
@@ -66,9 +67,9 @@
     }
 
     /**
-     * Answers the questions of one connection, one a connection.
+     * Answers the first request of a connection with all metrics, then closes the connection.
      */
-    private final class Reception extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
