--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -11,9 +11,9 @@
 import org.radishspur.decision.permit.PermitOutcome;
 import org.radishspur.model.request.PermitId;
 import org.radishspur.model.table.Tables;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.peer.ClusterView;
-import org.radishspur.node.peer.PeerLinks;
+import org.radishspur.node.peer.PeerConnections;
 import org.radishspur.node.peer.PeerListener;
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.node.settings.NodeSettings;
@@ -31,13 +31,13 @@
     private final NodeSettings settings;
     private final long incarnation;
     private final ControlLoop loop;
-    private final PeerLinks links;
+    private final PeerConnections links;
     private final ControlClient controlClient;
     private final PermitService permitService;
     private final OwnerService ownerService;
-    private final Optional<ReplicaHost> replicaHost;
+    private final Optional<ReplicaRunner> replicaHost;
     private final Optional<LeaderService> leaderService;
-    private final AtomicLong nextAttempt = new AtomicLong();
+    private final AtomicLong nextPermitId = new AtomicLong();
     private volatile Tables tables = Tables.EMPTY;
     private volatile boolean tablesKnown;
     private volatile boolean shuttingDown;
@@ -64,11 +64,11 @@
         this.ownerService =
                 new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
         this.replicaHost = settings.isControl()
-                ? Optional.of(new ReplicaHost(
-                        ReplicaHost.setupOf(settings),
+                ? Optional.of(new ReplicaRunner(
+                        ReplicaRunner.setupOf(settings),
                         loop,
                         (from, to, message) ->
-                                links.send(ReplicaHost.nodeOf(to), new PeerMessage.Raft(from, to, message)),
+                                links.send(ReplicaRunner.nodeOf(to), new PeerMessage.Raft(from, to, message)),
                         this::onApplied))
                 : Optional.empty();
         this.leaderService = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
@@ -126,7 +126,7 @@
      * @param request the request.
      * @param listener receives the result, on the control thread.
      */
-    public void ask(PeerMessage.PermitAsk request, PermitListener listener) {
+    public void requestPermit(PeerMessage.PermitAcquire request, PermitListener listener) {
         loop.execute(() -> permitService.request(request, listener));
     }
 
@@ -135,7 +135,7 @@
      *
      * @param id the identity of the attempt.
      */
-    public void cancel(PermitId id) {
+    public void cancelPermit(PermitId id) {
         loop.execute(() -> {
             if (!permitService.cancel(id)) {
                 permitService.release(id, PermitOutcome.of(PermitOutcome.Ending.UNUSED));
@@ -148,7 +148,7 @@
      *
      * @param id the identity of the attempt.
      */
-    public void firstToken(PermitId id) {
+    public void reportFirstToken(PermitId id) {
         loop.execute(() -> permitService.reportFirstToken(id));
     }
 
@@ -157,7 +157,7 @@
      *
      * @param status the status.
      */
-    public void pass(PeerMessage.UpstreamWord status) {
+    public void reportUpstreamStatus(PeerMessage.UpstreamStatus status) {
         loop.execute(() -> permitService.reportUpstreamStatus(status));
     }
 
@@ -167,7 +167,7 @@
      * @param id the identity of the attempt.
      * @param outcome how the attempt ended.
      */
-    public void finish(PermitId id, PermitOutcome outcome) {
+    public void releasePermit(PermitId id, PermitOutcome outcome) {
         loop.execute(() -> permitService.release(id, outcome));
     }
 
@@ -176,8 +176,8 @@
      *
      * @return the identity.
      */
-    public PermitId nextAttempt() {
-        return new PermitId(settings.node(), incarnation, nextAttempt.incrementAndGet());
+    public PermitId nextPermitId() {
+        return new PermitId(settings.node(), incarnation, nextPermitId.incrementAndGet());
     }
 
     /**
@@ -215,7 +215,7 @@
         shuttingDown = true;
         loop.execute(() -> {
             heartbeat();
-            replicaHost.ifPresent(ReplicaHost::transferLeadership);
+            replicaHost.ifPresent(ReplicaRunner::transferLeadership);
         });
     }
 
@@ -240,7 +240,7 @@
     @Override
     public void close() {
         links.close();
-        replicaHost.ifPresent(ReplicaHost::close);
+        replicaHost.ifPresent(ReplicaRunner::close);
     }
 
     private boolean hasRecentLeaderReply() {
@@ -274,7 +274,7 @@
                 view.term(),
                 view.number(),
                 auxiliaryRevision,
-                replicaHost.map(ReplicaHost::identity).orElse(""));
+                replicaHost.map(ReplicaRunner::identity).orElse(""));
         Set<String> controlNodes = settings.controlNodes();
         controlNodes.forEach(node -> send(node, new PeerMessage.Heartbeat(status)));
     }
@@ -298,7 +298,7 @@
     }
 
     private void dispatchPermit(String node, PeerMessage message) {
-        if (message instanceof PeerMessage.PermitAsk request) {
+        if (message instanceof PeerMessage.PermitAcquire request) {
             ownerService.onPermitRequest(node, request);
         } else if (message instanceof PeerMessage.PermitGranted granted) {
             permitService.onGranted(granted);
@@ -308,9 +308,9 @@
             ownerService.onCancel(cancel);
         } else if (message instanceof PeerMessage.PermitFirstToken first) {
             ownerService.onFirstToken(first);
-        } else if (message instanceof PeerMessage.PermitFinish finish) {
+        } else if (message instanceof PeerMessage.PermitRelease finish) {
             ownerService.onFinish(finish);
-        } else if (message instanceof PeerMessage.UpstreamWord status) {
+        } else if (message instanceof PeerMessage.UpstreamStatus status) {
             ownerService.onUpstreamStatus(status);
         } else if (message instanceof PeerMessage.PermitRegister register) {
             ownerService.onRegister(node, register);
@@ -363,12 +363,12 @@
     private void onTables() {
         ownerService.onTables(tables);
         permitService.onTables(tables);
-        PartLog.NODE.info("Tables of revision " + tables.revision() + " are in force.");
+        ComponentLog.NODE.info("Tables of revision " + tables.revision() + " are in force.");
     }
 
     private void onApplied(ControlState state) {
-        boolean changed = state.auxiliaryChanges() != lastAuxiliaryChanges;
-        lastAuxiliaryChanges = state.auxiliaryChanges();
+        boolean changed = state.nonClaimChangeCount() != lastAuxiliaryChanges;
+        lastAuxiliaryChanges = state.nonClaimChangeCount();
         leaderService.ifPresent(service -> service.onApplied(state, changed));
     }
 
@@ -382,7 +382,7 @@
          * @param listener is notified when a connection is established or lost.
          * @return the connections.
          */
-        PeerLinks create(PeerListener listener);
+        PeerConnections create(PeerListener listener);
     }
 
     /**
@@ -422,8 +422,9 @@
         /** {@inheritDoc} */
         @Override
         public void propose(MoveDriver.Proposal proposal) {
-            PartLog.OWNER.info("Move " + proposal.moveId() + " of route " + proposal.route() + " is proposed to become "
-                    + proposal.state() + " at " + proposal.stage() + ", reason " + proposal.reason() + '.');
+            ComponentLog.OWNER.info(
+                    "Move " + proposal.moveId() + " of route " + proposal.route() + " is proposed to become "
+                            + proposal.state() + " at " + proposal.stage() + ", reason " + proposal.reason() + '.');
             commit(
                     new ControlCommand.ChangeMove(proposal, System.currentTimeMillis()),
                     COMMIT_TIMEOUT_MILLIS,
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -8,9 +8,9 @@
 
 import org.radishspur.decision.move.Move;
 import org.radishspur.decision.move.MoveDriver;
-import org.radishspur.decision.move.TakeBackReason;
+import org.radishspur.decision.move.RollbackReason;
+import org.radishspur.decision.move.VersionComparison;
 import org.radishspur.decision.move.VersionSplit;
-import org.radishspur.decision.move.VersionWatch;
 import org.radishspur.decision.permit.PermitAction;
 import org.radishspur.decision.permit.PermitRequest;
 import org.radishspur.decision.permit.PoolScheduler;
@@ -23,7 +23,7 @@
 import org.radishspur.model.table.RouteRow;
 import org.radishspur.model.table.Tables;
 import org.radishspur.model.table.UpstreamRow;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.peer.ClusterView;
 import org.radishspur.node.peer.PeerMessage;
 import org.radishspur.replication.state.MoveTable;
@@ -79,7 +79,7 @@
     void onView(ClusterView view) {
         for (ClusterView.Member member : entryMembers) {
             if (!view.entries().contains(member)) {
-                ownedPools.values().forEach(owned -> owned.scheduler.entryLost(member.node(), member.incarnation()));
+                ownedPools.values().forEach(owned -> owned.scheduler.dropEntry(member.node(), member.incarnation()));
             }
         }
         entryMembers.clear();
@@ -91,7 +91,7 @@
         suspects.forEach((pool, crashes) -> {
             OwnedPool owned = ownedPools.get(pool);
             if (owned != null) {
-                owned.scheduler.suspects(crashes);
+                owned.scheduler.replaceCrashCounts(crashes);
             }
         });
         requestDecision();
@@ -115,11 +115,11 @@
     }
 
     private void applyVersionSplits() {
-        Map<String, VersionSplit> splits = MoveTable.splits(tables, moves);
+        Map<String, VersionSplit> splits = MoveTable.versionSplits(tables, moves);
         ownedPools.forEach((pool, owned) -> {
             Map<String, VersionSplit> poolSplits = new HashMap<>(splits);
             poolSplits.keySet().removeIf(route -> !pool.equals(poolOf(route)));
-            owned.scheduler.versions(poolSplits);
+            owned.scheduler.replaceVersionSplits(poolSplits);
         });
         requestDecision();
     }
@@ -136,9 +136,9 @@
             if (owned == null || !reporter.isOwner(poolOf(move.route())) || pendingProposals.contains(move)) {
                 continue;
             }
-            VersionWatch watch = owned.scheduler.watch(move.route());
-            if (watch.verdict() != TakeBackReason.NONE) {
-                owned.scheduler.halt(move.route());
+            VersionComparison watch = owned.scheduler.versionComparison(move.route());
+            if (watch.detectedFault() != RollbackReason.NONE) {
+                owned.scheduler.haltNewVersion(move.route());
             }
             MoveDriver.INSTANCE.decide(move, watch, System.currentTimeMillis()).ifPresent(proposal -> {
                 pendingProposals.add(move);
@@ -148,7 +148,7 @@
         }
     }
 
-    void onPermitRequest(String node, PeerMessage.PermitAsk request) {
+    void onPermitRequest(String node, PeerMessage.PermitAcquire request) {
         OwnedPool owned = findOrCreatePool(request.pool());
         if (owned == null) {
             sender.send(
@@ -159,7 +159,7 @@
                             Refusal.notRun(RefusalReason.NO_UPSTREAM, "The pool is not in the tables.", 1_000)));
             return;
         }
-        owned.scheduler.arrive(requestOf(request), loop.nowMicros());
+        owned.scheduler.submit(requestOf(request), loop.nowMicros());
         requestDecision();
     }
 
@@ -178,21 +178,21 @@
         }
     }
 
-    void onUpstreamStatus(PeerMessage.UpstreamWord status) {
+    void onUpstreamStatus(PeerMessage.UpstreamStatus status) {
         OwnedPool owned = ownedPools.get(status.pool());
         if (owned == null) {
             return;
         }
-        owned.scheduler.seen(status.upstream(), status.incarnation());
+        owned.scheduler.markAlive(status.upstream(), status.incarnation());
         if (status.leaving()) {
-            owned.scheduler.leaving(status.upstream());
+            owned.scheduler.markLeaving(status.upstream());
         }
         if (status.running() >= 0) {
             owned.scheduler.loadReported(status.upstream(), status.running(), status.waiting(), loop.nowMicros());
         }
     }
 
-    void onFinish(PeerMessage.PermitFinish finish) {
+    void onFinish(PeerMessage.PermitRelease finish) {
         OwnedPool owned = ownedPools.get(finish.pool());
         if (owned != null) {
             owned.scheduler.finish(finish.id(), finish.outcome(), loop.nowMicros());
@@ -209,13 +209,13 @@
         Set<PermitId> listed = new HashSet<>(register.waiting());
         for (PeerMessage.PermitInUse permit : register.inUse()) {
             listed.add(permit.request().id());
-            owned.scheduler.register(requestOf(permit.request()), permit.upstream(), loop.nowMicros());
+            owned.scheduler.registerInFlight(requestOf(permit.request()), permit.upstream(), loop.nowMicros());
         }
         owned.scheduler.reconcile(node, register.incarnation(), listed, RECONCILE_GRACE_MICROS, loop.nowMicros());
         owned.registeredNodes.add(node);
         boolean allRegistered = entryMembers.stream().allMatch(member -> owned.registeredNodes.contains(member.node()));
         if (allRegistered) {
-            owned.scheduler.holdUntil(0);
+            owned.scheduler.pauseGrantsUntil(0);
         }
         requestDecision();
     }
@@ -233,29 +233,29 @@
             // Grants nothing until the entry nodes have registered their permits in use, or two owners could grant the
             // same slots.
             owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.STANDARD, ownerIdentity));
-            owned.scheduler.holdUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
+            owned.scheduler.pauseGrantsUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
             owned.scheduler.evacuate(evacuatedDomains);
             ownedPools.put(pool, owned);
             applyVersionSplits();
-            PartLog.OWNER.info("This node now owns the queue of pool " + pool + '.');
+            ComponentLog.OWNER.info("This node now owns the queue of pool " + pool + '.');
         }
         return owned;
     }
 
-    private PermitRequest requestOf(PeerMessage.PermitAsk request) {
+    private PermitRequest requestOf(PeerMessage.PermitAcquire request) {
         return new PermitRequest(
                 request.id(),
                 request.tier(),
                 request.organisation(),
                 request.route(),
                 loop.nowMicros() + request.remainingMicros(),
-                request.work(),
+                request.size(),
                 request.fingerprint());
     }
 
     private void runDueTimers() {
         long now = loop.nowMicros();
-        if (ownedPools.values().stream().anyMatch(owned -> owned.scheduler.nextWakeAt() <= now)) {
+        if (ownedPools.values().stream().anyMatch(owned -> owned.scheduler.nextDecisionAt() <= now)) {
             decide();
         }
     }
@@ -286,12 +286,12 @@
                             pool, grant.id(), grant.upstream(), addressOf(pool, grant.upstream())));
         } else if (action instanceof PermitAction.Refuse refuse) {
             sender.send(refuse.id().node(), new PeerMessage.PermitRefused(pool, refuse.id(), refuse.refusal()));
-        } else if (action instanceof PermitAction.Suspect suspect) {
+        } else if (action instanceof PermitAction.CrashSuspected suspect) {
             reporter.reportCrash(pool, suspect.fingerprint(), suspect.crashId());
-        } else if (action instanceof PermitAction.Cleared cleared) {
+        } else if (action instanceof PermitAction.SuspectCleared cleared) {
             reporter.clearSuspect(pool, cleared.fingerprint());
         } else if (action instanceof PermitAction.Ejected ejected) {
-            PartLog.OWNER.warn("Upstream " + ejected.upstream() + " of pool " + pool + " is ejected, cause "
+            ComponentLog.OWNER.warn("Upstream " + ejected.upstream() + " of pool " + pool + " is ejected, cause "
                     + ejected.cause() + '.');
         }
     }
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -76,7 +76,7 @@
         }
     }
 
-    void request(PeerMessage.PermitAsk request, PermitListener listener) {
+    void request(PeerMessage.PermitAcquire request, PermitListener listener) {
         pendingRequests.put(request.id(), new PendingRequest(request, loop.nowMicros(), listener));
         String owner = owners.get(request.pool());
         if (owner != null) {
@@ -102,7 +102,7 @@
         }
     }
 
-    void reportUpstreamStatus(PeerMessage.UpstreamWord status) {
+    void reportUpstreamStatus(PeerMessage.UpstreamStatus status) {
         sendToOwner(status.pool(), status);
     }
 
@@ -111,7 +111,7 @@
         if (permit != null) {
             sendToOwner(
                     permit.request().pool(),
-                    new PeerMessage.PermitFinish(permit.request().pool(), id, outcome));
+                    new PeerMessage.PermitRelease(permit.request().pool(), id, outcome));
         }
     }
 
@@ -122,7 +122,7 @@
             if (!permitsInUse.containsKey(granted.id())) {
                 sendToOwner(
                         granted.pool(),
-                        new PeerMessage.PermitFinish(
+                        new PeerMessage.PermitRelease(
                                 granted.pool(), granted.id(), PermitOutcome.of(PermitOutcome.Ending.UNUSED)));
             }
             return;
@@ -186,15 +186,15 @@
                 sender.send(owner, remaining(request.request, loop.nowMicros() - request.requestedAtMicros)));
     }
 
-    private static PeerMessage.PermitAsk remaining(PeerMessage.PermitAsk request, long elapsedMicros) {
-        return new PeerMessage.PermitAsk(
+    private static PeerMessage.PermitAcquire remaining(PeerMessage.PermitAcquire request, long elapsedMicros) {
+        return new PeerMessage.PermitAcquire(
                 request.pool(),
                 request.id(),
                 request.tier(),
                 request.organisation(),
                 request.route(),
                 request.remainingMicros() - elapsedMicros,
-                request.work(),
+                request.size(),
                 request.fingerprint());
     }
 
@@ -240,5 +240,5 @@
      * @param requestedAtMicros when it was made, by the control thread's clock in microseconds.
      * @param listener receives the outcome.
      */
-    private record PendingRequest(PeerMessage.PermitAsk request, long requestedAtMicros, PermitListener listener) {}
+    private record PendingRequest(PeerMessage.PermitAcquire request, long requestedAtMicros, PermitListener listener) {}
 }
--- a/node/src/main/java/org/radishspur/node/control/PoolReport.java
+++ b/node/src/main/java/org/radishspur/node/control/PoolReport.java
@@ -23,7 +23,8 @@
         List<UpstreamReport> reports = scheduler.get().upstreams().stream()
                 .map(state -> UpstreamReport.of(state, loop.nowMicros()))
                 .toList();
-        return new PoolReport(owner, scheduler.get().waiting(), scheduler.get().permitsInUse(), reports);
+        return new PoolReport(
+                owner, scheduler.get().waitingCount(), scheduler.get().permitsInUse(), reports);
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/control/ReplicaHost.java
+++ b/node/src/main/java/org/radishspur/node/control/ReplicaRunner.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 import java.util.Random;
 
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.replication.control.ControlReplica;
-import org.radishspur.replication.control.Proposal;
+import org.radishspur.replication.control.ProposalOutcome;
 import org.radishspur.replication.disk.DataFolder;
 import org.radishspur.replication.disk.FileDisk;
 import org.radishspur.replication.disk.Identity;
 import org.radishspur.replication.raft.RaftMessage;
 import org.radishspur.replication.raft.RaftOptions;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.Role;
 import org.radishspur.replication.state.ControlCommand;
 import org.radishspur.replication.state.ControlState;
@@ -22,7 +22,7 @@
 /**
  * Runs the control replica of this node on the control thread.
  */
-public final class ReplicaHost implements AutoCloseable {
+public final class ReplicaRunner implements AutoCloseable {
     private static final int ENTRIES_PER_MESSAGE = 256;
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 18;
     /** The applied entries that stay in the log after a snapshot, for followers that are slightly behind. */
@@ -50,12 +50,12 @@
      * @param network sends messages to other replicas.
      * @param applied is notified of the state after each change.
      */
-    public ReplicaHost(Setup setup, ControlLoop loop, Network network, ControlReplica.AppliedListener applied) {
+    public ReplicaRunner(Setup setup, ControlLoop loop, Network network, ControlReplica.AppliedListener applied) {
         this.loop = loop;
         identity = setup.identity();
         observer = setup.observer();
         FileDisk disk = new FileDisk(setup.folder(), identity);
-        Recovered recovered = disk.recover();
+        RecoveredState recovered = disk.recover();
         setup.observer()
                 .onStarted(
                         identity.replica(),
@@ -66,7 +66,7 @@
                 setup.options(),
                 identity.replica(),
                 recovered,
-                new ControlReplica.Surroundings(
+                new ControlReplica.Environment(
                         (to, message) -> network.send(identity.replica(), to, message), writer, applied, new Random()),
                 loop.nowMillis());
         loop.repeat(this::tick, Math.max(1, setup.options().raft().heartbeatMillis() / TICKS_PER_HEARTBEAT));
@@ -136,7 +136,7 @@
      * @param command the command.
      * @param listener receives the outcome, on the control thread.
      */
-    public void propose(ControlCommand command, Proposal.Listener listener) {
+    public void propose(ControlCommand command, ProposalOutcome.Listener listener) {
         replica.propose(command, listener, loop.nowMillis());
         requestFlush();
     }
@@ -156,7 +156,7 @@
 
     /** Returns the state, if this replica is the leader and may serve reads from it now. */
     Optional<ControlState> readableState() {
-        return replica.core().mayRead(loop.nowMillis()) ? Optional.of(replica.state()) : Optional.empty();
+        return replica.core().mayServeLeaseRead(loop.nowMillis()) ? Optional.of(replica.state()) : Optional.empty();
     }
 
     /**
@@ -241,7 +241,7 @@
         Role role = replica.core().role();
         if (role != lastRole) {
             lastRole = role;
-            observer.onRole(identity.replica(), role, term());
+            observer.onRoleChanged(identity.replica(), role, term());
         }
     }
 
@@ -271,8 +271,8 @@
      * @param since when the read began, by the control thread's clock in milliseconds.
      * @return whether the read may be served from the state.
      */
-    public boolean confirmedSince(long since) {
-        return replica.core().confirmedSince(since);
+    public boolean isLeadershipConfirmedSince(long since) {
+        return replica.core().leadershipConfirmedSince(since);
     }
 
     /**
@@ -281,7 +281,7 @@
      * @param other the identity of the replica.
      * @return whether the latest configuration contains it.
      */
-    public boolean knows(String other) {
+    public boolean isMember(String other) {
         return replica.core().configuration().contains(other);
     }
 
@@ -321,7 +321,7 @@
          * @param role the new role.
          * @param term the current term.
          */
-        void onRole(String name, Role role, long term);
+        void onRoleChanged(String name, Role role, long term);
 
         /** Writes the start and the changes of the role to the log. */
         enum LogObserver implements Observer {
@@ -331,14 +331,14 @@
             /** {@inheritDoc} */
             @Override
             public void onStarted(String name, int entries, long snapshotIndex) {
-                PartLog.CONTROL.info(
+                ComponentLog.CONTROL.info(
                         "Replica " + name + " starts with " + entries + " entries after index " + snapshotIndex + '.');
             }
 
             /** {@inheritDoc} */
             @Override
-            public void onRole(String name, Role role, long term) {
-                PartLog.CONTROL.info("Replica " + name + " is " + role + " in term " + term + '.');
+            public void onRoleChanged(String name, Role role, long term) {
+                ComponentLog.CONTROL.info("Replica " + name + " is " + role + " in term " + term + '.');
             }
         }
     }
--- a/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
@@ -16,7 +16,7 @@
      * @param request the head.
      * @return the decoded head.
      */
-    RequestHead read(HttpRequest request);
+    RequestHead decodeHead(HttpRequest request);
 
     /**
      * Rewrites the headers of a request before it is sent to an upstream. Hop-by-hop headers have already been removed.
@@ -24,7 +24,7 @@
      * @param headers the caller's headers, which are changed in place.
      * @param forward what the system adds for the upstream.
      */
-    void prepare(HttpHeaders headers, Forward forward);
+    void rewriteHeaders(HttpHeaders headers, ForwardParameters forward);
 
     /**
      * Classifies the head of an upstream's answer.
@@ -33,52 +33,53 @@
      * @param requestId the caller's identifier of the request.
      * @return the kind of the answer.
      */
-    AnswerKind judge(HttpResponse response, String requestId);
+    ResponseKind classify(HttpResponse response, String requestId);
 
     /**
      * Holds the decoded head of a caller's request.
      *
-     * @param request the caller's identifier of the request, empty where it is missing.
+     * @param requestId the caller's identifier of the request, empty where it is missing.
      * @param host the host name that the request is addressed to.
      * @param path the path without its query.
-     * @param key the API key that the caller sends, or nothing.
+     * @param apiKey the API key that the caller sends, or nothing.
      * @param deadlineMillis the maximum time that the caller waits, in milliseconds, or 0 where the request doesn't
      *     state one.
      * @param promptTokens the length of the prompt in tokens, or 0 where it isn't stated.
-     * @param outputTokens the maximum number of tokens to generate, or 0 where it isn't stated.
-     * @param expectedTokens the caller's estimate of the output tokens, or 0 where it gives none; often far off.
+     * @param maxOutputTokens the maximum number of tokens to generate, or 0 where it isn't stated.
+     * @param expectedOutputTokens the caller's estimate of the output tokens, or 0 where it gives none; often far off.
      * @param resumeAfter the number of the last event that the caller has received, or negative where there is none.
-     * @param prefix identifies the beginning of the prompt that it shares with other requests, empty where there is
+     * @param prefixId identifies the beginning of the prompt that it shares with other requests, empty where there is
      *     none.
      * @param prefixTokens the length of that beginning in tokens, or 0.
      */
     record RequestHead(
-            String request,
+            String requestId,
             String host,
             String path,
-            Optional<String> key,
+            Optional<String> apiKey,
             long deadlineMillis,
             long promptTokens,
-            long outputTokens,
-            long expectedTokens,
+            long maxOutputTokens,
+            long expectedOutputTokens,
             long resumeAfter,
-            String prefix,
+            String prefixId,
             long prefixTokens) {}
 
     /**
      * Holds what the system adds to a request for an upstream.
      *
-     * @param upstream the identifier of the instance that the request is meant for; any other instance must not run it.
+     * @param upstreamId the identifier of the instance that the request is meant for; any other instance must not run it.
      * @param organisation the organisation of the caller, or nothing where it is unknown.
-     * @param deadlineMillis the time that is left until the deadline, in milliseconds.
+     * @param remainingMillis the time that is left until the deadline, in milliseconds.
      * @param resumeAfter the number of the last event that was received, or negative where there is none.
      */
-    record Forward(String upstream, Optional<String> organisation, long deadlineMillis, long resumeAfter) {}
+    record ForwardParameters(
+            String upstreamId, Optional<String> organisation, long remainingMillis, long resumeAfter) {}
 
     /**
      * Classifies an answer by its head, mainly by whether the upstream ran the request.
      */
-    enum AnswerKind {
+    enum ResponseKind {
         /** The upstream ran the request and answers with a success status. */
         SUCCESS,
         /** The upstream ran the request, or may have run it, and reports a failure of its own. */
@@ -90,6 +91,6 @@
         /** The answer belongs to another request. */
         OTHER_REQUEST,
         /** The answer can't be the one that the upstream meant to send; the request may have run. */
-        SPOILT
+        INVALID
     }
 }
--- a/node/src/main/java/org/radishspur/node/dialect/HostListDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/HostListDialect.java
@@ -15,7 +15,7 @@
      * @param page the token of the page, taken from the page before it, or nothing for the first page.
      * @return the path with its query.
      */
-    String path(Optional<String> page);
+    String pagePath(Optional<String> page);
 
     /**
      * Decodes a page. Entries that can't be decoded are left out.
@@ -24,13 +24,13 @@
      * @return the decoded page.
      * @throws org.radishspur.model.error.RadishspurException if the body isn't a page.
      */
-    Page page(String body);
+    Page decodePage(String body);
 
     /**
      * Holds one page of the list.
      *
      * @param upstreams the upstreams on it.
-     * @param next the token of the next page, or nothing on the last page.
+     * @param nextPage the token of the next page, or nothing on the last page.
      */
-    record Page(List<Upstream> upstreams, Optional<String> next) {}
+    record Page(List<Upstream> upstreams, Optional<String> nextPage) {}
 }
--- a/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
@@ -18,7 +18,7 @@
      * @param body the body as text.
      * @return the call, which is {@link Call.Malformed} or {@link Call.Unknown} where it can't be decoded.
      */
-    Call read(String method, String path, String body);
+    Call decodeCall(String method, String path, String body);
 
     /**
      * Decodes a catalogue document.
@@ -27,7 +27,7 @@
      * @return the catalogue.
      * @throws org.radishspur.model.error.RadishspurException if the text isn't a catalogue document.
      */
-    Catalogue catalogue(String text);
+    Catalogue decodeCatalogue(String text);
 
     /**
      * Encodes the state of a rollout.
@@ -35,7 +35,7 @@
      * @param rollout the rollout.
      * @return the body of the answer.
      */
-    String write(CatalogueState.Rollout rollout);
+    String encode(CatalogueState.Rollout rollout);
 
     /**
      * Encodes the faults of a call.
@@ -43,7 +43,7 @@
      * @param faults the faults.
      * @return the body of the answer.
      */
-    String write(List<TableFault> faults);
+    String encode(List<TableFault> faults);
 
     /**
      * Describes what an operator's call asks for.
@@ -54,10 +54,10 @@
          *
          * @param text the document.
          */
-        record Publish(String text) implements Call {}
+        record PublishCatalogue(String text) implements Call {}
 
         /** Reads the catalogue in force. */
-        record Read() implements Call {}
+        record ReadCatalogue() implements Call {}
 
         /**
          * Starts a rollout.
--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -87,7 +87,7 @@
     private int possibleRuns;
     private UpstreamSlot slot;
     private UpstreamAttempt attempt;
-    private ConfirmedView viewAtGrant = ConfirmedView.NOTHING;
+    private ConfirmedView viewAtGrant = ConfirmedView.EMPTY;
     private ScheduledFuture<?> timer;
     private boolean firstByteReceived;
     private long firstMillis;
@@ -120,7 +120,7 @@
                 return;
             }
             if (body.readableBytes() + content.content().readableBytes()
-                    > services.limits().bodyBytes()) {
+                    > services.limits().maxBodyBytes()) {
                 bodyComplete = true;
                 refuse(EndReason.BODY_TOO_LARGE, 0, true);
                 return;
@@ -142,8 +142,8 @@
         if (done || !response.isOpen()) {
             return;
         }
-        head = services.dialect().read(request);
-        if (head.request().isEmpty()) {
+        head = services.dialect().decodeHead(request);
+        if (head.requestId().isEmpty()) {
             refuse(EndReason.MALFORMED, 0, false);
             return;
         }
@@ -182,8 +182,8 @@
             return;
         }
         route = matched.get();
-        organisation = head.key().flatMap(catalogue::holderOf);
-        if (!route.anonymous() && !catalogue.organisations().isEmpty() && organisation.isEmpty()) {
+        organisation = head.apiKey().flatMap(catalogue::organisationByKey);
+        if (!route.allowsAnonymous() && !catalogue.organisations().isEmpty() && organisation.isEmpty()) {
             refuse(EndReason.KEY_UNKNOWN, 0, false);
             return;
         }
@@ -197,7 +197,7 @@
     /** Draws a pool of the route by its shares and requests a slot there. */
     private void requestFirstSlot() {
         poolName = route.choosePool(ThreadLocalRandom.current().nextDouble());
-        services.retryBudget(poolName).requested();
+        services.retryBudget(poolName).recordRequest();
         organisationRank = organisation
                 .map(OrganisationRule::priority)
                 .filter(priority -> priority >= 0)
@@ -252,24 +252,26 @@
 
     private double quotaCost() {
         return organisation
-                .map(rule -> rule.cost(head.promptTokens() + head.outputTokens()))
+                .map(rule -> rule.cost(head.promptTokens() + head.maxOutputTokens()))
                 .orElse(0.0);
     }
 
-    private SlotRequest.Work buildWork() {
+    private SlotRequest.ExpectedLoad buildWork() {
         boolean generates = route.kind() == RequestKind.STREAM;
-        return new SlotRequest.Work(
+        return new SlotRequest.ExpectedLoad(
                 head.promptTokens(),
                 generates ? expectedTokens() : 0,
-                generates ? head.outputTokens() : 0,
+                generates ? head.maxOutputTokens() : 0,
                 route.priority(),
-                head.prefix(),
+                head.prefixId(),
                 head.prefixTokens());
     }
 
     /** Returns how many tokens the caller expects, at most its own output limit, which its estimate may exceed. */
     long expectedTokens() {
-        return head.outputTokens() > 0 ? Math.min(head.expectedTokens(), head.outputTokens()) : head.expectedTokens();
+        return head.maxOutputTokens() > 0
+                ? Math.min(head.expectedOutputTokens(), head.maxOutputTokens())
+                : head.expectedOutputTokens();
     }
 
     /** {@inheritDoc} */
@@ -281,8 +283,8 @@
             return;
         }
         EndReason reason = rejected.reason() == SlotReply.Reason.QUOTA ? EndReason.QUOTA : EndReason.OVERLOAD;
-        long retryAfterMillis = spreadRetryAfter(rejected.retryMillis());
-        log.refused(reason, retryAfterMillis, rejected.waiting(), rejected.slots());
+        long retryAfterMillis = spreadRetryAfter(rejected.retryAfterMillis());
+        log.refused(reason, retryAfterMillis, rejected.queueLength(), rejected.slots());
         release();
         response.writeError(reason, retryAfterMillis, false);
     }
@@ -290,12 +292,12 @@
     /** Returns the retry-after in milliseconds, spread at random so that callers refused together don't retry together. */
     private long spreadRetryAfter(long capacityAfterMillis) {
         double draw = ThreadLocalRandom.current().nextDouble();
-        return RetryAfterPolicy.INSTANCE.spread(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
+        return RetryAfterPolicy.INSTANCE.retryAfterMillis(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
     }
 
     /** Returns the longest sensible retry-after in milliseconds, for refusals that tell nothing about capacity. */
     private long latestRetryAfter() {
-        return RetryAfterPolicy.INSTANCE.latest(deadlineAt - EntryServices.now());
+        return RetryAfterPolicy.INSTANCE.maxRetryAfterMillis(deadlineAt - EntryServices.now());
     }
 
     /** {@inheritDoc} */
@@ -317,7 +319,7 @@
 
     /** Returns whether the current view still allows the request to be sent to the granted upstream. */
     boolean mayStillBeSent(UpstreamLoad upstream) {
-        boolean unchanged = services.view().saysTheSame(viewAtGrant);
+        boolean unchanged = services.view().hasSameContent(viewAtGrant);
         return services.isConfirmed()
                 && (unchanged || isStillAllowed() && services.slots().mayUse(upstream));
     }
@@ -340,8 +342,8 @@
                         found.shares().stream().anyMatch(share -> share.pool().equals(poolName)))
                 .isPresent();
         boolean known = organisation.isEmpty()
-                || head.key()
-                        .flatMap(catalogue::holderOf)
+                || head.apiKey()
+                        .flatMap(catalogue::organisationByKey)
                         .filter(holder ->
                                 holder.name().equals(organisation.get().name()))
                         .isPresent();
@@ -358,7 +360,7 @@
 
     /** Returns whether the request may be sent to another upstream although it may have run already. */
     private boolean isRetryAllowed() {
-        return route.mayRepeat()
+        return route.isRepeatable()
                 && possibleRuns < route.maximumUpstreams()
                 && (route.kind() == RequestKind.STREAM || !response.isHeadWritten())
                 && deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS;
@@ -381,7 +383,7 @@
                 possibleRuns == 0 ? deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS : isRetryAllowed();
         if (retryAllowed
                 && slotRequests < MAX_SLOT_REQUESTS
-                && (!wasSent || services.retryBudget(poolName).take())) {
+                && (!wasSent || services.retryBudget(poolName).tryTake())) {
             retry(reason);
         } else {
             refuse(EndReason.NOT_TAKEN, latestRetryAfter(), false);
@@ -390,7 +392,7 @@
 
     /** Retries or fails a request after a failure that leaves open whether its upstream has run it. */
     void onAttemptFailed(String reason) {
-        if (isRetryAllowed() && services.retryBudget(poolName).take()) {
+        if (isRetryAllowed() && services.retryBudget(poolName).tryTake()) {
             splitter.discardPartial();
             retry(reason);
         } else {
@@ -402,7 +404,7 @@
     boolean tryTakeRetry() {
         return !response.isHeadWritten()
                 && isRetryAllowed()
-                && services.retryBudget(poolName).take();
+                && services.retryBudget(poolName).tryTake();
     }
 
     /** Requests a slot at another upstream. */
--- a/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
@@ -22,9 +22,9 @@
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.metrics.MetricsServer;
-import org.radishspur.node.schedule.ControlFollower;
-import org.radishspur.node.settings.FleetSettings;
+import org.radishspur.node.schedule.ViewPoller;
 import org.radishspur.node.settings.HostPort;
+import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.supervise.Supervisor;
 import org.radishspur.node.upstream.UpstreamConnections;
 import org.radishspur.node.upstream.UpstreamExchange;
@@ -52,16 +52,16 @@
     /** How long an idle connection to an upstream is kept open, in milliseconds. */
     private static final long MAX_IDLE_MILLIS = 8_000;
 
-    private final FleetSettings settings;
+    private final PlatformProcessSettings settings;
     private final EventLog events;
     private final ControlLoop control = new ControlLoop();
     private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop traffic = eventLoops.next();
     private final FleetLinks links;
     private final EntryServices services;
-    private final ControlFollower follower;
+    private final ViewPoller follower;
     private final FrontServer frontServer;
-    private final Supervisor.Scheduler.ForThread restartScheduler = new Supervisor.Scheduler.ForThread();
+    private final Supervisor.Scheduler.ThreadScheduler restartScheduler = new Supervisor.Scheduler.ThreadScheduler();
     private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
 
@@ -73,10 +73,11 @@
      * @param operators reads catalogues.
      * @param events the log of structured events.
      */
-    public EntryProcess(FleetSettings settings, CallerDialect callers, OperatorDialect operators, EventLog events) {
+    public EntryProcess(
+            PlatformProcessSettings settings, CallerDialect callers, OperatorDialect operators, EventLog events) {
         this.settings = settings;
         this.events = events;
-        control.onFailure(cause -> failed.countDown());
+        control.setFailureListener(cause -> failed.countDown());
         events.emit(EventCode.STARTED, "entry", settings.failureDomain(), settings.founding());
         EntryMetrics metrics = new EntryMetrics();
         VersionCounters versionCounters = new VersionCounters();
@@ -92,7 +93,7 @@
         metrics.registry().register("requests.in_progress", (Gauge<Integer>) services::inProgress);
         metrics.registry().register("catalogue.revision", (Gauge<Long>)
                 () -> services.view().revision());
-        follower = new ControlFollower(
+        follower = new ViewPoller(
                 control, links, operators, events, settings.peerAddress().toString(), versionCounters, view -> {
                     if (!services.applyConfirmation(view)) {
                         traffic.execute(() -> services.onView(view));
@@ -120,8 +121,8 @@
             services.onReply(sender.peer(), reply);
         } else if (message instanceof FleetMessage.Document document) {
             control.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.Followed followed) {
-            control.execute(() -> follower.onFollowed(followed));
+        } else if (message instanceof FleetMessage.ViewResponse followed) {
+            control.execute(() -> follower.onViewResponse(followed));
         }
     }
 
@@ -136,7 +137,7 @@
      *
      * @param changed the new settings, of which only the seeds are used.
      */
-    public void reload(FleetSettings changed) {
+    public void reload(PlatformProcessSettings changed) {
         events.emit(EventCode.RELOADED, changed.seeds());
         control.execute(() -> follower.seeds(addresses(changed.seeds())));
     }
@@ -158,7 +159,7 @@
         events.emit(EventCode.STOPPING, services.inProgress());
         services.stop();
         long startedAtNanos = System.nanoTime();
-        long maxMillis = settings.bounds().graceMillis() - GRACE_MARGIN_MILLIS;
+        long maxMillis = settings.bounds().plannedStopMillis() - GRACE_MARGIN_MILLIS;
         long elapsedMillis = 0;
         while (elapsedMillis < maxMillis && (elapsedMillis < BALANCER_UPDATE_MILLIS || services.inProgress() > 0)) {
             pause();
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -20,7 +20,7 @@
 import org.radishspur.node.fleet.Moment;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.schedule.ConfirmedView;
-import org.radishspur.node.settings.FleetSettings;
+import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.upstream.UpstreamExchange;
 
 /**
@@ -41,7 +41,7 @@
     /** How often queued requests and stalled responses are checked, in milliseconds. */
     private static final long CHECK_INTERVAL_MILLIS = 50;
 
-    private final FleetSettings settings;
+    private final PlatformProcessSettings settings;
     private final CallerDialect dialect;
     private final EventLog events;
     private final EntryMetrics metrics;
@@ -52,14 +52,14 @@
     private final Map<CallerExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
     private final Set<CallerExchange> running = new HashSet<>();
     private final Map<String, Long> longestDeadlineMillis = new HashMap<>();
-    private volatile ConfirmedView view = ConfirmedView.NOTHING;
+    private volatile ConfirmedView view = ConfirmedView.EMPTY;
     private volatile boolean confirmationAwaited;
     private volatile boolean stopping;
     private volatile int inProgress;
     private boolean checkScheduled;
 
     EntryServices(
-            FleetSettings settings,
+            PlatformProcessSettings settings,
             CallerDialect dialect,
             EventLog events,
             EntryMetrics metrics,
@@ -82,7 +82,7 @@
      * entry.
      */
     boolean applyConfirmation(ConfirmedView newer) {
-        if (confirmationAwaited || !view.saysTheSame(newer)) {
+        if (confirmationAwaited || !view.hasSameContent(newer)) {
             return false;
         }
         view = newer;
@@ -91,10 +91,10 @@
 
     /** Applies a view to the retry budgets and to the slot client, and resumes requests that waited for a confirmation. */
     void onView(ConfirmedView newer) {
-        boolean same = view.saysTheSame(newer);
+        boolean same = view.hasSameContent(newer);
         view = newer;
         if (!same) {
-            retryBudgets.entries(newer.entries());
+            retryBudgets.entries(newer.entryCount());
             slots.onView(newer, now());
         }
         resumeAwaiting();
@@ -140,13 +140,13 @@
     }
 
     private boolean isConfirmedWithin(double share) {
-        return view.isConfirmedWithin(settings.bounds().revokeMillis() * share);
+        return view.isConfirmedWithin(settings.bounds().revocationLimitMillis() * share);
     }
 
     /** Returns whether a caller is retrying, as its deadline is short compared with the longest one of its route. */
     boolean isCallerRetry(String route, long deadlineMillis) {
         long longest = longestDeadlineMillis.merge(route, deadlineMillis, Math::max);
-        return RetryAfterPolicy.INSTANCE.isReturning(deadlineMillis, longest);
+        return RetryAfterPolicy.INSTANCE.isRetry(deadlineMillis, longest);
     }
 
     /** Runs an action once the view is confirmed, unless the request ends sooner. */
@@ -187,7 +187,7 @@
 
     /** Returns the monotonic clock in milliseconds. */
     static long now() {
-        return Moment.steadyNow();
+        return Moment.monotonicNow();
     }
 
     ConfirmedView view() {
@@ -199,7 +199,7 @@
     }
 
     CallerLimits limits() {
-        return view.catalogue().map(Catalogue::limits).orElse(CallerLimits.STANDARD);
+        return view.catalogue().map(Catalogue::limits).orElse(CallerLimits.DEFAULTS);
     }
 
     CallerDialect dialect() {
--- a/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
+++ b/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
@@ -21,7 +21,7 @@
     void refused(EndReason reason, long retryAfterMillis, int waiting, int slots) {
         services.metrics().countRefused(reason.code());
         services.events()
-                .emitFor(
+                .emitForRequest(
                         EventCode.REFUSED,
                         requestId(),
                         reason.code(),
@@ -38,7 +38,7 @@
     void failed(EndReason reason, String upstream, String cause) {
         services.metrics().countFailed(reason.code());
         services.events()
-                .emitFor(
+                .emitForRequest(
                         EventCode.FAILED,
                         requestId(),
                         reason.code(),
@@ -48,21 +48,21 @@
                         cause,
                         eventCount(),
                         exchange.head().promptTokens(),
-                        exchange.head().expectedTokens(),
+                        exchange.head().expectedOutputTokens(),
                         rank(),
                         exchange.isCallerRetry());
     }
 
     void retried(String reason, String upstream, int attempt) {
         services.metrics().countRetried(reason);
-        services.events().emitFor(EventCode.RETRIED, requestId(), reason, upstream, attempt, elapsedMillis());
+        services.events().emitForRequest(EventCode.RETRIED, requestId(), reason, upstream, attempt, elapsedMillis());
     }
 
     void answered(int status, String upstream, long firstMillis, long longestPauseMillis) {
         services.metrics().recordAnswered(firstMillis, elapsedMillis());
-        if (status >= HttpResponseStatus.BAD_REQUEST.code() || services.events().samples(requestId())) {
+        if (status >= HttpResponseStatus.BAD_REQUEST.code() || services.events().isSampled(requestId())) {
             services.events()
-                    .emitFor(
+                    .emitForRequest(
                             EventCode.ANSWERED,
                             requestId(),
                             status,
@@ -72,7 +72,7 @@
                             longestPauseMillis,
                             eventCount(),
                             exchange.head().promptTokens(),
-                            exchange.head().expectedTokens(),
+                            exchange.head().expectedOutputTokens(),
                             rank(),
                             exchange.isCallerRetry());
         }
@@ -82,14 +82,14 @@
         services.metrics().countDisconnected();
         if (exchange.head() != null) {
             services.events()
-                    .emitFor(
+                    .emitForRequest(
                             EventCode.LEFT,
                             requestId(),
                             upstream,
                             elapsedMillis(),
                             eventCount(),
                             exchange.head().promptTokens(),
-                            exchange.head().expectedTokens(),
+                            exchange.head().expectedOutputTokens(),
                             rank(),
                             exchange.isCallerRetry());
         }
@@ -97,7 +97,7 @@
 
     /** Returns the caller's identifier of the request, or an empty text where its head was not read. */
     private String requestId() {
-        return exchange.head() == null ? "" : exchange.head().request();
+        return exchange.head() == null ? "" : exchange.head().requestId();
     }
 
     /** Returns the time since the request arrived, in milliseconds. */
--- a/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.util.ReferenceCountUtil;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 
 /**
  * Handles the connection of one caller. Pipelined requests are served one at a time, in the order of their arrival.
@@ -58,7 +58,7 @@
         if (part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
             closing = true;
-            PartLog.CALLER.info("A caller sent a malformed HTTP request: "
+            ComponentLog.CALLER.info("A caller sent a malformed HTTP request: "
                     + part.decoderResult().cause() + '.');
             ErrorResponses.malformed(context);
             return;
@@ -124,7 +124,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            PartLog.CALLER.error("The connection to a caller failed.", cause);
+            ComponentLog.CALLER.error("The connection to a caller failed.", cause);
         }
         context.close();
     }
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.supervise.Child;
-import org.radishspur.node.transport.Listener;
+import org.radishspur.node.transport.ServerSocketBinder;
 
 /**
  * Accepts the connections of callers and closes those that stay idle for too long.
@@ -43,7 +43,7 @@
     /** {@inheritDoc} */
     @Override
     public void start(FailureListener listener) {
-        channel = Listener.INSTANCE.listen(address, loop, accepted -> {
+        channel = ServerSocketBinder.INSTANCE.bind(address, loop, accepted -> {
             // Reads until the socket is empty, so that a close by the caller is seen together with its last request.
             accepted.config()
                     .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator()
@@ -88,7 +88,7 @@
 
     private void closeIdle() {
         long now = EntryServices.now();
-        long maxIdleMillis = services.limits().idleMillis();
+        long maxIdleMillis = services.limits().idleTimeoutMillis();
         connections.entrySet().stream()
                 .filter(entry ->
                         entry.getValue().isIdle() && now - entry.getValue().idleSince() > maxIdleMillis)
--- a/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/ReadyServer.java
@@ -20,7 +20,7 @@
 import org.radishspur.node.metrics.MetricsText;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.supervise.Child;
-import org.radishspur.node.transport.Listener;
+import org.radishspur.node.transport.ServerSocketBinder;
 
 /**
  * Serves the ready check of the load balancer and, on the same address under {@code /metrics}, the metrics.
@@ -43,7 +43,7 @@
     /** {@inheritDoc} */
     @Override
     public void start(FailureListener listener) {
-        channel = Listener.INSTANCE.listen(address, loop, accepted -> {
+        channel = ServerSocketBinder.INSTANCE.bind(address, loop, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -21,7 +21,7 @@
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.schedule.ConfirmedView;
 import org.radishspur.node.schedule.PoolSet;
-import org.radishspur.node.settings.FleetSettings;
+import org.radishspur.node.settings.PlatformProcessSettings;
 
 /**
  * Requests slots for one entry from the scheduler of a control host, and from a local scheduler where no other is available.
@@ -62,11 +62,11 @@
     private int attachedConnection;
     private long nextId;
 
-    SlotClient(FleetSettings settings, FleetSender links, EventLog events) {
+    SlotClient(PlatformProcessSettings settings, FleetSender links, EventLog events) {
         this.links = links;
         this.events = events;
         entry = settings.peerAddress().toString();
-        pools = new PoolSet(entry, settings.failureDomain(), settings.bounds().greatestTrialShare());
+        pools = new PoolSet(entry, settings.failureDomain(), settings.bounds().maxTrialShare());
         // No tolerance: other entries may use their local schedulers too, each granting its share of the quotas.
         localScheduler = new SlotScheduler(pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), new LocalReplies());
         schedulerChoice = new SchedulerChoice(entry, settings.failureDomain());
@@ -74,9 +74,9 @@
 
     /** Applies a view to the upstreams, the quota shares and the choice of schedulers. */
     void onView(ConfirmedView view, long now) {
-        pools.apply(view, Math.max(1, view.entries()), now);
-        pools.quotaPart(1.0 / Math.max(1, view.entries()));
-        schedulerChoice.schedulers(view.controls().stream()
+        pools.apply(view, Math.max(1, view.entryCount()), now);
+        pools.quotaShare(1.0 / Math.max(1, view.entryCount()));
+        schedulerChoice.setSchedulers(view.controlHosts().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one)));
         localScheduler.advance(now);
     }
@@ -93,7 +93,7 @@
         slot.markSent(scheduler.orElse(LOCAL_ADDRESS), id, now);
         pending.put(id, slot);
         if (scheduler.isPresent()) {
-            links.send(scheduler.get(), new FleetMessage.Ask(id, slot.request(now)));
+            links.send(scheduler.get(), new FleetMessage.RequestSlot(id, slot.request(now)));
         } else {
             localScheduler.request(LOCAL_ENTRY, id, slot.request(now), now);
         }
@@ -101,12 +101,12 @@
 
     /** Returns the runs of those upstreams to which this entry recently could not connect. */
     List<String> unreachable(String pool, long now) {
-        return pools.dispatcher(pool).upstreams().unreachable(now);
+        return pools.dispatcher(pool).upstreams().unreachableRuns(now);
     }
 
     /** Returns whether the current view allows requests to be sent to an upstream. */
     boolean mayUse(UpstreamLoad upstream) {
-        return pools.mayUse(upstream);
+        return pools.isUsable(upstream);
     }
 
     /** Cancels a request for a slot at its scheduler. */
@@ -119,7 +119,7 @@
     void report(UpstreamSlot slot, SlotReport report) {
         localScheduler.report(LOCAL_ENTRY, slot.id(), report, EntryServices.now());
         if (!attachedScheduler.equals(LOCAL_ADDRESS)) {
-            links.send(attachedScheduler, new FleetMessage.Report(slot.id(), report));
+            links.send(attachedScheduler, new FleetMessage.ReportSlot(slot.id(), report));
         }
     }
 
@@ -132,7 +132,7 @@
             }
             return;
         }
-        schedulerChoice.answered(scheduler);
+        schedulerChoice.recordReply(scheduler);
         slot.markReplied();
         if (reply.reply() instanceof SlotReply.Granted granted) {
             pending.remove(reply.id());
@@ -145,7 +145,7 @@
 
     private void onGranted(UpstreamSlot slot, SlotReply.Granted granted, long now) {
         Optional<UpstreamLoad> upstream = localScheduler.adopt(LOCAL_ENTRY, slot.toHeldSlot(granted.upstream()), now);
-        if (upstream.isPresent() && pools.mayUse(upstream.get())) {
+        if (upstream.isPresent() && pools.isUsable(upstream.get())) {
             slot.grant(upstream.get(), !granted.eventTimeKnown());
             return;
         }
@@ -161,7 +161,7 @@
 
     private void onRejected(UpstreamSlot slot, SlotReply.Rejected rejected, long now) {
         if (rejected.reason() == SlotReply.Reason.UNREADY) {
-            schedulerChoice.unready(slot.scheduler(), now);
+            schedulerChoice.recordUnready(slot.scheduler(), now);
             if (attachedScheduler.equals(slot.scheduler())) {
                 attachedScheduler = LOCAL_ADDRESS;
             }
@@ -201,19 +201,19 @@
 
     /** Returns the address of the chosen scheduler, empty for the local one, and attaches to it if needed. */
     private Optional<String> attach(long now) {
-        Optional<String> chosen = schedulerChoice.choose(address -> links.connection(address) > 0, now);
+        Optional<String> chosen = schedulerChoice.choose(address -> links.connectionCount(address) > 0, now);
         String next = chosen.orElse(LOCAL_ADDRESS);
-        int connection = links.connection(next);
+        int connection = links.connectionCount(next);
         if (next.equals(attachedScheduler) && connection == attachedConnection) {
             return chosen;
         }
         String previous = attachedScheduler;
         attachedScheduler = next;
         attachedConnection = connection;
-        links.attend(next);
+        links.setWatchedAddress(next);
         events.emit(EventCode.SCHEDULER, next, previous, pending.size());
         if (chosen.isPresent()) {
-            links.send(next, new FleetMessage.Attach(entry, localScheduler.held(LOCAL_ENTRY)));
+            links.send(next, new FleetMessage.Attach(entry, localScheduler.heldSlots(LOCAL_ENTRY)));
         }
         if (!previous.equals(LOCAL_ADDRESS)) {
             links.send(previous, new FleetMessage.Detach());
@@ -223,7 +223,7 @@
     }
 
     private void onSchedulerLost(String scheduler, String cause, long now) {
-        schedulerChoice.failed(scheduler, now);
+        schedulerChoice.recordFailure(scheduler, now);
         events.emit(EventCode.SCHEDULER_LOST, scheduler, cause);
         if (scheduler.equals(attachedScheduler)) {
             attach(now);
@@ -247,7 +247,7 @@
         if (scheduler.equals(LOCAL_ADDRESS)) {
             localScheduler.report(LOCAL_ENTRY, id, unused, EntryServices.now());
         } else {
-            links.send(scheduler, new FleetMessage.Report(id, unused));
+            links.send(scheduler, new FleetMessage.ReportSlot(id, unused));
         }
     }
 
@@ -264,7 +264,7 @@
             if (reply instanceof SlotReply.Granted granted) {
                 UpstreamLoad upstream = pools.dispatcher(granted.upstream().pool())
                         .upstreams()
-                        .find(granted.upstream().run())
+                        .find(granted.upstream().runId())
                         .orElseThrow();
                 slot.grant(upstream, false);
             } else if (reply instanceof SlotReply.Rejected rejected) {
@@ -274,7 +274,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean good) {}
+        public void onResponse(UpstreamLoad upstream, boolean good) {}
 
         /** {@inheritDoc} */
         @Override
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -14,8 +14,8 @@
 import org.radishspur.decision.slot.SlotReport;
 import org.radishspur.model.catalogue.OrganisationRule;
 import org.radishspur.model.catalogue.RequestKind;
-import org.radishspur.node.dialect.CallerDialect.AnswerKind;
-import org.radishspur.node.dialect.CallerDialect.Forward;
+import org.radishspur.node.dialect.CallerDialect.ForwardParameters;
+import org.radishspur.node.dialect.CallerDialect.ResponseKind;
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.upstream.UpstreamExchange;
 import org.radishspur.node.upstream.UpstreamHeaders;
@@ -41,7 +41,7 @@
     private long sentAt;
     private long lastByteAt;
     private HttpResponse responseHead;
-    private AnswerKind kind;
+    private ResponseKind kind;
     private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
     private boolean firstByteReceived;
     private boolean eventTimeReported;
@@ -90,11 +90,11 @@
     }
 
     private void logSent() {
-        if (services.events().samples(caller.head().request())) {
+        if (services.events().isSampled(caller.head().requestId())) {
             services.events()
-                    .emitFor(
+                    .emitForRequest(
                             EventCode.SENT,
-                            caller.head().request(),
+                            caller.head().requestId(),
                             upstream.upstream().id(),
                             upstream.inProgress(),
                             sentAt - caller.arrivedAt(),
@@ -121,9 +121,9 @@
                 ? caller.splitter().lastEventId()
                 : caller.head().resumeAfter();
         services.dialect()
-                .prepare(
+                .rewriteHeaders(
                         headers,
-                        new Forward(
+                        new ForwardParameters(
                                 upstream.upstream().id(),
                                 caller.organisation().map(OrganisationRule::name),
                                 caller.remainingMillis(),
@@ -143,12 +143,12 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onHead(HttpResponse response) {
+    public void onResponseHead(HttpResponse response) {
         if (phase != Phase.RUNNING) {
             return;
         }
-        kind = services.dialect().judge(response, caller.head().request());
-        if (kind == AnswerKind.OTHER_REQUEST) {
+        kind = services.dialect().classify(response, caller.head().requestId());
+        if (kind == ResponseKind.OTHER_REQUEST) {
             exchange.skipResponse();
             return;
         }
@@ -197,7 +197,7 @@
     }
 
     private boolean isEventStream() {
-        return kind == AnswerKind.SUCCESS && caller.route().kind() == RequestKind.STREAM;
+        return kind == ResponseKind.SUCCESS && caller.route().kind() == RequestKind.STREAM;
     }
 
     /** {@inheritDoc} */
@@ -264,7 +264,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onPause() {
+    public void onReadComplete() {
         if (phase == Phase.RUNNING) {
             caller.response().flush();
             if (caller.response().isWritable()) {
@@ -284,9 +284,9 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onEnd() {
+    public void onResponseComplete() {
         Phase before = phase;
-        if (before == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
+        if (before == Phase.DRAINING && (kind == ResponseKind.NOT_RUN || kind == ResponseKind.WRONG_INSTANCE)) {
             endNotRun();
             return;
         }
@@ -310,8 +310,8 @@
     }
 
     private void endNotRun() {
-        end(kind == AnswerKind.WRONG_INSTANCE ? SlotOutcome.REPLACED : SlotOutcome.NOT_RUN);
-        caller.onNotRun(kind == AnswerKind.NOT_RUN ? "not-run" : "wrong-instance", true);
+        end(kind == ResponseKind.WRONG_INSTANCE ? SlotOutcome.REPLACED : SlotOutcome.NOT_RUN);
+        caller.onNotRun(kind == ResponseKind.NOT_RUN ? "not-run" : "wrong-instance", true);
     }
 
     /** Ends the attempt after a complete response, and reports the measured times unless it is a failure of the upstream. */
@@ -346,15 +346,15 @@
 
     /** {@inheritDoc} */
     @Override
-    public void onBroken(Throwable cause) {
-        if (phase == Phase.DRAINING && (kind == AnswerKind.NOT_RUN || kind == AnswerKind.WRONG_INSTANCE)) {
+    public void onConnectionLost(Throwable cause) {
+        if (phase == Phase.DRAINING && (kind == ResponseKind.NOT_RUN || kind == ResponseKind.WRONG_INSTANCE)) {
             endNotRun();
             return;
         }
         if (phase != Phase.RUNNING) {
             return;
         }
-        if (upstream.isNewBreak(EntryServices.now())) {
+        if (upstream.isSeparateBreak(EntryServices.now())) {
             recordResponse(false);
         }
         end(SlotOutcome.BROKEN);
@@ -364,7 +364,7 @@
     /** Returns whether the upstream seems to hang and has sent no part of this response for a while either. */
     boolean isSilent(long now) {
         boolean upstreamSilent = phase == Phase.RUNNING && upstream.isSilent(now);
-        return upstreamSilent && now - lastByteAt > UpstreamLoad.SHORTEST_SILENCE_MILLIS;
+        return upstreamSilent && now - lastByteAt > UpstreamLoad.MIN_SILENCE_MILLIS;
     }
 
     /** Ends the attempt early: cancels the request at the upstream and releases the slot. */
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -85,7 +85,7 @@
 
     /** Returns the request with its times reduced by the time that has passed since it was made. */
     SlotRequest request(long now) {
-        return request.after(now - requestedAt);
+        return request.withElapsed(now - requestedAt);
     }
 
     /** Records that the request is sent to a scheduler under a new number, and that this one has not replied. */
@@ -107,7 +107,7 @@
 
     /** Returns whether the maximum wait for the slot passed more than a time in milliseconds ago. */
     boolean isOverdue(long millis, long now) {
-        return now - requestedAt > request.waitMillis() + millis;
+        return now - requestedAt > request.maxWaitMillis() + millis;
     }
 
     /** Describes this slot for schedulers that have not granted it. */
@@ -115,14 +115,14 @@
         return new HeldSlot(
                 id,
                 request.pool(),
-                granted.run(),
-                request.work().promptTokens(),
-                request.work().tier());
+                granted.runId(),
+                request.expectedLoad().promptTokens(),
+                request.expectedLoad().tier());
     }
 
     /** Excludes an upstream that was granted but is unusable, and returns how many grants were declined. */
     int decline(Upstream granted) {
-        request = request.withoutUpstream(granted.run());
+        request = request.avoidingUpstream(granted.runId());
         return ++declinedGrants;
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
+++ b/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 import org.radishspur.node.fleet.FleetMessage.VersionCounts;
-import org.radishspur.node.schedule.ControlFollower;
+import org.radishspur.node.schedule.ViewPoller;
 
 /**
  * Counts the responses of each version of a pool by route, for the reports on rollouts to the control leader. It may be
  * called from any thread.
  */
-final class VersionCounters implements ControlFollower.CountSource {
+final class VersionCounters implements ViewPoller.CountSource {
     private final Map<String, VersionCounts> counts = new HashMap<>();
 
     /** Adds one response, with its times to the first byte and for one event in milliseconds. */
@@ -34,7 +34,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public synchronized List<VersionCounts> tallies() {
+    public synchronized List<VersionCounts> versionCounts() {
         return new ArrayList<>(counts.values());
     }
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -21,7 +21,7 @@
 import io.netty.handler.flush.FlushConsolidationHandler;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.ScheduledFuture;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.peer.PeerCodec;
 import org.radishspur.node.settings.HostPort;
 
@@ -114,13 +114,13 @@
 
     /** {@inheritDoc} */
     @Override
-    public void attend(String address) {
+    public void setWatchedAddress(String address) {
         watchedAddress = address;
     }
 
     /** {@inheritDoc} */
     @Override
-    public int connection(String address) {
+    public int connectionCount(String address) {
         Link link = links.get(address);
         return link == null || link.channel == null ? 0 : link.connectionCount;
     }
@@ -135,7 +135,7 @@
     }
 
     private void checkHealth() {
-        long now = Moment.steadyNow();
+        long now = Moment.monotonicNow();
         links.values().forEach(link -> link.checkHealth(now));
     }
 
@@ -208,12 +208,12 @@
         /** {@inheritDoc} */
         @Override
         public long silentMillis() {
-            return health.silentMillis(Moment.steadyNow());
+            return health.silentMillis(Moment.monotonicNow());
         }
 
         /** Sends a message, or the bytes of an encoded one. */
         void sendEncoded(Object message) {
-            health.onSent(Moment.steadyNow());
+            health.onSent(Moment.monotonicNow());
             write(message);
         }
 
@@ -241,7 +241,7 @@
             switch (health.nextAction(address.equals(watchedAddress), now)) {
                 case PING -> write(new FleetMessage.Ping());
                 case RECONNECT -> {
-                    PartLog.PEER.info("No answer from " + address + "; the connection is replaced.");
+                    ComponentLog.PEER.info("No answer from " + address + "; the connection is replaced.");
                     current.close();
                 }
                 default -> {}
@@ -265,7 +265,7 @@
         /** {@inheritDoc} */
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            health.onOpened(Moment.steadyNow());
+            health.onOpened(Moment.monotonicNow());
             connectionCount++;
             channel = context.channel();
             if (removed) {
@@ -284,7 +284,7 @@
         /** {@inheritDoc} */
         @Override
         protected void channelRead0(ChannelHandlerContext context, FleetMessage message) {
-            health.onReceived(Moment.steadyNow());
+            health.onReceived(Moment.monotonicNow());
             if (!(message instanceof FleetMessage.Pong)) {
                 inbox.onMessage(this, message);
             }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -80,7 +80,7 @@
      * @param controlHosts all control hosts.
      * @param evacuated the failure domains whose upstreams must get no new requests.
      */
-    record Followed(
+    record ViewResponse(
             long nonce,
             boolean confirmed,
             String leader,
@@ -145,10 +145,10 @@
      * @param id the number of the request at its entry.
      * @param request the request.
      */
-    record Ask(long id, SlotRequest request) implements FleetMessage {}
+    record RequestSlot(long id, SlotRequest request) implements FleetMessage {}
 
     /**
-     * Answers an {@link Ask}.
+     * Answers an {@link RequestSlot}.
      *
      * @param id the number of the request at its entry.
      * @param reply the answer.
@@ -161,10 +161,10 @@
      * @param id the number of the request at its entry.
      * @param report the report.
      */
-    record Report(long id, SlotReport report) implements FleetMessage {}
+    record ReportSlot(long id, SlotReport report) implements FleetMessage {}
 
     /**
-     * Carries a newer catalogue, and precedes the {@link Followed} that confirms it on the same connection.
+     * Carries a newer catalogue, and precedes the {@link ViewResponse} that confirms it on the same connection.
      *
      * @param revision the revision of the catalogue.
      * @param text the text of the catalogue.
--- a/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
@@ -28,7 +28,7 @@
      *
      * @param address the address, or empty for none.
      */
-    void attend(String address);
+    void setWatchedAddress(String address);
 
     /**
      * Returns the number of connections that were made to an address so far. A caller that sends only changes can tell by a
@@ -37,5 +37,5 @@
      * @param address the address.
      * @return the number, or 0 if there is no connection at present.
      */
-    int connection(String address);
+    int connectionCount(String address);
 }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -11,11 +11,11 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import org.radishspur.model.error.ErrorCode;
 import org.radishspur.model.error.RadishspurException;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.peer.PeerCodec;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.supervise.Child;
-import org.radishspur.node.transport.Listener;
+import org.radishspur.node.transport.ServerSocketBinder;
 
 /**
  * Accepts connections from other processes of the platform.
@@ -48,7 +48,7 @@
     /** {@inheritDoc} */
     @Override
     public void start(FailureListener listener) {
-        channel = Listener.INSTANCE.listen(address, group, accepted -> {
+        channel = ServerSocketBinder.INSTANCE.bind(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new FlushConsolidationHandler(FleetLinks.MAX_UNFLUSHED_MESSAGES, true))
                     .addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS));
@@ -124,7 +124,8 @@
         /** {@inheritDoc} */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            PartLog.PEER.info("Closed a connection from " + context.channel().remoteAddress() + ": " + cause + '.');
+            ComponentLog.PEER.info(
+                    "Closed a connection from " + context.channel().remoteAddress() + ": " + cause + '.');
             context.close();
         }
     }
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -22,7 +22,7 @@
      * @return the current moment.
      */
     public static Moment now() {
-        return new Moment(steadyNow(), System.currentTimeMillis());
+        return new Moment(monotonicNow(), System.currentTimeMillis());
     }
 
     /**
@@ -30,7 +30,7 @@
      *
      * @return its value in milliseconds.
      */
-    public static long steadyNow() {
+    public static long monotonicNow() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -11,7 +11,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.dialect.HostListDialect;
 import org.radishspur.node.dialect.OperatorDialect;
 import org.radishspur.node.fleet.ControlHost;
@@ -23,8 +23,8 @@
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.metrics.MetricsServer;
 import org.radishspur.node.schedule.SchedulerHost;
-import org.radishspur.node.settings.FleetSettings;
 import org.radishspur.node.settings.HostPort;
+import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.supervise.Supervisor;
 import org.radishspur.replication.control.ControlReplica;
 import org.radishspur.replication.disk.DataFolder;
@@ -73,18 +73,18 @@
 
     private static final int IDENTITY_SUFFIX_BOUND = 1 << 30;
 
-    private final FleetSettings settings;
+    private final PlatformProcessSettings settings;
     private final EventLog events;
     private final ControlLoop loop = new ControlLoop();
     private final EventLoopGroup transportThreads = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ControlMetrics metrics = new ControlMetrics();
     private final FleetLinks links;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final MembershipManager membership;
     private final HostListReader hostListReader;
     private final ViewService viewService;
     private final SchedulerHost schedulerHost;
-    private final Supervisor.Scheduler.ForThread timers = new Supervisor.Scheduler.ForThread();
+    private final Supervisor.Scheduler.ThreadScheduler timers = new Supervisor.Scheduler.ThreadScheduler();
     private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
 
@@ -97,13 +97,16 @@
      * @param events receives structured events.
      */
     public ControlProcess(
-            FleetSettings settings, OperatorDialect operatorDialect, HostListDialect hostListDialect, EventLog events) {
+            PlatformProcessSettings settings,
+            OperatorDialect operatorDialect,
+            HostListDialect hostListDialect,
+            EventLog events) {
         this.settings = settings;
         this.events = events;
-        loop.onFailure(cause -> failed.countDown());
+        loop.setFailureListener(cause -> failed.countDown());
         events.emit(EventCode.STARTED, "control", settings.failureDomain(), settings.founding());
         DataFolder folder = new DataFolder(settings.dataFolder().orElseThrow());
-        ReplicaHost.Setup setup = new ReplicaHost.Setup(
+        ReplicaRunner.Setup setup = new ReplicaRunner.Setup(
                 folder,
                 identityOf(folder),
                 new ControlReplica.Options(
@@ -120,10 +123,10 @@
                 MINIMUM_FREE_BYTES,
                 new ReplicaObserver());
         links = new FleetLinks(transportThreads.next(), this);
-        replica = new ReplicaHost(
+        replica = new ReplicaRunner(
                 setup,
                 loop,
-                (from, to, message) -> links.send(ReplicaHost.nodeOf(to), new FleetMessage.Raft(from, to, message)),
+                (from, to, message) -> links.send(ReplicaRunner.nodeOf(to), new FleetMessage.Raft(from, to, message)),
                 state -> {});
         membership = new MembershipManager(
                 loop,
@@ -131,7 +134,7 @@
                 links,
                 events,
                 new ControlHost(settings.peerAddress().toString(), settings.failureDomain()),
-                settings.bounds().voters());
+                settings.bounds().voterCount());
         hostListReader = new HostListReader(
                 loop, transportThreads.next(), replica, hostListDialect, settings.hostListAddress(), events, metrics);
         RolloutDriver rollouts = new RolloutDriver(loop, replica, events);
@@ -192,7 +195,7 @@
      *
      * @param newSettings the new settings, which may differ from the old ones in the seeds only.
      */
-    public void reload(FleetSettings newSettings) {
+    public void reload(PlatformProcessSettings newSettings) {
         events.emit(EventCode.RELOADED, newSettings.seeds());
         loop.execute(() -> membership.seeds(addresses(newSettings.seeds())));
         schedulerHost.seeds(newSettings.seeds());
@@ -233,7 +236,7 @@
     }
 
     /** Logs the start and the role changes of the replica, and starts reading the host list when it becomes leader. */
-    private final class ReplicaObserver implements ReplicaHost.Observer {
+    private final class ReplicaObserver implements ReplicaRunner.Observer {
         /** {@inheritDoc} */
         @Override
         public void onStarted(String identity, int entries, long snapshotIndex) {
@@ -242,7 +245,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onRole(String identity, Role role, long term) {
+        public void onRoleChanged(String identity, Role role, long term) {
             events.emit(EventCode.ROLE, role, term, replica.voters());
             metrics.recordRole(role, term);
             if (role == Role.LEADER) {
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -20,7 +20,7 @@
 import org.radishspur.model.catalogue.Upstream;
 import org.radishspur.model.error.RadishspurException;
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.dialect.HostListDialect;
 import org.radishspur.node.fleet.HostList;
 import org.radishspur.node.log.EventCode;
@@ -55,7 +55,7 @@
 
     private final ControlLoop loop;
     private final EventLoop transport;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final HostListDialect dialect;
     private final HostPort address;
     private final EventLog events;
@@ -70,7 +70,7 @@
     HostListReader(
             ControlLoop loop,
             EventLoop transport,
-            ReplicaHost replica,
+            ReplicaRunner replica,
             HostListDialect dialect,
             HostPort address,
             EventLog events,
@@ -123,10 +123,10 @@
 
     private void readPage(Optional<String> page, List<Upstream> collected, int pageNumber) {
         transport.execute(() -> new PageCall(
-                        dialect.path(page),
+                        dialect.pagePath(page),
                         body -> loop.execute(() -> {
                             try {
-                                onPage(dialect.page(body), collected, pageNumber);
+                                onPage(dialect.decodePage(body), collected, pageNumber);
                             } catch (RadishspurException exception) {
                                 onFailure(exception.getMessage());
                             }
@@ -136,8 +136,8 @@
 
     private void onPage(HostListDialect.Page page, List<Upstream> collected, int pageNumber) {
         collected.addAll(page.upstreams());
-        if (page.next().isPresent() && pageNumber < MAX_PAGES) {
-            readPage(page.next(), collected, pageNumber + 1);
+        if (page.nextPage().isPresent() && pageNumber < MAX_PAGES) {
+            readPage(page.nextPage(), collected, pageNumber + 1);
             return;
         }
         readInProgress = false;
@@ -155,7 +155,7 @@
         boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(upstreams);
         if (changed) {
             latest = new HostList(replica.term(), publishedReadings, upstreams);
-            long leaving = upstreams.stream().filter(Upstream::leaving).count();
+            long leaving = upstreams.stream().filter(Upstream::draining).count();
             events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, upstreams.size(), leaving);
         }
     }
@@ -216,7 +216,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onHead(HttpResponse response) {
+        public void onResponseHead(HttpResponse response) {
             status = response.status();
         }
 
@@ -229,13 +229,13 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onPause() {
+        public void onReadComplete() {
             exchange.read();
         }
 
         /** {@inheritDoc} */
         @Override
-        public void onEnd() {
+        public void onResponseComplete() {
             if (!HttpResponseStatus.OK.equals(status)) {
                 fail("status " + status);
             } else if (markEnded()) {
@@ -245,7 +245,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onBroken(Throwable cause) {
+        public void onConnectionLost(Throwable cause) {
             fail("broken: " + cause);
         }
 
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.fleet.ControlHost;
 import org.radishspur.node.fleet.FleetLinks;
 import org.radishspur.node.fleet.FleetMessage;
@@ -34,7 +34,7 @@
     private static final long VOTER_TIMEOUT_MILLIS = 2_500;
 
     private final ControlLoop loop;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final FleetLinks links;
     private final EventLog events;
     private final ControlHost self;
@@ -47,7 +47,7 @@
 
     MembershipManager(
             ControlLoop loop,
-            ReplicaHost replica,
+            ReplicaRunner replica,
             FleetLinks links,
             EventLog events,
             ControlHost self,
@@ -72,7 +72,7 @@
         replicasLastSeenAt.put(announcement.replica(), loop.nowMillis());
         announcedAddresses.addAll(announcement.memberAddresses());
         if (announcement.failureDomain() != null) {
-            failureDomains.put(ReplicaHost.nodeOf(announcement.replica()), announcement.failureDomain());
+            failureDomains.put(ReplicaRunner.nodeOf(announcement.replica()), announcement.failureDomain());
         }
     }
 
@@ -89,8 +89,8 @@
 
     private List<String> memberAddresses() {
         Set<String> addresses = new TreeSet<>();
-        replica.voters().forEach(voter -> addresses.add(ReplicaHost.nodeOf(voter)));
-        replica.learners().forEach(learner -> addresses.add(ReplicaHost.nodeOf(learner)));
+        replica.voters().forEach(voter -> addresses.add(ReplicaRunner.nodeOf(voter)));
+        replica.learners().forEach(learner -> addresses.add(ReplicaRunner.nodeOf(learner)));
         return new ArrayList<>(addresses);
     }
 
@@ -103,7 +103,7 @@
         }
         replicasLastSeenAt.forEach((replicaId, lastSeenAt) -> {
             if (now - lastSeenAt < CANDIDATE_TIMEOUT_MILLIS) {
-                wanted.add(ReplicaHost.nodeOf(replicaId));
+                wanted.add(ReplicaRunner.nodeOf(replicaId));
             }
         });
         wanted.remove(self.address());
@@ -124,7 +124,7 @@
         }
         for (Map.Entry<String, Long> lastSeen : replicasLastSeenAt.entrySet()) {
             String candidate = lastSeen.getKey();
-            if (now - lastSeen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.knows(candidate)) {
+            if (now - lastSeen.getValue() > CANDIDATE_TIMEOUT_MILLIS || replica.isMember(candidate)) {
                 continue;
             }
             Optional<String> replaced = replaceableVoterFor(candidate, now);
@@ -138,9 +138,9 @@
 
     /** Returns the voter that a candidate may replace, an empty text if a voter may be added, or nothing if neither is allowed. */
     private Optional<String> replaceableVoterFor(String candidate, long now) {
-        String node = ReplicaHost.nodeOf(candidate);
+        String node = ReplicaRunner.nodeOf(candidate);
         for (String voter : replica.voters()) {
-            if (ReplicaHost.nodeOf(voter).equals(node)) {
+            if (ReplicaRunner.nodeOf(voter).equals(node)) {
                 return Optional.of(voter);
             }
         }
--- a/node/src/main/java/org/radishspur/node/group/OperatorServer.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorServer.java
@@ -19,10 +19,10 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.radishspur.model.error.ErrorCode;
 import org.radishspur.model.error.RadishspurException;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.supervise.Child;
-import org.radishspur.node.transport.Listener;
+import org.radishspur.node.transport.ServerSocketBinder;
 
 /**
  * Serves operators' calls over HTTP.
@@ -45,7 +45,7 @@
     /** {@inheritDoc} */
     @Override
     public void start(FailureListener listener) {
-        channel = Listener.INSTANCE.listen(address, group, accepted -> {
+        channel = ServerSocketBinder.INSTANCE.bind(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
@@ -98,7 +98,7 @@
         /** {@inheritDoc} */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            PartLog.ADMIN.info("Closed an operator's connection: " + cause + '.');
+            ComponentLog.ADMIN.info("Closed an operator's connection: " + cause + '.');
             context.close();
         }
     }
--- a/node/src/main/java/org/radishspur/node/group/OperatorService.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorService.java
@@ -7,13 +7,13 @@
 import org.radishspur.model.error.RadishspurException;
 import org.radishspur.model.table.TableFault;
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.dialect.OperatorDialect;
 import org.radishspur.node.dialect.OperatorDialect.Call;
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.settings.HostPort;
-import org.radishspur.replication.control.Proposal;
+import org.radishspur.replication.control.ProposalOutcome;
 import org.radishspur.replication.state.CatalogueState;
 import org.radishspur.replication.state.ControlCommand;
 
@@ -28,7 +28,7 @@
     private static final int UNAVAILABLE = 503;
 
     private final ControlLoop loop;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final ViewService viewService;
     private final OperatorDialect dialect;
     private final int operatorPort;
@@ -37,7 +37,7 @@
 
     OperatorService(
             ControlLoop loop,
-            ReplicaHost replica,
+            ReplicaRunner replica,
             ViewService viewService,
             OperatorDialect dialect,
             int operatorPort,
@@ -75,14 +75,14 @@
                 loggingListener.onAnswer(redirectToLeader(target));
                 return;
             }
-            answer(dialect.read(method, path, body), target, loggingListener);
+            answer(dialect.decodeCall(method, path, body), target, loggingListener);
         });
     }
 
     private void answer(Call call, String target, AnswerListener listener) {
-        if (call instanceof Call.Publish publish) {
+        if (call instanceof Call.PublishCatalogue publish) {
             publish(publish.text(), target, listener);
-        } else if (call instanceof Call.Read) {
+        } else if (call instanceof Call.ReadCatalogue) {
             read(
                     listener,
                     state -> state.document().revision() == 0
@@ -98,7 +98,7 @@
             read(
                     listener,
                     state -> state.rollout(rollout.pool())
-                            .map(found -> Answer.of(OK, dialect.write(found)))
+                            .map(found -> Answer.of(OK, dialect.encode(found)))
                             .orElse(Answer.of(NOT_FOUND, "")));
         } else if (call instanceof Call.Evacuate evacuate) {
             propose(
@@ -111,7 +111,7 @@
                     target,
                     listener);
         } else if (call instanceof Call.Malformed malformed) {
-            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.write(malformed.faults())));
+            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.encode(malformed.faults())));
         } else {
             listener.onAnswer(Answer.of(NOT_FOUND, ""));
         }
@@ -120,14 +120,14 @@
     private void publish(String text, String target, AnswerListener listener) {
         Catalogue catalogue;
         try {
-            catalogue = dialect.catalogue(text);
+            catalogue = dialect.decodeCatalogue(text);
         } catch (RadishspurException exception) {
             List<TableFault> faults = List.of(new TableFault("", exception.getMessage()));
-            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.write(faults)));
+            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.encode(faults)));
             return;
         }
         if (!catalogue.faults().isEmpty()) {
-            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.write(catalogue.faults())));
+            listener.onAnswer(Answer.of(BAD_REQUEST, dialect.encode(catalogue.faults())));
             return;
         }
         CatalogueState.Document document = new CatalogueState.Document(catalogue.revision(), text);
@@ -136,9 +136,9 @@
 
     private void propose(ControlCommand command, String target, AnswerListener listener) {
         replica.propose(command, proposal -> {
-            if (proposal instanceof Proposal.Committed) {
+            if (proposal instanceof ProposalOutcome.Committed) {
                 listener.onAnswer(Answer.of(OK, "{}"));
-            } else if (proposal instanceof Proposal.NotLeader) {
+            } else if (proposal instanceof ProposalOutcome.NotLeader) {
                 listener.onAnswer(redirectToLeader(target));
             } else {
                 listener.onAnswer(Answer.of(UNAVAILABLE, ""));
--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-import org.radishspur.decision.dispatch.RolloutJudge;
-import org.radishspur.decision.dispatch.RolloutJudge.Evidence;
-import org.radishspur.decision.dispatch.RolloutJudge.Side;
-import org.radishspur.decision.dispatch.RolloutJudge.Verdict;
+import org.radishspur.decision.dispatch.RolloutEvaluator;
+import org.radishspur.decision.dispatch.RolloutEvaluator.OutcomeCounts;
+import org.radishspur.decision.dispatch.RolloutEvaluator.RouteOutcomes;
+import org.radishspur.decision.dispatch.RolloutEvaluator.Verdict;
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.fleet.FleetMessage.VersionCounts;
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.log.EventLog;
@@ -29,14 +29,14 @@
     private static final long MOVE_MILLIS = 600;
 
     private final ControlLoop loop;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final EventLog events;
     private final Map<String, List<VersionCounts>> countsByEntry = new HashMap<>();
     private final Map<String, List<VersionCounts>> baselinesByEntry = new HashMap<>();
     private final Map<String, Long> movingSince = new HashMap<>();
     private String evaluatedRollout = "";
 
-    RolloutDriver(ControlLoop loop, ReplicaHost replica, EventLog events) {
+    RolloutDriver(ControlLoop loop, ReplicaRunner replica, EventLog events) {
         this.loop = loop;
         this.replica = replica;
         this.events = events;
@@ -68,10 +68,10 @@
             baselinesByEntry.clear();
             baselinesByEntry.putAll(countsByEntry);
         }
-        Map<String, Evidence> evidence = evidence(rollout);
+        Map<String, RouteOutcomes> evidence = evidence(rollout);
         long elapsed = System.currentTimeMillis() - rollout.startedAtMillis();
         double share = (double) elapsed / Math.max(1, rollout.periodMillis());
-        Verdict verdict = RolloutJudge.INSTANCE.judge(evidence.values(), share);
+        Verdict verdict = RolloutEvaluator.INSTANCE.evaluate(evidence.values(), share);
         if (verdict == Verdict.BAD) {
             advance(rollout, RolloutStage.ROLLED_BACK, evidence, "evidence against the version");
         } else if (verdict == Verdict.GOOD && rollout.stage() == RolloutStage.RUNNING) {
@@ -83,9 +83,9 @@
         }
     }
 
-    private void advance(Rollout rollout, RolloutStage stage, Map<String, Evidence> evidence, String cause) {
-        Side trial = Side.NONE;
-        for (Evidence route : evidence.values()) {
+    private void advance(Rollout rollout, RolloutStage stage, Map<String, RouteOutcomes> evidence, String cause) {
+        OutcomeCounts trial = OutcomeCounts.NONE;
+        for (RouteOutcomes route : evidence.values()) {
             trial = trial.plus(route.trial());
         }
         events.emit(
@@ -95,8 +95,8 @@
                 proposal -> {});
     }
 
-    private Map<String, Evidence> evidence(Rollout rollout) {
-        Map<String, Evidence> evidenceByRoute = new HashMap<>();
+    private Map<String, RouteOutcomes> evidence(Rollout rollout) {
+        Map<String, RouteOutcomes> evidenceByRoute = new HashMap<>();
         for (Map.Entry<String, List<VersionCounts>> entry : countsByEntry.entrySet()) {
             addCounts(rollout, entry.getValue(), 1, evidenceByRoute);
             addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, evidenceByRoute);
@@ -105,22 +105,24 @@
     }
 
     private static void addCounts(
-            Rollout rollout, List<VersionCounts> counts, int sign, Map<String, Evidence> evidenceByRoute) {
+            Rollout rollout, List<VersionCounts> counts, int sign, Map<String, RouteOutcomes> evidenceByRoute) {
         for (VersionCounts count : counts) {
             if (!count.pool().equals(rollout.pool())) {
                 continue;
             }
-            Side side = new Side(
+            OutcomeCounts side = new OutcomeCounts(
                     sign * count.answers(),
                     sign * count.failures(),
                     sign * (count.firstMillis() + count.eventMillis()));
-            Evidence previous = evidenceByRoute.getOrDefault(count.route(), new Evidence(Side.NONE, Side.NONE));
+            RouteOutcomes previous = evidenceByRoute.getOrDefault(
+                    count.route(), new RouteOutcomes(OutcomeCounts.NONE, OutcomeCounts.NONE));
             boolean isTrial = count.version().equals(rollout.target());
             evidenceByRoute.put(
                     count.route(),
                     isTrial
-                            ? new Evidence(previous.trial().plus(side), previous.others())
-                            : new Evidence(previous.trial(), previous.others().plus(side)));
+                            ? new RouteOutcomes(previous.trial().plus(side), previous.others())
+                            : new RouteOutcomes(
+                                    previous.trial(), previous.others().plus(side)));
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/ViewService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 import org.radishspur.node.control.ControlLoop;
-import org.radishspur.node.control.ReplicaHost;
+import org.radishspur.node.control.ReplicaRunner;
 import org.radishspur.node.fleet.FleetInbox;
 import org.radishspur.node.fleet.FleetMessage;
 import org.radishspur.node.fleet.HostList;
@@ -28,7 +28,7 @@
     private static final long READ_TIMEOUT_MILLIS = 900;
 
     private final ControlLoop loop;
-    private final ReplicaHost replica;
+    private final ReplicaRunner replica;
     private final MembershipManager membership;
     private final HostListReader hostListReader;
     private final RolloutDriver rolloutDriver;
@@ -40,7 +40,7 @@
 
     ViewService(
             ControlLoop loop,
-            ReplicaHost replica,
+            ReplicaRunner replica,
             MembershipManager membership,
             HostListReader hostListReader,
             RolloutDriver rolloutDriver,
@@ -71,7 +71,7 @@
 
     private void answerOnceConfirmed(FleetInbox.Sender sender, FleetMessage.ViewRequest request, long receivedAt) {
         if (!replica.isLeader()) {
-            sender.send(new FleetMessage.Followed(
+            sender.send(new FleetMessage.ViewResponse(
                     request.nonce(),
                     false,
                     replica.leaderNode(),
@@ -132,7 +132,7 @@
         long now = loop.nowMillis();
         while (!pendingReads.isEmpty()) {
             PendingRead first = pendingReads.peekFirst();
-            if (replica.confirmedSince(first.startedAt())) {
+            if (replica.isLeadershipConfirmedSince(first.startedAt())) {
                 pendingReads
                         .removeFirst()
                         .listener()
@@ -145,10 +145,10 @@
         }
     }
 
-    private FleetMessage.Followed response(FleetMessage.ViewRequest request, CatalogueState state) {
+    private FleetMessage.ViewResponse response(FleetMessage.ViewRequest request, CatalogueState state) {
         HostList list = hostListReader.latest();
         boolean listNewer = list.isLaterThan(new HostList(request.listTerm(), request.listReading(), List.of()));
-        return new FleetMessage.Followed(
+        return new FleetMessage.ViewResponse(
                 request.nonce(),
                 true,
                 replica.leaderNode(),
--- a/node/src/main/java/org/radishspur/node/log/PartLog.java
+++ b/node/src/main/java/org/radishspur/node/log/ComponentLog.java
@@ -5,7 +5,7 @@
 /**
  * Writes log lines, each with a prefix that names the component that logs it.
  */
-public enum PartLog {
+public enum ComponentLog {
     /** The process as a whole. */
     NODE("[node]"),
     /** The control replica and its disk. */
@@ -27,7 +27,7 @@
 
     private final String prefix;
 
-    PartLog(String prefix) {
+    ComponentLog(String prefix) {
         this.prefix = prefix;
     }
 
--- a/node/src/main/java/org/radishspur/node/log/EventLog.java
+++ b/node/src/main/java/org/radishspur/node/log/EventLog.java
@@ -72,7 +72,7 @@
      * @param request the caller's id of the request.
      * @param values the values of its fields, in the order of {@link EventCode#fields()}.
      */
-    public void emitFor(EventCode code, String request, Object... values) {
+    public void emitForRequest(EventCode code, String request, Object... values) {
         if (isWithinRate()) {
             enqueue(line(code, request, values));
         } else {
@@ -86,7 +86,7 @@
      * @param request the caller's id of the request.
      * @return whether it is in the sample.
      */
-    public boolean samples(String request) {
+    public boolean isSampled(String request) {
         return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
     }
 
--- a/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
+++ b/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
@@ -142,7 +142,7 @@
 
         @Override
         public void warn(String message, Throwable cause) {
-            PartLog.NETWORK.warn(name() + ": " + message, cause);
+            ComponentLog.NETWORK.warn(name() + ": " + message, cause);
         }
 
         @Override
@@ -172,7 +172,7 @@
 
         @Override
         public void error(String message, Throwable cause) {
-            PartLog.NETWORK.error(name() + ": " + message, cause);
+            ComponentLog.NETWORK.error(name() + ": " + message, cause);
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
@@ -20,7 +20,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.supervise.Child;
-import org.radishspur.node.transport.Listener;
+import org.radishspur.node.transport.ServerSocketBinder;
 
 /**
  * Serves the metrics of a process as text over HTTP, on every path of an address used for nothing else.
@@ -50,7 +50,7 @@
     /** {@inheritDoc} */
     @Override
     public void start(FailureListener listener) {
-        channel = Listener.INSTANCE.listen(address, group, accepted -> {
+        channel = ServerSocketBinder.INSTANCE.bind(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
--- a/node/src/main/java/org/radishspur/node/peer/PeerLinks.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerConnections.java
@@ -15,7 +15,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import org.radishspur.model.error.ErrorCode;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.metrics.NodeMetrics;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.node.settings.PeerSettings;
@@ -25,7 +25,7 @@
  * Keeps one connection to each other node and sends messages over it. A message to a node without a connection is
  * dropped; the sender repeats a message that must arrive.
  */
-public final class PeerLinks implements Child {
+public final class PeerConnections implements Child {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final long RECONNECT_DELAY_MILLIS = 150;
     private static final int MAXIMUM_BACKLOG_BYTES = 32 << 20;
@@ -49,7 +49,7 @@
      * @param peerListener is notified when a connection is established or lost.
      * @param metrics counts refused peers.
      */
-    public PeerLinks(
+    public PeerConnections(
             NodeSettings settings,
             PeerKey key,
             long incarnation,
@@ -170,7 +170,7 @@
                 peerListener.onConnectionChanged(peer.node(), true);
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn(
+                ComponentLog.PEER.warn(
                         "Node " + peer.node() + " failed the handshake: its protocol version or shared key differs.");
                 context.close();
             }
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -7,7 +7,7 @@
 
 import org.radishspur.decision.move.Move;
 import org.radishspur.decision.permit.PermitOutcome;
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.model.error.Refusal;
 import org.radishspur.model.request.PermitId;
 import org.radishspur.model.request.Tier;
@@ -145,17 +145,17 @@
      * @param organisation the organisation that sent the request.
      * @param route the route that the request was sent to.
      * @param remainingMicros the time until the deadline of the request, in microseconds.
-     * @param work the estimated cost of the request at an upstream.
+     * @param size the estimated cost of the request at an upstream.
      * @param fingerprint the digest of the request's content.
      */
-    record PermitAsk(
+    record PermitAcquire(
             String pool,
             PermitId id,
             Tier tier,
             String organisation,
             String route,
             long remainingMicros,
-            Work work,
+            RequestSize size,
             String fingerprint)
             implements PeerMessage {}
 
@@ -201,7 +201,7 @@
      * @param id the identity of the attempt.
      * @param outcome how the attempt ended.
      */
-    record PermitFinish(String pool, PermitId id, PermitOutcome outcome) implements PeerMessage {}
+    record PermitRelease(String pool, PermitId id, PermitOutcome outcome) implements PeerMessage {}
 
     /**
      * Lists all permits and pending requests of an entry process in a pool, so that the owner can reconcile its state.
@@ -224,7 +224,7 @@
      * @param running the number of requests that it runs, or -1 where it wasn't reported.
      * @param waiting the number of requests queued inside it.
      */
-    record UpstreamWord(String pool, String upstream, long incarnation, boolean leaving, int running, int waiting)
+    record UpstreamStatus(String pool, String upstream, long incarnation, boolean leaving, int running, int waiting)
             implements PeerMessage {}
 
     /**
@@ -233,7 +233,7 @@
      * @param request the request that it was granted for.
      * @param upstream the name of the upstream whose slot it holds.
      */
-    record PermitInUse(PermitAsk request, String upstream) {}
+    record PermitInUse(PermitAcquire request, String upstream) {}
 
     /**
      * A request to the control leader.
@@ -267,10 +267,10 @@
          * The command is committed.
          *
          * @param answer the answer of the state machine.
-         * @param holderLives whether the process of the attempt that holds the claim is live; false where the answer isn't a
+         * @param holderIsLive whether the process of the attempt that holds the claim is live; false where the answer isn't a
          *     claim held by another attempt.
          */
-        record Committed(ControlAnswer answer, boolean holderLives) implements ControlResult {}
+        record Committed(ControlAnswer answer, boolean holderIsLive) implements ControlResult {}
 
         /**
          * The status of the cluster.
--- a/node/src/main/java/org/radishspur/node/peer/PeerServer.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerServer.java
@@ -12,7 +12,7 @@
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import org.radishspur.model.error.ErrorCode;
 import org.radishspur.model.error.RadishspurException;
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 import org.radishspur.node.metrics.NodeMetrics;
 import org.radishspur.node.settings.NodeSettings;
 import org.radishspur.node.supervise.Child;
@@ -106,7 +106,7 @@
                 context.writeAndFlush(new PeerMessage.Welcome(key.signWelcome(hello.nonce())));
             } else {
                 metrics.failed(ErrorCode.PEER_REFUSED);
-                PartLog.PEER.warn("Refused the connection of a peer at "
+                ComponentLog.PEER.warn("Refused the connection of a peer at "
                         + context.channel().remoteAddress() + '.');
                 context.close();
             }
@@ -128,7 +128,7 @@
             boolean malformed = cause instanceof DecoderException || cause instanceof RadishspurException;
             if (malformed) {
                 metrics.failed(ErrorCode.FRAME_INVALID);
-                PartLog.PEER.warn("Closed a connection after a malformed frame: " + cause.getMessage() + '.');
+                ComponentLog.PEER.warn("Closed a connection after a malformed frame: " + cause.getMessage() + '.');
             }
             context.close();
         }
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -19,8 +19,8 @@
  * @param catalogue the catalogue, empty until the first one is received.
  * @param hosts the latest host list, {@link HostList#NONE} until the first one is received.
  * @param rollouts the latest rollout of each pool.
- * @param entries the number of entries that poll the leader.
- * @param controls the control hosts, each of which runs a scheduler.
+ * @param entryCount the number of entries that poll the leader.
+ * @param controlHosts the control hosts, each of which runs a scheduler.
  * @param evacuated the failure domains whose upstreams must get no new requests.
  * @param confirmedAt when the request was sent that the latest confirmation answers.
  */
@@ -28,30 +28,30 @@
         Optional<Catalogue> catalogue,
         HostList hosts,
         List<Rollout> rollouts,
-        int entries,
-        List<ControlHost> controls,
+        int entryCount,
+        List<ControlHost> controlHosts,
         Set<String> evacuated,
         Moment confirmedAt) {
     /** The view of a process that has just started; it was never confirmed. */
-    public static final ConfirmedView NOTHING =
+    public static final ConfirmedView EMPTY =
             new ConfirmedView(Optional.empty(), HostList.NONE, List.of(), 0, List.of(), Set.of(), Moment.LONG_AGO);
 
     /** Makes immutable copies of the collections. */
     public ConfirmedView {
         rollouts = List.copyOf(rollouts);
-        controls = List.copyOf(controls);
+        controlHosts = List.copyOf(controlHosts);
         evacuated = Set.copyOf(evacuated);
     }
 
     ConfirmedView withCatalogue(Catalogue newer) {
-        return new ConfirmedView(Optional.of(newer), hosts, rollouts, entries, controls, evacuated, confirmedAt);
+        return new ConfirmedView(Optional.of(newer), hosts, rollouts, entryCount, controlHosts, evacuated, confirmedAt);
     }
 
     ConfirmedView withHosts(HostList newer) {
-        return new ConfirmedView(catalogue, newer, rollouts, entries, controls, evacuated, confirmedAt);
+        return new ConfirmedView(catalogue, newer, rollouts, entryCount, controlHosts, evacuated, confirmedAt);
     }
 
-    ConfirmedView withAnswer(FleetMessage.Followed answer, Moment sentAt) {
+    ConfirmedView withAnswer(FleetMessage.ViewResponse answer, Moment sentAt) {
         return new ConfirmedView(
                 catalogue,
                 hosts,
@@ -97,12 +97,12 @@
      * @param other the other view.
      * @return whether everything but the time of the confirmation is the same.
      */
-    public boolean saysTheSame(ConfirmedView other) {
+    public boolean hasSameContent(ConfirmedView other) {
         return hosts == other.hosts
-                && entries == other.entries
+                && entryCount == other.entryCount
                 && catalogue.equals(other.catalogue)
                 && rollouts.equals(other.rollouts)
-                && controls.equals(other.controls)
+                && controlHosts.equals(other.controlHosts)
                 && evacuated.equals(other.evacuated);
     }
 }
--- a/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -104,22 +104,22 @@
         List<String> changesTo = new ArrayList<>();
         boolean full = publishRounds.beginFullReport();
         for (String other : publishRounds.peers()) {
-            int connection = links.connection(other);
+            int connection = links.connectionCount(other);
             boolean reconnected = connection != connectionCounts.getOrDefault(other, 0);
             connectionCounts.put(other, connection);
             (full || reconnected ? fullReportTo : changesTo).add(other);
         }
         if (!fullReportTo.isEmpty()) {
-            links.send(fullReportTo, report(current, Map.of(), quotas.usedHere(), true));
+            links.send(fullReportTo, report(current, Map.of(), quotas.ownUse(), true));
         }
         if (!changesTo.isEmpty()) {
             FleetMessage.LoadReport changes = report(
-                    current, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.usedHere()), false);
+                    current, publishRounds.publishedUpstreams(), publishRounds.changedUsage(quotas.ownUse()), false);
             if (changes.upstreams().length > 0 || !changes.organisations().isEmpty()) {
                 links.send(changesTo, changes);
             }
         }
-        publishRounds.recordPublished(current, quotas.usedHere());
+        publishRounds.recordPublished(current, quotas.ownUse());
     }
 
     /** Applies a report of a peer and returns whether it shows that a slot has become free. */
@@ -138,7 +138,8 @@
             UpstreamLoad upstream = upstreams.get(digest);
             if (upstream != null) {
                 upstream.recordPeerInProgress(report.scheduler(), counts[IN_PROGRESS]);
-                upstream.recordPeerUnread(report.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
+                upstream.recordPeerPendingTokens(
+                        report.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
                 upstream.recordPeerEventTime(
                         counts[EVENT_TIME_STEPS] == 0
                                 ? 0
@@ -185,7 +186,7 @@
 
     private static void clearPeerLoad(String scheduler, UpstreamLoad upstream) {
         upstream.recordPeerInProgress(scheduler, 0);
-        upstream.recordPeerUnread(scheduler, 0);
+        upstream.recordPeerPendingTokens(scheduler, 0);
     }
 
     private void removeLostPeers(long now) {
@@ -206,13 +207,13 @@
         Map<Integer, int[]> counts = new HashMap<>();
         upstreams.forEach((digest, upstream) -> {
             long[] counted = outcomes.getOrDefault(upstream, new long[2]);
-            if (upstream.own() > 0 || counted[0] + counted[1] > 0 || published.contains(digest)) {
+            if (upstream.ownInProgress() > 0 || counted[0] + counted[1] > 0 || published.contains(digest)) {
                 int[] numbers = new int[COUNTS_PER_UPSTREAM];
-                numbers[IN_PROGRESS] = upstream.own();
+                numbers[IN_PROGRESS] = upstream.ownInProgress();
                 numbers[SUCCESSES] = (int) counted[0];
                 numbers[FAILURES] = (int) counted[1];
                 numbers[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
-                numbers[UNREAD_TOKEN_STEPS] = (int) (upstream.ownUnreadTokens() / TOKENS_PER_STEP);
+                numbers[UNREAD_TOKEN_STEPS] = (int) (upstream.ownPendingTokens() / TOKENS_PER_STEP);
                 counts.put(digest, numbers);
             }
         });
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -44,8 +44,8 @@
     private final Map<String, Rollout> rollouts = new HashMap<>();
     private final Map<String, Double> trialCredit = new HashMap<>();
     private final Set<String> usableWhileCold = new HashSet<>();
-    private ConfirmedView view = ConfirmedView.NOTHING;
-    private double quotaPart = 1;
+    private ConfirmedView view = ConfirmedView.EMPTY;
+    private double quotaShare = 1;
 
     /**
      * Creates a set without pools.
@@ -82,11 +82,11 @@
         for (String name : poolNames) {
             if (rule(name).isPresent() || dispatchers.containsKey(name)) {
                 UpstreamPool upstreams = dispatcher(name).upstreams();
-                upstreams.schedulers(schedulers);
-                upstreams.coldStart(
+                upstreams.setSchedulerCount(schedulers);
+                upstreams.setColdStart(
                         rule(name).map(PoolRule::coldStart).orElse(ColdStart.NONE), usableWhileCold::contains);
                 upstreams.refresh(upstreamsByPool.getOrDefault(name, List.of()));
-                upstreams.evacuate(view.evacuated(), now);
+                upstreams.setEvacuatedDomains(view.evacuated(), now);
             }
         }
     }
@@ -94,15 +94,15 @@
     /** Finds the upstreams that this process may use while they are cold: those for which it is the preferred scheduler. */
     private void chooseUsableWhileCold() {
         usableWhileCold.clear();
-        Map<String, String> failureDomains = view.controls().stream()
+        Map<String, String> failureDomains = view.controlHosts().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one));
         if (failureDomains.containsKey(self)) {
             view.hosts().upstreams().stream()
-                    .filter(upstream -> SchedulerChoice.inOrder(
-                                    upstream.run(), upstream.failureDomain(), failureDomains)
+                    .filter(upstream -> SchedulerChoice.sortByPreference(
+                                    upstream.runId(), upstream.failureDomain(), failureDomains)
                             .get(0)
                             .equals(self))
-                    .forEach(upstream -> usableWhileCold.add(upstream.run()));
+                    .forEach(upstream -> usableWhileCold.add(upstream.runId()));
         }
     }
 
@@ -111,8 +111,8 @@
      *
      * @param part the part, 1 if the usage is shared with all other processes that grant slots.
      */
-    public void quotaPart(double part) {
-        quotaPart = part;
+    public void quotaShare(double part) {
+        quotaShare = part;
     }
 
     private Optional<PoolRule> rule(String pool) {
@@ -137,7 +137,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public VersionRule versions(String pool, boolean trialAllowed) {
+    public VersionRule versionRule(String pool, boolean trialAllowed) {
         Rollout rollout = rollouts.get(pool);
         if (rollout == null) {
             return VersionRule.Any.INSTANCE;
@@ -167,9 +167,9 @@
 
     /** {@inheritDoc} */
     @Override
-    public Optional<OrganisationRule> organisation(String name) {
+    public Optional<OrganisationRule> organisationRule(String name) {
         return Optional.ofNullable(view.organisations().get(name))
-                .map(rule -> quotaPart < 1 ? rule.withPart(quotaPart) : rule);
+                .map(rule -> quotaShare < 1 ? rule.withShare(quotaShare) : rule);
     }
 
     /** Returns the number of requests that were granted here and are in progress in a failure domain. */
@@ -177,7 +177,7 @@
         return dispatchers.values().stream()
                 .flatMap(dispatcher -> dispatcher.upstreams().loads().stream())
                 .filter(load -> load.upstream().failureDomain().equals(evacuatedDomain))
-                .mapToInt(UpstreamLoad::own)
+                .mapToInt(UpstreamLoad::ownInProgress)
                 .sum();
     }
 
@@ -188,17 +188,17 @@
      * @param upstream the upstream.
      * @return whether its version is not rolled back and the upstream accepts requests.
      */
-    public boolean mayUse(UpstreamLoad upstream) {
+    public boolean isUsable(UpstreamLoad upstream) {
         Rollout rollout = rollouts.get(upstream.upstream().pool());
         boolean rolledBack = rollout != null
                 && rollout.stage() == RolloutStage.ROLLED_BACK
                 && rollout.target().equals(upstream.upstream().version());
-        return !rolledBack && dispatcher(upstream.upstream().pool()).upstreams().takesWork(upstream);
+        return !rolledBack && dispatcher(upstream.upstream().pool()).upstreams().acceptsRequests(upstream);
     }
 
     /** Returns the usual share of failed answers in the pool of an upstream, or 0 if the pool is unknown. */
     double usualFailureShare(UpstreamLoad upstream) {
         PoolDispatcher dispatcher = dispatchers.get(upstream.upstream().pool());
-        return dispatcher == null ? 0 : dispatcher.upstreams().usualFailures();
+        return dispatcher == null ? 0 : dispatcher.upstreams().usualFailureShare();
     }
 }
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -23,8 +23,8 @@
 import org.radishspur.node.fleet.Moment;
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.log.EventLog;
-import org.radishspur.node.settings.FleetSettings;
 import org.radishspur.node.settings.HostPort;
+import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.supervise.Child;
 
 /**
@@ -44,7 +44,7 @@
     /** The greatest age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
     private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
-    private final FleetSettings settings;
+    private final PlatformProcessSettings settings;
 
     /** The follower's own thread: parsing a large catalogue takes longer than an election timeout of the replica. */
     private final ControlLoop followerLoop = new ControlLoop();
@@ -53,7 +53,7 @@
     private final EventLog events;
     private final MetricRegistry metrics;
     private final FleetLinks links;
-    private final ControlFollower follower;
+    private final ViewPoller follower;
     private final PoolSet pools;
     private final QuotaLedger quotas;
     private final SlotScheduler slotScheduler;
@@ -62,7 +62,7 @@
     private final Map<String, Sender> attachedEntries = new HashMap<>();
     private final Map<String, String> connectionsByEntry = new HashMap<>();
     private final EvacuationLog evacuationLog;
-    private ConfirmedView view = ConfirmedView.NOTHING;
+    private ConfirmedView view = ConfirmedView.EMPTY;
 
     /**
      * Starts a scheduler.
@@ -75,28 +75,28 @@
      * @param metrics the registry for the scheduler's metrics.
      */
     public SchedulerHost(
-            FleetSettings settings,
+            PlatformProcessSettings settings,
             Child.FailureListener failure,
             EventLoop traffic,
             OperatorDialect dialect,
             EventLog events,
             MetricRegistry metrics) {
         this.settings = settings;
-        followerLoop.onFailure(failure);
+        followerLoop.setFailureListener(failure);
         this.traffic = traffic;
         this.events = events;
         this.metrics = metrics;
         self = settings.peerAddress().toString();
         links = new FleetLinks(traffic, this);
-        pools = new PoolSet(self, settings.failureDomain(), settings.bounds().greatestTrialShare());
-        quotas = new QuotaLedger(settings.bounds().quota());
+        pools = new PoolSet(self, settings.failureDomain(), settings.bounds().maxTrialShare());
+        quotas = new QuotaLedger(settings.bounds().quotaTolerance());
         slotScheduler = new SlotScheduler(pools, quotas, new SchedulerListener());
         evacuationLog = new EvacuationLog(pools, events);
         loadReports = new LoadReportExchange(links, pools, quotas, self + '/' + System.currentTimeMillis());
-        follower = new ControlFollower(
+        follower = new ViewPoller(
                 followerLoop, links, dialect, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
-        metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entries);
-        metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::waiting);
+        metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entryCount);
+        metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::queueLength);
         seeds(settings.seeds());
         traffic.scheduleAtFixedRate(
                 () -> loadReports.publishIfDue(now()),
@@ -114,8 +114,8 @@
      * @return whether it is for the scheduler.
      */
     public static boolean handles(FleetMessage message) {
-        return message instanceof FleetMessage.Ask
-                || message instanceof FleetMessage.Report
+        return message instanceof FleetMessage.RequestSlot
+                || message instanceof FleetMessage.ReportSlot
                 || message instanceof FleetMessage.LoadReport
                 || message instanceof FleetMessage.Attach
                 || message instanceof FleetMessage.Detach;
@@ -135,13 +135,13 @@
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
-        if (message instanceof FleetMessage.Followed answer) {
-            followerLoop.execute(() -> follower.onFollowed(answer));
+        if (message instanceof FleetMessage.ViewResponse answer) {
+            followerLoop.execute(() -> follower.onViewResponse(answer));
         } else if (message instanceof FleetMessage.Document document) {
             followerLoop.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.Ask request) {
+        } else if (message instanceof FleetMessage.RequestSlot request) {
             onSlotRequest(sender, request);
-        } else if (message instanceof FleetMessage.Report report) {
+        } else if (message instanceof FleetMessage.ReportSlot report) {
             slotScheduler.report(sender.peer(), report.id(), report.report(), now());
         } else if (message instanceof FleetMessage.LoadReport load) {
             if (loadReports.onReport(load, view.organisations(), now())) {
@@ -154,8 +154,8 @@
         }
     }
 
-    private void onSlotRequest(Sender sender, FleetMessage.Ask request) {
-        double maxAgeMillis = settings.bounds().revokeMillis() * MAX_VIEW_AGE_SHARE;
+    private void onSlotRequest(Sender sender, FleetMessage.RequestSlot request) {
+        double maxAgeMillis = settings.bounds().revocationLimitMillis() * MAX_VIEW_AGE_SHARE;
         if (!attachedEntries.containsKey(sender.peer()) || !view.isConfirmedWithin(maxAgeMillis)) {
             reply(sender, request.id(), new SlotReply.Rejected(SlotReply.Reason.UNREADY, 0));
             return;
@@ -185,10 +185,10 @@
     }
 
     private void onView(ConfirmedView newer) {
-        boolean unchanged = view.saysTheSame(newer);
+        boolean unchanged = view.hasSameContent(newer);
         view = newer;
         if (!unchanged) {
-            List<String> others = newer.controls().stream()
+            List<String> others = newer.controlHosts().stream()
                     .map(ControlHost::address)
                     .filter(address -> !address.equals(self))
                     .toList();
@@ -208,7 +208,7 @@
     }
 
     private static long now() {
-        return Moment.steadyNow();
+        return Moment.monotonicNow();
     }
 
     private void reply(Sender sender, long id, SlotReply reply) {
@@ -242,7 +242,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onAnswer(UpstreamLoad upstream, boolean succeeded) {
+        public void onResponse(UpstreamLoad upstream, boolean succeeded) {
             loadReports.recordOutcome(upstream, succeeded);
         }
 
--- a/node/src/main/java/org/radishspur/node/schedule/ControlFollower.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
@@ -23,7 +23,7 @@
  * Polls the control leader for the current control state on behalf of an entry or a scheduler, and searches for the leader
  * when it stops answering. All methods run on one control loop.
  */
-public final class ControlFollower {
+public final class ViewPoller {
     /** The interval between requests to the leader, in milliseconds; an eighth of the time in which an edit must take effect. */
     private static final long POLL_INTERVAL_MILLIS = 300;
 
@@ -48,7 +48,7 @@
     private final Map<String, ControlHost> controlHosts = new TreeMap<>();
     private final Map<Long, Moment> requestsSentAt = new HashMap<>();
     private final LeaderSearchOrder searchOrder = new LeaderSearchOrder();
-    private ConfirmedView view = ConfirmedView.NOTHING;
+    private ConfirmedView view = ConfirmedView.EMPTY;
     private String leader = "";
     private boolean leaderLost = true;
     private long nextNonce;
@@ -64,7 +64,7 @@
      * @param versionCounts the source of the answer counts that are sent with each request.
      * @param listener receives the view after each confirmation and each new catalogue.
      */
-    public ControlFollower(
+    public ViewPoller(
             ControlLoop loop,
             FleetLinks links,
             OperatorDialect dialect,
@@ -101,7 +101,7 @@
      *
      * @param answer the answer.
      */
-    public void onFollowed(FleetMessage.Followed answer) {
+    public void onViewResponse(FleetMessage.ViewResponse answer) {
         if (!answer.controlHosts().isEmpty() && answer.confirmed()) {
             controlHosts.clear();
         }
@@ -134,7 +134,7 @@
         if (document.revision() <= view.revision()) {
             return;
         }
-        Catalogue catalogue = dialect.catalogue(document.text().text());
+        Catalogue catalogue = dialect.decodeCatalogue(document.text().text());
         view = view.withCatalogue(catalogue);
         events.emit(
                 EventCode.CATALOGUE,
@@ -153,12 +153,12 @@
         }
     }
 
-    private void updateView(FleetMessage.Followed answer, Moment sentAt) {
+    private void updateView(FleetMessage.ViewResponse answer, Moment sentAt) {
         ConfirmedView next = view;
         if (answer.list().isPresent() && answer.list().get().isLaterThan(next.hosts())) {
             HostList hosts = answer.list().get();
             next = next.withHosts(hosts);
-            long leaving = hosts.upstreams().stream().filter(Upstream::leaving).count();
+            long leaving = hosts.upstreams().stream().filter(Upstream::draining).count();
             events.emit(
                     EventCode.HOST_LIST,
                     hosts.term(),
@@ -200,7 +200,7 @@
         if (overdue || leader.isEmpty()) {
             receivers.addAll(searchOrder.next(wantedAddresses()));
         }
-        List<FleetMessage.VersionCounts> counts = versionCounts.tallies();
+        List<FleetMessage.VersionCounts> counts = versionCounts.versionCounts();
         for (String address : receivers) {
             long nonce = ++nextNonce;
             requestsSentAt.put(nonce, now);
@@ -254,6 +254,6 @@
          *
          * @return the counts, one for each pool, version and route.
          */
-        List<FleetMessage.VersionCounts> tallies();
+        List<FleetMessage.VersionCounts> versionCounts();
     }
 }
--- a/node/src/main/java/org/radishspur/node/settings/FleetSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/PlatformProcessSettings.java
@@ -24,7 +24,7 @@
  * @param metricsAddress the address at which metrics are served, if they are.
  * @param bounds the bounds that the platform's users rely on, over all processes together.
  */
-public record FleetSettings(
+public record PlatformProcessSettings(
         String node,
         String failureDomain,
         HostPort peerAddress,
@@ -40,7 +40,7 @@
         Bounds bounds) {
 
     /** Creates the settings with a copy of the seeds. */
-    public FleetSettings {
+    public PlatformProcessSettings {
         seeds = List.copyOf(seeds);
     }
 
@@ -50,8 +50,8 @@
      * @param newSeeds the new seeds.
      * @return the changed settings.
      */
-    public FleetSettings withSeeds(List<HostPort> newSeeds) {
-        return new FleetSettings(
+    public PlatformProcessSettings withSeeds(List<HostPort> newSeeds) {
+        return new PlatformProcessSettings(
                 node,
                 failureDomain,
                 peerAddress,
@@ -70,21 +70,21 @@
     /**
      * Holds the bounds that the platform's users rely on.
      *
-     * @param revokeMillis the time after which a revoked key must be refused everywhere, in milliseconds.
-     * @param graceMillis the maximum duration of a shutdown, in milliseconds.
+     * @param revocationLimitMillis the time after which a revoked key must be refused everywhere, in milliseconds.
+     * @param plannedStopMillis the maximum duration of a shutdown, in milliseconds.
      * @param retryShare the maximum share of requests that may be retried at another upstream, from 0 to 1.
      * @param retrySlack the number of retries allowed beyond that share, at all entries together.
-     * @param greatestTrialShare the maximum share of requests that a version under trial may get, from 0 to 1.
-     * @param quota the tolerance by which quotas may be exceeded.
+     * @param maxTrialShare the maximum share of requests that a version under trial may get, from 0 to 1.
+     * @param quotaTolerance the tolerance by which quotas may be exceeded.
      * @param toleratedHostLosses the number of control hosts that may be lost at once, together with their disks.
      */
     public record Bounds(
-            long revokeMillis,
-            long graceMillis,
+            long revocationLimitMillis,
+            long plannedStopMillis,
             double retryShare,
             int retrySlack,
-            double greatestTrialShare,
-            QuotaLedger.Tolerance quota,
+            double maxTrialShare,
+            QuotaLedger.Tolerance quotaTolerance,
             int toleratedHostLosses) {
 
         /**
@@ -92,7 +92,7 @@
          *
          * @return the number of voters.
          */
-        public int voters() {
+        public int voterCount() {
             return 2 * toleratedHostLosses + 1;
         }
     }
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-import org.radishspur.node.log.PartLog;
+import org.radishspur.node.log.ComponentLog;
 
 /**
  * Starts children in order, restarts a failed child after a delay that doubles with each recent failure, and reports the
@@ -99,13 +99,13 @@
             supervised.failures.removeFirst();
         }
         if (supervised.failures.size() > MAXIMUM_FAILURES) {
-            PartLog.SUPERVISOR.error(
+            ComponentLog.SUPERVISOR.error(
                     name + " no longer restarts the repeatedly failed " + supervised.name + '.', cause);
             parent.onFailure(cause);
             return;
         }
         long delay = Math.min(MAXIMUM_DELAY_MILLIS, BASE_DELAY_MILLIS << supervised.failures.size());
-        PartLog.SUPERVISOR.warn(
+        ComponentLog.SUPERVISOR.warn(
                 name + " restarts " + supervised.name + " in " + delay + " ms: " + cause.getMessage() + '.');
         scheduler.schedule(() -> restart(supervised), delay);
     }
@@ -121,7 +121,7 @@
             try {
                 child.close();
             } catch (RuntimeException exception) {
-                PartLog.SUPERVISOR.error("Closing " + supervised.name + " failed.", exception);
+                ComponentLog.SUPERVISOR.error("Closing " + supervised.name + " failed.", exception);
             }
         }
     }
@@ -153,7 +153,7 @@
         /**
          * Runs actions on a thread of its own.
          */
-        final class ForThread implements Scheduler, AutoCloseable {
+        final class ThreadScheduler implements Scheduler, AutoCloseable {
             private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(action -> {
                 Thread thread = new Thread(action, "supervisor");
                 thread.setDaemon(true);
--- a/node/src/main/java/org/radishspur/node/transport/Listener.java
+++ b/node/src/main/java/org/radishspur/node/transport/ServerSocketBinder.java
@@ -14,7 +14,7 @@
 /**
  * Binds listening sockets and initialises each accepted connection.
  */
-public enum Listener {
+public enum ServerSocketBinder {
     /** The only instance; it keeps no state. */
     INSTANCE;
 
@@ -29,7 +29,7 @@
      * @param initializer adds the handlers to an accepted connection.
      * @return the listening channel, which stops listening when it is closed.
      */
-    public Channel listen(HostPort address, EventLoopGroup group, Consumer<SocketChannel> initializer) {
+    public Channel bind(HostPort address, EventLoopGroup group, Consumer<SocketChannel> initializer) {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -100,7 +100,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (listener != null) {
-            listener.onPause();
+            listener.onReadComplete();
         }
     }
 
@@ -119,7 +119,7 @@
             }
             reusable &= HttpUtil.isKeepAlive(response);
             maxIdleMillis = keepAliveMillis(response);
-            listener.onHead(response);
+            listener.onResponseHead(response);
         }
         if (part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
@@ -154,14 +154,14 @@
         } else {
             channel.close();
         }
-        receiver.onEnd();
+        receiver.onResponseComplete();
     }
 
     private void fail(Throwable cause) {
         UpstreamListener receiver = listener;
         listener = null;
         if (receiver != null) {
-            receiver.onBroken(cause);
+            receiver.onConnectionLost(cause);
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
@@ -18,7 +18,7 @@
      *
      * @param response the status and the headers.
      */
-    void onHead(HttpResponse response);
+    void onResponseHead(HttpResponse response);
 
     /**
      * Invoked for each part of the body.
@@ -28,15 +28,15 @@
     void onContent(ByteBuf content);
 
     /** Invoked when a read is complete: what it has received was passed on, and more is read only on request. */
-    void onPause();
+    void onReadComplete();
 
     /** Invoked when the response is complete. */
-    void onEnd();
+    void onResponseComplete();
 
     /**
      * Invoked when the connection was lost, or invalid bytes were received, before the response was complete.
      *
      * @param cause the failure.
      */
-    void onBroken(Throwable cause);
+    void onConnectionLost(Throwable cause);
 }
--- a/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
+++ b/node/src/test/java/org/radishspur/node/entry/EntryFixture.java
@@ -36,8 +36,8 @@
 import org.radishspur.node.fleet.Moment;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.schedule.ConfirmedView;
-import org.radishspur.node.settings.FleetSettings;
 import org.radishspur.node.settings.HostPort;
+import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.upstream.UpstreamExchange;
 import org.radishspur.node.upstream.UpstreamListener;
 
@@ -58,9 +58,9 @@
     private boolean connectsAutomatically = true;
 
     EntryFixture(RequestKind kind, boolean resumable, int upstreams) {
-        FleetSettings.Bounds bounds =
-                new FleetSettings.Bounds(5_000, 8_000, 0.2, 54, 0.1, QuotaLedger.Tolerance.NONE, 1);
-        FleetSettings settings = new FleetSettings(
+        PlatformProcessSettings.Bounds bounds =
+                new PlatformProcessSettings.Bounds(5_000, 8_000, 0.2, 54, 0.1, QuotaLedger.Tolerance.NONE, 1);
+        PlatformProcessSettings settings = new PlatformProcessSettings(
                 "entry",
                 "a",
                 UNUSED_ADDRESS,
@@ -95,7 +95,7 @@
                 true,
                 resumable);
         catalogue = new Catalogue(
-                1, List.of(route), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.STANDARD);
+                1, List.of(route), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.DEFAULTS);
         List<Upstream> listed = new ArrayList<>();
         for (int number = 0; number < upstreams; number++) {
             listed.add(new Upstream("u" + number, 1, "pool", "127.0.0.1:" + (number + 1), "a", "v1", 4, false, false));
@@ -203,20 +203,20 @@
         }
 
         void sendHead(int status) {
-            listener.onHead(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)));
+            listener.onResponseHead(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)));
         }
 
         void sendBody(String text) {
             listener.onContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            listener.onPause();
+            listener.onReadComplete();
         }
 
         void complete() {
-            listener.onEnd();
+            listener.onResponseComplete();
         }
 
         void loseConnection() {
-            listener.onBroken(new java.io.IOException("reset"));
+            listener.onConnectionLost(new java.io.IOException("reset"));
         }
 
         boolean isAborted() {
@@ -250,22 +250,22 @@
     private static final class FakeDialect implements CallerDialect {
         /** {@inheritDoc} */
         @Override
-        public RequestHead read(HttpRequest request) {
+        public RequestHead decodeHead(HttpRequest request) {
             return new RequestHead("request", "host", "/", Optional.empty(), DEADLINE_MILLIS, 100, 100, 100, -1, "", 0);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void prepare(HttpHeaders headers, Forward forward) {}
+        public void rewriteHeaders(HttpHeaders headers, ForwardParameters forward) {}
 
         /** {@inheritDoc} */
         @Override
-        public AnswerKind judge(HttpResponse response, String request) {
+        public ResponseKind classify(HttpResponse response, String request) {
             int status = response.status().code();
             if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()) {
-                return AnswerKind.NOT_RUN;
+                return ResponseKind.NOT_RUN;
             }
-            return status < HttpResponseStatus.BAD_REQUEST.code() ? AnswerKind.SUCCESS : AnswerKind.FAILURE;
+            return status < HttpResponseStatus.BAD_REQUEST.code() ? ResponseKind.SUCCESS : ResponseKind.FAILURE;
         }
     }
 }
--- a/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
@@ -15,10 +15,10 @@
         budgets.entries(entries);
         RetryBudget budget = budgets.forPool("pool");
         for (int request = 0; request < 10_000; request++) {
-            budget.requested();
+            budget.recordRequest();
         }
         int taken = 0;
-        while (budget.take()) {
+        while (budget.tryTake()) {
             taken++;
         }
         return taken;
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -30,8 +30,8 @@
 import org.radishspur.node.fleet.Moment;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.schedule.ConfirmedView;
-import org.radishspur.node.settings.FleetSettings;
 import org.radishspur.node.settings.HostPort;
+import org.radishspur.node.settings.PlatformProcessSettings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -50,7 +50,7 @@
     @BeforeEach
     void applyViewWithTwoSchedulers() {
         Catalogue catalogue = new Catalogue(
-                1, List.of(), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.STANDARD);
+                1, List.of(), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.DEFAULTS);
         client.onView(
                 new ConfirmedView(
                         Optional.of(catalogue),
@@ -68,10 +68,10 @@
         events.close();
     }
 
-    private static FleetSettings settings() {
-        FleetSettings.Bounds bounds =
-                new FleetSettings.Bounds(5_000, 8_000, 0.2, 54, 0.1, QuotaLedger.Tolerance.NONE, 1);
-        return new FleetSettings(
+    private static PlatformProcessSettings settings() {
+        PlatformProcessSettings.Bounds bounds =
+                new PlatformProcessSettings.Bounds(5_000, 8_000, 0.2, 54, 0.1, QuotaLedger.Tolerance.NONE, 1);
+        return new PlatformProcessSettings(
                 "entry",
                 "a",
                 SELF,
@@ -99,7 +99,7 @@
                 200,
                 400,
                 8_000,
-                new SlotRequest.Work(100, 20, 0, 0, "", 0),
+                new SlotRequest.ExpectedLoad(100, 20, 0, 0, "", 0),
                 List.of());
         UpstreamSlot slot = client.request(request, listener, now);
         client.send(slot, now);
@@ -121,7 +121,7 @@
             requestSlot(0);
             assertThat(links.sentTo(NEAR)).hasSize(2);
             assertThat(links.sentTo(NEAR).get(0)).isInstanceOf(FleetMessage.Attach.class);
-            assertThat(links.sentTo(NEAR).get(1)).isInstanceOf(FleetMessage.Ask.class);
+            assertThat(links.sentTo(NEAR).get(1)).isInstanceOf(FleetMessage.RequestSlot.class);
             assertThat(links.sentTo(FAR)).isEmpty();
         }
 
@@ -151,7 +151,7 @@
             reply(NEAR, slot, granted(UNLISTED), 1);
             assertThat(listener.granted).isEmpty();
             assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.UNUSED);
-            assertThat(links.lastAsk(NEAR).request().avoided()).containsExactly(UNLISTED.run());
+            assertThat(links.lastAsk(NEAR).request().avoidedRuns()).containsExactly(UNLISTED.runId());
         }
 
         @Test
@@ -182,7 +182,7 @@
         void sendsTheRequestToAnotherScheduler() {
             requestSlot(0);
             client.checkPending(AFTER_TIMEOUT_MILLIS);
-            assertThat(links.lastAsk(FAR).request().waitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
+            assertThat(links.lastAsk(FAR).request().maxWaitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
         }
 
         /** Guards against a scheduler that grants slots again which its newly attached entries hold already. */
@@ -287,10 +287,10 @@
             return sent.getOrDefault(address, List.of());
         }
 
-        FleetMessage.Ask lastAsk(String address) {
-            FleetMessage.Ask last = null;
+        FleetMessage.RequestSlot lastAsk(String address) {
+            FleetMessage.RequestSlot last = null;
             for (FleetMessage message : sentTo(address)) {
-                last = message instanceof FleetMessage.Ask ask ? ask : last;
+                last = message instanceof FleetMessage.RequestSlot ask ? ask : last;
             }
             return last;
         }
@@ -298,7 +298,7 @@
         List<SlotOutcome> outcomes(String address) {
             List<SlotOutcome> outcomes = new ArrayList<>();
             for (FleetMessage message : sentTo(address)) {
-                if (message instanceof FleetMessage.Report report
+                if (message instanceof FleetMessage.ReportSlot report
                         && report.report() instanceof SlotReport.Ended ended) {
                     outcomes.add(ended.outcome());
                 }
@@ -320,11 +320,11 @@
 
         /** {@inheritDoc} */
         @Override
-        public void attend(String address) {}
+        public void setWatchedAddress(String address) {}
 
         /** {@inheritDoc} */
         @Override
-        public int connection(String address) {
+        public int connectionCount(String address) {
             return connected.getOrDefault(address, 0);
         }
     }
--- a/node/src/test/java/org/radishspur/node/log/EventLogTest.java
+++ b/node/src/test/java/org/radishspur/node/log/EventLogTest.java
@@ -27,7 +27,7 @@
     @Test
     void writesOneJsonObjectPerLine() {
         try (EventLog log = new EventLog("node-1", new PrintStream(out))) {
-            log.emitFor(EventCode.RETRIED, "r1", "not-run", "i-1", 2, 30L);
+            log.emitForRequest(EventCode.RETRIED, "r1", "not-run", "i-1", 2, 30L);
         }
         assertThat(lines())
                 .singleElement()
@@ -46,7 +46,7 @@
         void suppressesRequestEventsAboveTheRateLimitAndKeepsProcessEvents() {
             try (EventLog log = new EventLog("node-1", new PrintStream(out))) {
                 for (int count = 0; count < 20_000; count++) {
-                    log.emitFor(EventCode.LEFT, "r" + count, "i-1", 5L);
+                    log.emitForRequest(EventCode.LEFT, "r" + count, "i-1", 5L);
                 }
                 log.emit(EventCode.CONTROL, "lost", "leader", 600L);
             }
--- a/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
@@ -38,12 +38,12 @@
             new RecordingFleetSender(), pools, new QuotaLedger(QuotaLedger.Tolerance.NONE), "self/1");
 
     private UpstreamLoad engine() {
-        return pools.dispatcher("pool").upstreams().find(ENGINE.run()).orElseThrow();
+        return pools.dispatcher("pool").upstreams().find(ENGINE.runId()).orElseThrow();
     }
 
     private void applyView(int others) {
         Catalogue catalogue = new Catalogue(
-                1, List.of(), List.of(new PoolRule("pool", 10, 9, true)), List.of(), CallerLimits.STANDARD);
+                1, List.of(), List.of(new PoolRule("pool", 10, 9, true)), List.of(), CallerLimits.DEFAULTS);
         List<String> peers =
                 IntStream.range(0, others).mapToObj(number -> "other-" + number).toList();
         pools.apply(
@@ -62,7 +62,7 @@
 
     private static FleetMessage.LoadReport report(boolean full, int inProgress) {
         return new FleetMessage.LoadReport(
-                "other-0/1", full, new int[] {ENGINE.run().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
+                "other-0/1", full, new int[] {ENGINE.runId().hashCode()}, new int[] {inProgress, 0, 0, 0, 0}, Map.of());
     }
 
     @Nested
@@ -73,7 +73,7 @@
         void staysWithinTheMessageLimitForAnyNumberOfPeers(int others) {
             applyView(others);
             for (long now = 0; now < 10_000; now += TICK_MILLIS) {
-                engine().began(now, 0, now);
+                engine().recordSent(now, 0, now);
                 exchange.publishIfDue(now);
             }
             assertThat(messageCount).isLessThanOrEqualTo(10 * 200 + others);
@@ -85,7 +85,7 @@
         void publishesAChangeWithinOneRound(int others) {
             applyView(others);
             exchange.publishIfDue(0);
-            engine().began("request", 0, 1);
+            engine().recordSent("request", 0, 1);
             long publishedAt = 0;
             for (long now = TICK_MILLIS; publishedAt == 0; now += TICK_MILLIS) {
                 exchange.publishIfDue(now);
@@ -161,11 +161,11 @@
 
         /** {@inheritDoc} */
         @Override
-        public void attend(String address) {}
+        public void setWatchedAddress(String address) {}
 
         /** {@inheritDoc} */
         @Override
-        public int connection(String address) {
+        public int connectionCount(String address) {
             return 1;
         }
     }
--- a/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
@@ -26,7 +26,7 @@
 
 class PoolSetTest {
     private static final Catalogue CATALOGUE =
-            new Catalogue(1, List.of(), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.STANDARD);
+            new Catalogue(1, List.of(), List.of(new PoolRule("pool", 10, 4, true)), List.of(), CallerLimits.DEFAULTS);
 
     private static final int COLD_PER_SECOND = 10;
 
@@ -66,7 +66,7 @@
         PoolRule rule = new PoolRule("pool", 10, 4, true).withColdStart(new ColdStart(3_000, COLD_PER_SECOND));
         scheduler.apply(
                 new ConfirmedView(
-                        Optional.of(new Catalogue(1, List.of(), List.of(rule), List.of(), CallerLimits.STANDARD)),
+                        Optional.of(new Catalogue(1, List.of(), List.of(rule), List.of(), CallerLimits.DEFAULTS)),
                         new HostList(1, 1, cold),
                         List.of(),
                         0,
@@ -79,10 +79,15 @@
         for (long now = 0; now < 1_000; now += 5) {
             long at = now;
             QueuedRequest queued = new QueuedRequest(
-                    "r", 0, at, at, VersionRule.Any.INSTANCE, new QueuedRequest.Work(0, 0, 0, at + 400, at + 3_000));
+                    "r",
+                    0,
+                    at,
+                    at,
+                    VersionRule.Any.INSTANCE,
+                    new QueuedRequest.Requirements(0, 0, 0, at + 400, at + 3_000));
             scheduler.dispatcher("pool").upstreams().choose(queued, 0, at).ifPresent(load -> {
-                load.began(queued, 0, at);
-                load.ended(queued);
+                load.recordSent(queued, 0, at);
+                load.recordEnd(queued);
                 upstreamIds.add(load.upstream().id());
             });
         }
@@ -109,7 +114,7 @@
     private long countAllowed(String version, int requests) {
         long count = 0;
         for (int index = 0; index < requests; index++) {
-            VersionRule rule = pools.versions("pool", true);
+            VersionRule rule = pools.versionRule("pool", true);
             count += rule.allows(version) ? 1 : 0;
         }
         return count;
@@ -124,7 +129,7 @@
     @Test
     void sendsNoRetryToAVersionUnderTrial() {
         applyView(RolloutStage.RUNNING, "v1", "v2");
-        assertThat(pools.versions("pool", false).allows("v2")).isFalse();
+        assertThat(pools.versionRule("pool", false).allows("v2")).isFalse();
     }
 
     @Test
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -17,7 +17,7 @@
 import org.radishspur.replication.raft.RaftCore;
 import org.radishspur.replication.raft.RaftMessage;
 import org.radishspur.replication.raft.RaftOptions;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.Role;
 import org.radishspur.replication.raft.Snapshot;
 import org.radishspur.replication.raft.WriteBatch;
@@ -50,7 +50,7 @@
      * @param environment the network, the disk, the listener and the random numbers that the replica uses.
      * @param now the time of the monotonic clock, in milliseconds.
      */
-    public ControlReplica(Options options, String self, Recovered recovered, Surroundings environment, long now) {
+    public ControlReplica(Options options, String self, RecoveredState recovered, Environment environment, long now) {
         this.options = options;
         this.core = new RaftCore(options.raft(), self, recovered, environment.random(), now);
         this.state = new ControlState(options.state());
@@ -89,14 +89,17 @@
      * @param listener receives the outcome, exactly once.
      * @param now the time of the monotonic clock, in milliseconds.
      */
-    public void propose(ControlCommand command, Proposal.Listener listener, long now) {
+    public void propose(ControlCommand command, ProposalOutcome.Listener listener, long now) {
         if (pending.size() >= options.maximumPending() || !writer.hasSpace()) {
-            listener.onEnd(core.role() == Role.LEADER ? new Proposal.Busy() : new Proposal.NotLeader(core.leader()));
+            listener.onOutcome(
+                    core.role() == Role.LEADER
+                            ? new ProposalOutcome.Busy()
+                            : new ProposalOutcome.NotLeader(core.leader()));
             return;
         }
         OptionalLong index = core.propose(MessagePack.INSTANCE.encode(command, ControlCommand.class), now);
         if (index.isEmpty()) {
-            listener.onEnd(new Proposal.NotLeader(core.leader()));
+            listener.onOutcome(new ProposalOutcome.NotLeader(core.leader()));
             return;
         }
         pending.put(index.getAsLong(), new PendingProposal(core.term(), listener));
@@ -125,9 +128,9 @@
      * @param now the time of the monotonic clock, in milliseconds.
      */
     public void flush(long now) {
-        Effects effects = core.drain();
+        Effects effects = core.takeEffects();
         effects.immediate().forEach(outbound -> network.send(outbound.to(), outbound.message()));
-        effects.installed().ifPresent(snapshot -> {
+        effects.installedSnapshot().ifPresent(snapshot -> {
             state.restore(snapshot.state());
             lastApplied = snapshot.lastIndex();
             appliedListener.onApplied(state);
@@ -136,7 +139,7 @@
             writer.write(effects.write(), writtenAt -> {
                 effects.afterWrite().forEach(outbound -> network.send(outbound.to(), outbound.message()));
                 if (!effects.write().isEmpty()) {
-                    core.persisted(effects.write(), now, writtenAt);
+                    core.onWritePersisted(effects.write(), now, writtenAt);
                 }
             });
         }
@@ -155,7 +158,7 @@
     }
 
     /**
-     * Returns the state machine. It may be stale unless {@link RaftCore#mayRead} confirms that it can be read.
+     * Returns the state machine. It may be stale unless {@link RaftCore#mayServeLeaseRead} confirms that it can be read.
      *
      * @return the state machine.
      */
@@ -173,10 +176,10 @@
                 PendingProposal proposal = pending.remove(entry.index());
                 if (proposal != null) {
                     proposal.listener()
-                            .onEnd(
+                            .onOutcome(
                                     proposal.term() == entry.term()
-                                            ? new Proposal.Committed(answer)
-                                            : new Proposal.InDoubt());
+                                            ? new ProposalOutcome.Committed(answer)
+                                            : new ProposalOutcome.InDoubt());
                 }
                 changed = true;
             }
@@ -190,7 +193,7 @@
         if (core.role() != Role.LEADER && !pending.isEmpty()) {
             List<PendingProposal> failed = new ArrayList<>(pending.values());
             pending.clear();
-            failed.forEach(each -> each.listener().onEnd(new Proposal.InDoubt()));
+            failed.forEach(each -> each.listener().onOutcome(new ProposalOutcome.InDoubt()));
         }
     }
 
@@ -207,7 +210,7 @@
         }
         appliedSinceSnapshot = 0;
         snapshotInProgress = true;
-        Snapshot metadata = core.describe(lastApplied);
+        Snapshot metadata = core.snapshotWithoutState(lastApplied);
         ControlState.Image image = state.image();
         writer.stage(() -> metadata.withState(image.encode()), snapshot -> {
             snapshotInProgress = false;
@@ -227,12 +230,12 @@
         Configuration current = core.configuration();
         if (!current.retiring().isEmpty()) {
             core.proposeConfiguration(
-                    current.without(current.retiring().iterator().next()));
+                    current.withoutReplica(current.retiring().iterator().next()));
             return;
         }
         for (Map.Entry<String, String> learner : current.learners().entrySet()) {
             if (core.isCaughtUp(learner.getKey())) {
-                core.proposeConfiguration(current.withPromoted(learner.getKey()));
+                core.proposeConfiguration(current.withLearnerPromoted(learner.getKey()));
                 return;
             }
         }
@@ -246,7 +249,7 @@
      * @param appliedListener is notified of every change of the state.
      * @param random the source of random numbers.
      */
-    public record Surroundings(
+    public record Environment(
             Network network, Writer writer, AppliedListener appliedListener, RandomGenerator random) {}
 
     /**
@@ -321,5 +324,5 @@
      * @param term the term in which the proposal was appended to the log.
      * @param listener receives the outcome.
      */
-    private record PendingProposal(long term, Proposal.Listener listener) {}
+    private record PendingProposal(long term, ProposalOutcome.Listener listener) {}
 }
--- a/replication/src/main/java/org/radishspur/replication/control/Proposal.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ProposalOutcome.java
@@ -5,33 +5,33 @@
 /**
  * Holds the outcome of a proposed command.
  */
-public sealed interface Proposal {
+public sealed interface ProposalOutcome {
 
     /**
      * Reports that the command is committed and applied.
      *
      * @param answer the result that the state machine returned.
      */
-    record Committed(ControlAnswer answer) implements Proposal {}
+    record Committed(ControlAnswer answer) implements ProposalOutcome {}
 
     /**
      * Reports that the command was not appended to the log, because this replica isn't the leader.
      *
      * @param leader the identity of the leader, or an empty text if it is unknown.
      */
-    record NotLeader(String leader) implements Proposal {}
+    record NotLeader(String leader) implements ProposalOutcome {}
 
     /**
      * Reports that this replica lost the leadership before it knew the command to be committed, so that the command may or
      * may not be committed.
      */
-    record InDoubt() implements Proposal {}
+    record InDoubt() implements ProposalOutcome {}
 
     /**
      * Reports that the command was not appended to the log, because too many proposals are pending or the disk is nearly
      * full.
      */
-    record Busy() implements Proposal {}
+    record Busy() implements ProposalOutcome {}
 
     /**
      * Receives the outcome of a proposal, on the control thread.
@@ -42,6 +42,6 @@
          *
          * @param proposal the outcome of the command.
          */
-        void onEnd(Proposal proposal);
+        void onOutcome(ProposalOutcome proposal);
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -19,7 +19,7 @@
 import org.radishspur.replication.raft.Disk;
 import org.radishspur.replication.raft.HardState;
 import org.radishspur.replication.raft.LogEntry;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.Snapshot;
 import org.radishspur.replication.raft.WriteBatch;
 
@@ -65,7 +65,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public Recovered recover() {
+    public RecoveredState recover() {
         try {
             Replay replay = new Replay(Snapshot.initial(Configuration.ofVoters(identity.initialVoters())));
             List<Path> files = folder.list(JOURNAL_PREFIX);
@@ -118,7 +118,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void stage(Snapshot snapshot) {
+    public void prepareSnapshot(Snapshot snapshot) {
         try {
             writeSnapshot(snapshot);
             stagedSnapshots.add(snapshot.lastIndex());
@@ -299,7 +299,7 @@
                     : new ArrayList<>();
         }
 
-        Recovered finish() throws IOException {
+        RecoveredState finish() throws IOException {
             if (snapshotIndex > 0) {
                 baseSnapshot = readSnapshot(snapshotIndex);
             }
@@ -314,7 +314,7 @@
                                     + following.get(offset).index());
                 }
             }
-            return new Recovered(hardState, baseSnapshot, following);
+            return new RecoveredState(hardState, baseSnapshot, following);
         }
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/Configuration.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Configuration.java
@@ -73,7 +73,7 @@
      * @param learner the identity of the learner.
      * @return the new configuration.
      */
-    public Configuration withPromoted(String learner) {
+    public Configuration withLearnerPromoted(String learner) {
         Map<String, String> remainingLearners = new TreeMap<>(learners);
         String replaced = remainingLearners.remove(learner);
         Set<String> newVoters = new TreeSet<>(voters);
@@ -91,7 +91,7 @@
      * @param replica the identity of the replica to remove.
      * @return the new configuration.
      */
-    public Configuration without(String replica) {
+    public Configuration withoutReplica(String replica) {
         Set<String> remainingVoters = new TreeSet<>(voters);
         remainingVoters.remove(replica);
         Map<String, String> remainingLearners = new TreeMap<>(learners);
--- a/replication/src/main/java/org/radishspur/replication/raft/Disk.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Disk.java
@@ -11,7 +11,7 @@
      *
      * @return the state to start from.
      */
-    Recovered recover();
+    RecoveredState recover();
 
     /**
      * Writes a batch and makes it durable.
@@ -26,7 +26,7 @@
      *
      * @param snapshot the snapshot to store.
      */
-    void stage(Snapshot snapshot);
+    void prepareSnapshot(Snapshot snapshot);
 
     /** {@inheritDoc} */
     @Override
--- a/replication/src/main/java/org/radishspur/replication/raft/LogEntry.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/LogEntry.java
@@ -24,7 +24,7 @@
          *
          * @param configuration the new configuration.
          */
-        record Membership(Configuration configuration) implements Payload {}
+        record ConfigurationChange(Configuration configuration) implements Payload {}
 
         /**
          * Contains one command for the state machine.
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -75,7 +75,7 @@
      * @param random the source of randomness for election timeouts.
      * @param now the monotonic clock in milliseconds.
      */
-    public RaftCore(RaftOptions options, String self, Recovered recovered, RandomGenerator random, long now) {
+    public RaftCore(RaftOptions options, String self, RecoveredState recovered, RandomGenerator random, long now) {
         this.options = options;
         this.self = self;
         this.random = random;
@@ -172,7 +172,7 @@
         if (role != Role.LEADER || transferring || !changeAllowed) {
             return OptionalLong.empty();
         }
-        long index = appendAsLeader(new Payload.Membership(configuration));
+        long index = appendAsLeader(new Payload.ConfigurationChange(configuration));
         configuration.voters().forEach(this::progressOf);
         configuration.learners().keySet().forEach(this::progressOf);
         return OptionalLong.of(index);
@@ -185,7 +185,7 @@
      * @param startedAt the monotonic clock in milliseconds when the write was started.
      * @param now the monotonic clock in milliseconds.
      */
-    public void persisted(WriteBatch batch, long startedAt, long now) {
+    public void onWritePersisted(WriteBatch batch, long startedAt, long now) {
         writeTimeEstimate.recordWrite(now - startedAt);
         batch.hardState().filter(hardState::equals).ifPresent(durable -> onHardStateDurable(now));
         if (!batch.entries().isEmpty()) {
@@ -206,7 +206,7 @@
      * @param index the index of the last applied entry that the snapshot covers.
      * @return the snapshot with an empty state.
      */
-    public Snapshot describe(long index) {
+    public Snapshot snapshotWithoutState(long index) {
         return new Snapshot(index, log.termAt(index), log.configurationAt(index), new byte[0]);
     }
 
@@ -254,7 +254,7 @@
      *
      * @return the effects, which the caller must carry out.
      */
-    public Effects drain() {
+    public Effects takeEffects() {
         if (role == Role.LEADER) {
             replicate();
         }
@@ -287,7 +287,7 @@
      * @param now the monotonic clock in milliseconds.
      * @return whether a read is linearizable now.
      */
-    public boolean mayRead(long now) {
+    public boolean mayServeLeaseRead(long now) {
         return role == Role.LEADER && !transferring && appliedIndex >= firstIndexAsLeader && now < leaseEnd();
     }
 
@@ -303,7 +303,7 @@
      * @param since the monotonic clock in milliseconds when the read began.
      * @return whether the read may be served.
      */
-    public boolean confirmedSince(long since) {
+    public boolean leadershipConfirmedSince(long since) {
         return role == Role.LEADER
                 && !transferring
                 && appliedIndex >= firstIndexAsLeader
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
@@ -62,7 +62,7 @@
                     "can't append entry " + entry.index() + " to a log that ends at " + lastIndex());
         }
         entries.add(entry);
-        if (entry.payload() instanceof LogEntry.Payload.Membership membership) {
+        if (entry.payload() instanceof LogEntry.Payload.ConfigurationChange membership) {
             configurations.put(entry.index(), membership.configuration());
         }
     }
--- a/replication/src/main/java/org/radishspur/replication/raft/Recovered.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RecoveredState.java
@@ -9,4 +9,4 @@
  * @param snapshot the latest snapshot, or the initial one where none was written.
  * @param entries the entries that follow the snapshot, without gaps.
  */
-public record Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {}
+public record RecoveredState(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {}
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimAnswer.java
@@ -11,7 +11,7 @@
     @JsonSubTypes.Type(value = ClaimAnswer.Granted.class, name = "granted"),
     @JsonSubTypes.Type(value = ClaimAnswer.Held.class, name = "held"),
     @JsonSubTypes.Type(value = ClaimAnswer.Finished.class, name = "finished"),
-    @JsonSubTypes.Type(value = ClaimAnswer.Reused.class, name = "reused"),
+    @JsonSubTypes.Type(value = ClaimAnswer.KeyReused.class, name = "reused"),
     @JsonSubTypes.Type(value = ClaimAnswer.Withdrawn.class, name = "withdrawn")
 })
 public sealed interface ClaimAnswer {
@@ -38,7 +38,7 @@
     /**
      * Refuses the claim because the key was used for a request with different content.
      */
-    record Reused() implements ClaimAnswer {}
+    record KeyReused() implements ClaimAnswer {}
 
     /**
      * Refuses the claim because the same attempt has already released it.
--- a/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ClaimTable.java
@@ -55,7 +55,7 @@
             return current.holder().equals(command.holder()) ? new ClaimAnswer.Withdrawn() : grant(command);
         }
         if (!current.fingerprint().equals(command.fingerprint())) {
-            return new ClaimAnswer.Reused();
+            return new ClaimAnswer.KeyReused();
         }
         if (current.state() == State.FINISHED) {
             return new ClaimAnswer.Finished(current.answer());
@@ -177,7 +177,7 @@
      *
      * @return the number of claims by the name of the state.
      */
-    public Map<String, Integer> counts() {
+    public Map<String, Integer> countsByState() {
         Map<String, Integer> counts = new java.util.TreeMap<>();
         claims.values().forEach(claim -> counts.merge(claim.state().name(), 1, Integer::sum));
         return counts;
--- a/replication/src/main/java/org/radishspur/replication/state/ControlAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlAnswer.java
@@ -9,8 +9,8 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = ControlAnswer.OfEdit.class, name = "edit"),
-    @JsonSubTypes.Type(value = ControlAnswer.OfClaim.class, name = "claim"),
+    @JsonSubTypes.Type(value = ControlAnswer.EditResult.class, name = "edit"),
+    @JsonSubTypes.Type(value = ControlAnswer.ClaimResult.class, name = "claim"),
     @JsonSubTypes.Type(value = ControlAnswer.Done.class, name = "done")
 })
 public sealed interface ControlAnswer {
@@ -20,14 +20,14 @@
      *
      * @param answer the answer.
      */
-    record OfEdit(EditAnswer answer) implements ControlAnswer {}
+    record EditResult(EditAnswer answer) implements ControlAnswer {}
 
     /**
      * Contains the answer to a claim.
      *
      * @param answer the answer.
      */
-    record OfClaim(ClaimAnswer answer) implements ControlAnswer {}
+    record ClaimResult(ClaimAnswer answer) implements ControlAnswer {}
 
     /**
      * Confirms a command that has no result.
--- a/replication/src/main/java/org/radishspur/replication/state/ControlState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlState.java
@@ -17,7 +17,7 @@
     private SuspectTable suspects;
     private MoveTable moves;
     private CatalogueState catalogue;
-    private long auxiliaryChanges;
+    private long nonClaimChangeCount;
 
     /**
      * Creates the state before the first command.
@@ -41,26 +41,26 @@
      */
     public ControlAnswer apply(ControlCommand command) {
         if (command instanceof ControlCommand.ApplyEdit edit) {
-            return new ControlAnswer.OfEdit(applyEdit(edit));
+            return new ControlAnswer.EditResult(applyEdit(edit));
         } else if (command instanceof ControlCommand.Claim claim) {
-            return new ControlAnswer.OfClaim(claims.claim(claim));
+            return new ControlAnswer.ClaimResult(claims.claim(claim));
         } else if (command instanceof ControlCommand.FinishClaim finish) {
             claims.finish(finish);
         } else if (command instanceof ControlCommand.ReleaseClaim release) {
             claims.release(release);
         } else if (command instanceof ControlCommand.ReportCrash crash) {
             suspects.report(crash);
-            auxiliaryChanges++;
+            nonClaimChangeCount++;
         } else if (command instanceof ControlCommand.ClearSuspect clear) {
             suspects.clear(clear);
-            auxiliaryChanges++;
+            nonClaimChangeCount++;
         } else if (command instanceof ControlCommand.CatalogueCommand change) {
             change.applyTo(catalogue);
-            auxiliaryChanges++;
+            nonClaimChangeCount++;
         }
         if (command instanceof ControlCommand.ChangeMove change) {
             moves.change(change.proposal(), change.atMillis());
-            auxiliaryChanges++;
+            nonClaimChangeCount++;
         }
         return new ControlAnswer.Done();
     }
@@ -70,7 +70,7 @@
         EditAnswer answer = tables.apply(edit.edit(), edit.atMillis());
         if (tables.tables().revision() > before.revision()) {
             moves.onEdit(before, tables.tables(), edit.atMillis());
-            auxiliaryChanges++;
+            nonClaimChangeCount++;
         }
         return answer;
     }
@@ -81,8 +81,8 @@
      *
      * @return the number of such commands and of restored snapshots since this object was created.
      */
-    public long auxiliaryChanges() {
-        return auxiliaryChanges;
+    public long nonClaimChangeCount() {
+        return nonClaimChangeCount;
     }
 
     /**
@@ -109,7 +109,7 @@
      * @param bytes the encoded state, or an empty array for the state before the first command.
      */
     public void restore(byte[] bytes) {
-        auxiliaryChanges++;
+        nonClaimChangeCount++;
         if (bytes.length == 0) {
             tables = new TablesState();
             claims = new ClaimTable(options.claimKeepMillis());
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -9,7 +9,7 @@
 import org.radishspur.decision.move.Move;
 import org.radishspur.decision.move.MoveDriver;
 import org.radishspur.decision.move.MoveState;
-import org.radishspur.decision.move.TakeBackReason;
+import org.radishspur.decision.move.RollbackReason;
 import org.radishspur.decision.move.VersionSplit;
 import org.radishspur.model.table.Revisioned;
 import org.radishspur.model.table.RouteRow;
@@ -71,7 +71,7 @@
                 || current.state().isFinal()) {
             return;
         }
-        boolean matches = current.state() == proposal.seenState() && current.stage() == proposal.seenStage();
+        boolean matches = current.state() == proposal.expectedState() && current.stage() == proposal.expectedStage();
         if (matches || proposal.state() == MoveState.TAKEN_BACK) {
             latest.put(current.route(), current.with(proposal.state(), proposal.stage(), proposal.reason(), now));
         }
@@ -102,7 +102,7 @@
      * @param moves the latest move of each route.
      * @return the splits by route; a route without a version is left out.
      */
-    public static Map<String, VersionSplit> splits(Tables tables, Map<String, Move> moves) {
+    public static Map<String, VersionSplit> versionSplits(Tables tables, Map<String, Move> moves) {
         Map<String, VersionSplit> splits = new TreeMap<>();
         for (Revisioned<RouteRow> route : tables.routes().values()) {
             RouteRow row = route.row();
@@ -122,7 +122,7 @@
 
     private void onRouteEdit(RouteRow old, RouteRow row, long revision, long now) {
         Move current = latest.get(row.name());
-        String currentVersion = current == null ? old.version() : current.settledVersion();
+        String currentVersion = current == null ? old.version() : current.finalVersion();
         boolean unchanged = row.version().equals(old.version()) && row.completeByMillis() == old.completeByMillis();
         if (unchanged) {
             return;
@@ -133,7 +133,7 @@
                 return;
             }
             boolean reverts = row.version().equals(current.from());
-            TakeBackReason reason = reverts ? TakeBackReason.BY_OPERATOR : TakeBackReason.SUPERSEDED;
+            RollbackReason reason = reverts ? RollbackReason.BY_OPERATOR : RollbackReason.SUPERSEDED;
             latest.put(row.name(), current.with(MoveState.TAKEN_BACK, current.stage(), reason, now));
             if (reverts) {
                 return;
--- a/replication/src/main/java/org/radishspur/replication/state/StoredAnswer.java
+++ b/replication/src/main/java/org/radishspur/replication/state/StoredAnswer.java
@@ -8,9 +8,9 @@
  * @param status the HTTP status, or 0 where it is unknown whether the request ran.
  * @param contentType the content type of the body, or an empty string.
  * @param body the complete body, or an empty array where it isn't stored.
- * @param whole whether the body is stored; a body that was too large isn't.
+ * @param bodyStored whether the body is stored; a body that was too large isn't.
  */
-public record StoredAnswer(int status, String contentType, byte[] body, boolean whole) {
+public record StoredAnswer(int status, String contentType, byte[] body, boolean bodyStored) {
     private static final int UNKNOWN_STATUS = 0;
 
     /**
--- a/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/SuspectTable.java
@@ -71,7 +71,7 @@
      * @param pool the pool.
      * @return the number of crashes by fingerprint.
      */
-    public Map<String, Integer> crashes(String pool) {
+    public Map<String, Integer> crashCounts(String pool) {
         Map<String, Integer> counts = new TreeMap<>();
         for (Suspect suspect : suspects.values()) {
             if (suspect.pool().equals(pool)) {
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -87,7 +87,7 @@
      * @return the changes since that revision, or the complete tables where some of these changes aren't stored any
      *     more.
      */
-    public TablesDelta since(long revision) {
+    public TablesDelta deltaSince(long revision) {
         boolean covered = !history.isEmpty() && history.peekFirst().revision() <= revision + 1;
         if (revision <= 0 || revision > tables.revision() || !covered) {
             return TablesDelta.ofAll(tables);
@@ -233,7 +233,7 @@
      *
      * @return the answers by the identity of the edit, oldest first.
      */
-    public Map<String, EditAnswer> rememberedAnswers() {
+    public Map<String, EditAnswer> storedAnswers() {
         Map<String, EditAnswer> copy = new LinkedHashMap<>();
         answers.forEach((changeId, answer) -> copy.put(changeId, answer.answer()));
         return copy;
--- a/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
+++ b/replication/src/test/java/org/radishspur/replication/codec/MessagePackTest.java
@@ -55,7 +55,10 @@
                     List.of(
                             new LogEntry(3, 3, new LogEntry.Payload.Empty()),
                             new LogEntry(
-                                    4, 3, new LogEntry.Payload.Membership(Configuration.ofVoters(Set.of("a", "b"))))),
+                                    4,
+                                    3,
+                                    new LogEntry.Payload.ConfigurationChange(
+                                            Configuration.ofVoters(Set.of("a", "b"))))),
                     2,
                     9);
             byte[] bytes = MessagePack.INSTANCE.encode(message, RaftMessage.class);
--- a/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
+++ b/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
@@ -19,7 +19,7 @@
 import org.radishspur.replication.raft.HardState;
 import org.radishspur.replication.raft.LogEntry;
 import org.radishspur.replication.raft.LogEntry.Payload;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.Snapshot;
 import org.radishspur.replication.raft.WriteBatch;
 
@@ -66,7 +66,7 @@
         }
     }
 
-    private Recovered recover() {
+    private RecoveredState recover() {
         try (FileDisk disk = open()) {
             return disk.recover();
         }
@@ -89,7 +89,7 @@
         @Test
         void writtenEntriesAndElectionStateAreRecovered() {
             write(vote(3, "b"), entries(3, 1, 5));
-            Recovered recovered = recover();
+            RecoveredState recovered = recover();
             assertThat(recovered.hardState()).isEqualTo(new HardState(3, "b"));
             assertThat(recovered.entries()).extracting(LogEntry::index).containsExactly(1L, 2L, 3L, 4L, 5L);
         }
