--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -22,7 +22,11 @@
 
     private static RaftCore core(HardState hardState, List<LogEntry> entries) {
         return new RaftCore(
-                OPTIONS, "a", new Recovered(hardState, Snapshot.initial(THREE_VOTERS), entries), new Random(1), START);
+                OPTIONS,
+                "a",
+                new RecoveredState(hardState, Snapshot.initial(THREE_VOTERS), entries),
+                new Random(1),
+                START);
     }
 
     private static LogEntry entry(long index, long term) {
@@ -33,9 +37,9 @@
     private static RaftCore electedLeader(HardState hardState, List<LogEntry> entries) {
         RaftCore core = core(hardState, entries);
         core.tick(LATER);
-        core.drain();
+        core.takeEffects();
         core.receive("b", new RaftMessage.VoteReply(hardState.term() + 1, true, true), LATER);
-        core.persisted(core.drain().write(), LATER, LATER);
+        core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
         core.receive("b", new RaftMessage.VoteReply(hardState.term() + 1, false, true), LATER);
         assertThat(core.role()).isEqualTo(Role.LEADER);
         return core;
@@ -54,7 +58,7 @@
         void aVoteIsWrittenBeforeItIsSent() {
             RaftCore core = core(new HardState(5, ""), List.of());
             core.receive("b", request, LATER);
-            Effects effects = core.drain();
+            Effects effects = core.takeEffects();
             assertThat(effects.write().hardState()).isEqualTo(Optional.of(new HardState(6, "b")));
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
@@ -65,7 +69,7 @@
         void aSecondCandidateOfTheSameTermIsRefused() {
             RaftCore core = core(new HardState(6, "c"), List.of());
             core.receive("b", request, LATER);
-            assertThat(core.drain().afterWrite())
+            assertThat(core.takeEffects().afterWrite())
                     .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
 
@@ -74,7 +78,7 @@
         void aReplicaThatHasJustRestartedGivesNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
             core.receive("b", request, START + OPTIONS.leaseMillis());
-            assertThat(core.drain().write().hardState()).isEmpty();
+            assertThat(core.takeEffects().write().hardState()).isEmpty();
             assertThat(core.term()).isEqualTo(5);
         }
 
@@ -82,7 +86,7 @@
         void aFollowerOfALiveLeaderGivesNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
             core.receive("c", new RaftMessage.AppendRequest(5, 0, 0, List.of(), 0, 1), LATER);
-            core.drain();
+            core.takeEffects();
             core.receive("b", request, LATER + OPTIONS.leaseMillis());
             assertThat(core.term()).isEqualTo(5);
         }
@@ -91,7 +95,7 @@
         void aCandidateWithAnOlderLogIsRefused() {
             RaftCore core = core(new HardState(5, ""), List.of(entry(1, 5)));
             core.receive("b", request, LATER);
-            assertThat(core.drain().afterWrite())
+            assertThat(core.takeEffects().afterWrite())
                     .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.VoteReply(6, false, false)));
         }
     }
@@ -103,7 +107,7 @@
         private List<RaftMessage> immediateRepliesToHeartbeat(long previousIndex, long previousTerm) {
             follower.receive(
                     "b", new RaftMessage.AppendRequest(5, previousIndex, previousTerm, List.of(), 0, LATER), LATER);
-            return follower.drain().immediate().stream()
+            return follower.takeEffects().immediate().stream()
                     .map(Effects.OutboundMessage::message)
                     .toList();
         }
@@ -118,10 +122,10 @@
         @Test
         void anEntryThatIsStillBeingWrittenIsNotAcknowledged() {
             follower.receive("b", new RaftMessage.AppendRequest(5, 3, 4, List.of(entry(4, 5)), 0, LATER), LATER);
-            WriteBatch batch = follower.drain().write();
+            WriteBatch batch = follower.takeEffects().write();
             assertThat(immediateRepliesToHeartbeat(4, 5))
                     .containsExactly(new RaftMessage.AppendReply(5, true, 3, LATER));
-            follower.persisted(batch, LATER, LATER);
+            follower.onWritePersisted(batch, LATER, LATER);
             assertThat(immediateRepliesToHeartbeat(4, 5))
                     .containsExactly(new RaftMessage.AppendReply(5, true, 4, LATER));
         }
@@ -130,7 +134,7 @@
         @Test
         void aHeartbeatOfANewTermIsNotAcknowledgedBeforeTheTermIsOnDisk() {
             follower.receive("b", new RaftMessage.AppendRequest(6, 3, 4, List.of(), 0, LATER), LATER);
-            Effects effects = follower.drain();
+            Effects effects = follower.takeEffects();
             assertThat(effects.immediate()).isEmpty();
             assertThat(effects.afterWrite())
                     .containsExactly(new Effects.OutboundMessage("b", new RaftMessage.AppendReply(6, true, 3, LATER)));
@@ -141,10 +145,10 @@
         void aSnapshotThatIsNotWrittenIsNotAcknowledged() {
             follower.receive(
                     "b", new RaftMessage.SnapshotRequest(5, 2, 5, THREE_VOTERS, 0, new byte[1], true, LATER), LATER);
-            WriteBatch batch = follower.drain().write();
+            WriteBatch batch = follower.takeEffects().write();
             assertThat(immediateRepliesToHeartbeat(2, 5))
                     .containsExactly(new RaftMessage.AppendReply(5, true, 0, LATER));
-            follower.persisted(batch, LATER, LATER);
+            follower.onWritePersisted(batch, LATER, LATER);
             assertThat(immediateRepliesToHeartbeat(2, 5))
                     .containsExactly(new RaftMessage.AppendReply(5, true, 2, LATER));
         }
@@ -156,7 +160,7 @@
         @Test
         void anEntryOfAnEarlierTermIsNotCommittedByCounting() {
             RaftCore core = electedLeader(new HardState(2, ""), List.of(entry(1, 2)));
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
             core.receive("b", acknowledgement(core, 2, LATER), LATER);
@@ -166,10 +170,10 @@
         @Test
         void aLeaderDoesNotCountItselfBeforeItsOwnDiskHasTheEntry() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            WriteBatch batch = core.drain().write();
+            WriteBatch batch = core.takeEffects().write();
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.commitIndex()).isZero();
-            core.persisted(batch, LATER, LATER);
+            core.onWritePersisted(batch, LATER, LATER);
             assertThat(core.commitIndex()).isEqualTo(1);
         }
     }
@@ -179,22 +183,22 @@
         @Test
         void aLeaderWithoutRepliesStopsReadingBeforeAnotherCanBeElected() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
-            core.drain();
-            assertThat(core.mayRead(LATER + 1)).isTrue();
-            assertThat(core.mayRead(LATER + OPTIONS.leaseMillis())).isFalse();
+            core.takeEffects();
+            assertThat(core.mayServeLeaseRead(LATER + 1)).isTrue();
+            assertThat(core.mayServeLeaseRead(LATER + OPTIONS.leaseMillis())).isFalse();
             assertThat(OPTIONS.leaseMillis()).isLessThan(OPTIONS.electionTimeoutMillis());
         }
 
         @Test
         void aLeaderThatTransfersLeadershipServesNoReads() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
-            core.drain();
+            core.takeEffects();
             assertThat(core.transferLeadership()).isTrue();
-            assertThat(core.mayRead(LATER + 1)).isFalse();
+            assertThat(core.mayServeLeaseRead(LATER + 1)).isFalse();
             assertThat(core.propose(new byte[0], LATER + 1)).isEmpty();
         }
     }
@@ -207,27 +211,27 @@
         @Test
         void aChangeIsRefusedWhileAnotherIsUncommitted() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
             assertThat(core.proposeConfiguration(withReplacement)).isPresent();
-            assertThat(core.proposeConfiguration(withReplacement.withPromoted("d")))
+            assertThat(core.proposeConfiguration(withReplacement.withLearnerPromoted("d")))
                     .isEmpty();
         }
 
         @Test
         void aNewLeaderRefusesChangesUntilItCommitsAnEntryOfItsTerm() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             assertThat(core.proposeConfiguration(withReplacement)).isEmpty();
         }
 
         @Test
         void anEmptyReplicaIsNotCaughtUp() {
             RaftCore core = electedLeader(HardState.INITIAL, List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER);
             core.proposeConfiguration(withReplacement);
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 2, LATER), LATER);
             assertThat(core.isCaughtUp("d")).isFalse();
             core.receive("d", acknowledgement(core, 2, LATER), LATER);
@@ -236,10 +240,11 @@
 
         @Test
         void aPromotionMarksTheReplacedVoterAsRetiring() {
-            Configuration promoted = withReplacement.withPromoted("d");
+            Configuration promoted = withReplacement.withLearnerPromoted("d");
             assertThat(promoted.voters()).containsExactly("a", "b", "c", "d");
             assertThat(promoted.retiring()).containsExactly("c");
-            assertThat(promoted.without("c")).isEqualTo(new Configuration(Set.of("a", "b", "d"), Map.of(), Set.of()));
+            assertThat(promoted.withoutReplica("c"))
+                    .isEqualTo(new Configuration(Set.of("a", "b", "d"), Map.of(), Set.of()));
         }
 
         @Test
@@ -247,12 +252,13 @@
             RaftCore empty = new RaftCore(
                     OPTIONS,
                     "d",
-                    new Recovered(HardState.INITIAL, Snapshot.initial(Configuration.ofVoters(Set.of())), List.of()),
+                    new RecoveredState(
+                            HardState.INITIAL, Snapshot.initial(Configuration.ofVoters(Set.of())), List.of()),
                     new Random(1),
                     START);
             empty.tick(LATER + 10_000);
             assertThat(empty.role()).isEqualTo(Role.FOLLOWER);
-            assertThat(empty.drain().afterWrite()).isEmpty();
+            assertThat(empty.takeEffects().afterWrite()).isEmpty();
         }
     }
 
@@ -262,27 +268,27 @@
         @Test
         void aReplyToAnEarlierMessageDoesNotConfirmLeadership() {
             RaftCore core = electedLeader(new HardState(1, ""), List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER), LATER + 1);
-            core.drain();
-            assertThat(core.confirmedSince(LATER - 1)).isTrue();
-            assertThat(core.confirmedSince(LATER)).isFalse();
+            core.takeEffects();
+            assertThat(core.leadershipConfirmedSince(LATER - 1)).isTrue();
+            assertThat(core.leadershipConfirmedSince(LATER)).isFalse();
         }
 
         @Test
         void aReplyToALaterMessageConfirmsLeadership() {
             RaftCore core = electedLeader(new HardState(1, ""), List.of());
-            core.persisted(core.drain().write(), LATER, LATER);
+            core.onWritePersisted(core.takeEffects().write(), LATER, LATER);
             core.receive("b", acknowledgement(core, 1, LATER + 50), LATER + 51);
-            core.drain();
-            assertThat(core.confirmedSince(LATER + 49)).isTrue();
+            core.takeEffects();
+            assertThat(core.leadershipConfirmedSince(LATER + 49)).isTrue();
         }
 
         @Test
         void aLeaderWithoutACommitInItsTermIsNotConfirmed() {
             RaftCore core = electedLeader(new HardState(1, ""), List.of());
             core.receive("b", new RaftMessage.AppendReply(core.term(), true, 0, LATER + 50), LATER + 51);
-            assertThat(core.confirmedSince(LATER)).isFalse();
+            assertThat(core.leadershipConfirmedSince(LATER)).isFalse();
         }
     }
 
@@ -294,7 +300,7 @@
             return new RaftCore(
                     withoutLease,
                     name,
-                    new Recovered(new HardState(4, ""), Snapshot.initial(THREE_VOTERS), List.of()),
+                    new RecoveredState(new HardState(4, ""), Snapshot.initial(THREE_VOTERS), List.of()),
                     new Random(1),
                     START);
         }
--- a/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
@@ -73,7 +73,7 @@
     @Test
     void aKeyWithOtherContentIsRefused() {
         claim(FIRST, "x", 0);
-        assertThat(claim(SECOND, "y", 1)).isInstanceOf(ClaimAnswer.Reused.class);
+        assertThat(claim(SECOND, "y", 1)).isInstanceOf(ClaimAnswer.KeyReused.class);
     }
 
     @Test
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -12,7 +12,7 @@
 import org.radishspur.decision.move.MoveDriver;
 import org.radishspur.decision.move.MoveStage;
 import org.radishspur.decision.move.MoveState;
-import org.radishspur.decision.move.TakeBackReason;
+import org.radishspur.decision.move.RollbackReason;
 import org.radishspur.decision.move.VersionSplit;
 import org.radishspur.model.request.Tier;
 import org.radishspur.model.table.EditAnswer;
@@ -43,7 +43,7 @@
         RowChange change = new RowChange.PutRoute(row, current == null ? 0 : current.revision());
         var answer =
                 state.apply(new ControlCommand.ApplyEdit(new TableEdit("edit-" + editCount++, List.of(change)), now));
-        return ((ControlAnswer.OfEdit) answer).answer();
+        return ((ControlAnswer.EditResult) answer).answer();
     }
 
     private void createRoute() {
@@ -57,13 +57,14 @@
         return state.moves().latest().get("route");
     }
 
-    private void propose(Move seen, MoveState to, MoveStage stage, TakeBackReason reason) {
+    private void propose(Move seen, MoveState to, MoveStage stage, RollbackReason reason) {
         state.apply(new ControlCommand.ChangeMove(
                 new MoveDriver.Proposal("route", seen.id(), seen.state(), seen.stage(), to, stage, reason), NOW));
     }
 
     private VersionSplit split() {
-        return MoveTable.splits(state.tables().tables(), state.moves().latest()).get("route");
+        return MoveTable.versionSplits(state.tables().tables(), state.moves().latest())
+                .get("route");
     }
 
     @Test
@@ -93,7 +94,7 @@
         putRoute("2", NOW + HOUR_MILLIS, NOW);
         putRoute("1", 0, NOW);
         assertThat(latestMove().state()).isEqualTo(MoveState.TAKEN_BACK);
-        assertThat(latestMove().reason()).isEqualTo(TakeBackReason.BY_OPERATOR);
+        assertThat(latestMove().reason()).isEqualTo(RollbackReason.BY_OPERATOR);
         assertThat(split().share()).isZero();
     }
 
@@ -104,15 +105,15 @@
         putRoute("3", NOW + HOUR_MILLIS, NOW);
         assertThat(latestMove().from()).isEqualTo("1");
         assertThat(latestMove().to()).isEqualTo("3");
-        assertThat(state.moves().ended()).extracting(Move::reason).containsExactly(TakeBackReason.SUPERSEDED);
+        assertThat(state.moves().ended()).extracting(Move::reason).containsExactly(RollbackReason.SUPERSEDED);
     }
 
     @Test
     void aCompletedMoveCanBeReversedByANewOne() {
         createRoute();
         putRoute("2", NOW + HOUR_MILLIS, NOW);
-        propose(latestMove(), MoveState.COMPLETED, MoveStage.ALL, TakeBackReason.NONE);
-        propose(latestMove(), MoveState.DONE, MoveStage.ALL, TakeBackReason.NONE);
+        propose(latestMove(), MoveState.COMPLETED, MoveStage.ALL, RollbackReason.NONE);
+        propose(latestMove(), MoveState.DONE, MoveStage.ALL, RollbackReason.NONE);
         putRoute("1", NOW + HOUR_MILLIS, NOW);
         assertThat(latestMove().from()).isEqualTo("2");
         assertThat(latestMove().to()).isEqualTo("1");
@@ -122,7 +123,7 @@
     void anotherCompletionTimeDoesNotRestartAMove() {
         createRoute();
         putRoute("2", NOW + HOUR_MILLIS, NOW);
-        propose(latestMove(), MoveState.STEPPING, MoveStage.SMALL, TakeBackReason.NONE);
+        propose(latestMove(), MoveState.STEPPING, MoveStage.SMALL, RollbackReason.NONE);
         putRoute("2", NOW + HOUR_MILLIS / 2, NOW);
         assertThat(latestMove().stage()).isEqualTo(MoveStage.SMALL);
         assertThat(latestMove().completeBy()).isEqualTo(NOW + HOUR_MILLIS / 2);
@@ -140,7 +141,7 @@
             Move stale = seen.get(random.nextInt(seen.size()));
             MoveState next = MoveState.values()[random.nextInt(MoveState.values().length)];
             MoveStage stage = next == MoveState.STEPPING ? stale.stage().next() : MoveStage.ALL;
-            propose(stale, next, stage, TakeBackReason.NONE);
+            propose(stale, next, stage, RollbackReason.NONE);
             if (random.nextInt(5) == 0) {
                 state.restore(state.image().encode());
             }
--- a/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
@@ -15,27 +15,27 @@
     void severalReportsOfOneCrashCountOnce() {
         report("x", "crash-1", 0);
         report("x", "crash-1", 1);
-        assertThat(table.crashes("pool")).containsEntry("x", 1);
+        assertThat(table.crashCounts("pool")).containsEntry("x", 1);
     }
 
     @Test
     void twoCrashesCountTwice() {
         report("x", "crash-1", 0);
         report("x", "crash-2", 1);
-        assertThat(table.crashes("pool")).containsEntry("x", SuspectTable.CRASHES_TO_REFUSE);
+        assertThat(table.crashCounts("pool")).containsEntry("x", SuspectTable.CRASHES_TO_REFUSE);
     }
 
     @Test
     void aSuspectThatFinishesIsCleared() {
         report("x", "crash-1", 0);
         table.clear(new ControlCommand.ClearSuspect("pool", "x", 1));
-        assertThat(table.crashes("pool")).isEmpty();
+        assertThat(table.crashCounts("pool")).isEmpty();
     }
 
     @Test
     void aSuspectIsForgottenAfterTheRetentionTime() {
         report("x", "crash-1", 0);
         report("y", "crash-2", 1_000);
-        assertThat(table.crashes("pool")).containsOnlyKeys("y");
+        assertThat(table.crashCounts("pool")).containsOnlyKeys("y");
     }
 }
--- a/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/TablesDeltaTest.java
@@ -31,7 +31,7 @@
         List<TablesDelta> sentDeltas = new ArrayList<>();
         for (int step = 0; step < 120; step++) {
             applyRandomEdit(source, random, step);
-            sentDeltas.add(source.since(copy.revision()));
+            sentDeltas.add(source.deltaSince(copy.revision()));
             if (random.nextInt(3) > 0) {
                 Tables changed =
                         sentDeltas.get(random.nextInt(sentDeltas.size())).applyTo(copy);
@@ -39,7 +39,7 @@
                 copy = changed;
             }
         }
-        copy = source.since(copy.revision()).applyTo(copy);
+        copy = source.deltaSince(copy.revision()).applyTo(copy);
         assertThat(copy).isEqualTo(source.tables());
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/DemoCommand.java
@@ -56,7 +56,7 @@
             String body = "briefing " + number + " for " + caller;
             StringBuilder expected = new StringBuilder();
             for (int token = 0; token < TOKENS_PER_ANSWER; token++) {
-                expected.append(StandInUpstream.token(body, token));
+                expected.append(StandInUpstream.tokenEvent(body, token));
             }
             HttpResponse<String> answer = send(caller, "/briefing", body, "");
             allCorrect &= answer.statusCode() == OK && answer.body().equals(expected.toString());
@@ -80,8 +80,8 @@
             throws IOException, InterruptedException {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + caller + path))
                 .header("Radishspur-Organisation", "demonstration")
-                .header(StandInUpstream.TOKENS, String.valueOf(TOKENS_PER_ANSWER))
-                .header(StandInUpstream.NAME, key.isEmpty() ? "demo" : key)
+                .header(StandInUpstream.TOKENS_HEADER, String.valueOf(TOKENS_PER_ANSWER))
+                .header(StandInUpstream.NAME_HEADER, key.isEmpty() ? "demo" : key)
                 .POST(HttpRequest.BodyPublishers.ofString(body));
         if (!key.isEmpty()) {
             request.header("Idempotency-Key", key);
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.model.request.Tier;
 
 /**
@@ -33,7 +33,7 @@
         long deadlineAt) {
 
     int promptTokens() {
-        return (prefixBlocks + ownBlocks) * Work.BLOCK_TOKENS;
+        return (prefixBlocks + ownBlocks) * RequestSize.BLOCK_TOKENS;
     }
 
     /** Returns the names of the prompt's blocks; prompts with the same prefix have the same names for its blocks. */
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -9,8 +9,8 @@
 import org.radishspur.decision.permit.PermitOutcome;
 import org.radishspur.decision.permit.PermitRequest;
 import org.radishspur.decision.permit.PoolScheduler;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.decision.permit.SchedulerOptions;
-import org.radishspur.decision.permit.Work;
 import org.radishspur.model.request.PermitId;
 import org.radishspur.model.table.PoolKind;
 import org.radishspur.model.table.PoolRow;
@@ -169,14 +169,14 @@
         public void onArrival(Arrival arrival, long now) {
             PermitId id = permitIdOf(arrival);
             arrivals.put(id, arrival);
-            scheduler.arrive(
+            scheduler.submit(
                     new PermitRequest(
                             id,
                             arrival.tier(),
                             arrival.organisation(),
                             "route",
                             arrival.deadlineAt(),
-                            new Work(arrival.promptTokens(), arrival.announcedTokens(), arrival.blocks()),
+                            new RequestSize(arrival.promptTokens(), arrival.announcedTokens(), arrival.blocks()),
                             "request-" + arrival.number()),
                     now);
             applyDecisions(now);
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
@@ -1,6 +1,6 @@
 package org.radishspur.testkit.experiment;
 
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 
 /**
  * Holds the parameters of the simulated engines; times are in microseconds for an engine of speed 1.
@@ -24,7 +24,8 @@
     /** Returns the minimum engine time of a request, with each step shared by a full batch and shared prefixes cached. */
     double minimumMicros(Arrival arrival) {
         double perToken = stepMicros / batchSize + decodeMicrosPerSequence;
-        return arrival.outputTokens() * perToken + arrival.ownBlocks() * Work.BLOCK_TOKENS * prefillMicrosPerToken;
+        return arrival.outputTokens() * perToken
+                + arrival.ownBlocks() * RequestSize.BLOCK_TOKENS * prefillMicrosPerToken;
     }
 
     /** Returns how long a request takes on an engine of speed 1 with a full batch and nothing cached. */
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
@@ -68,7 +68,7 @@
         dispatchers.put(
                 "ours without prefixes",
                 pool -> new Dispatcher.Scheduled(
-                        pool, SchedulerOptions.STANDARD.withPrefixes(false), concurrencyLimit));
+                        pool, SchedulerOptions.STANDARD.withPrefixReuse(false), concurrencyLimit));
         dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD, concurrencyLimit));
         return dispatchers;
     }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
@@ -202,12 +202,12 @@
     @Override
     public void onFirstToken(SimulatedEngine engine, Arrival arrival, int uncached) {
         int redundant = 0;
-        int cachedHere = (arrival.promptTokens() - uncached) / org.radishspur.decision.permit.Work.BLOCK_TOKENS;
+        int cachedHere = (arrival.promptTokens() - uncached) / org.radishspur.decision.permit.RequestSize.BLOCK_TOKENS;
         List<Long> blocks = arrival.blocks();
         for (int block = cachedHere; block < arrival.prefixBlocks(); block++) {
             Long name = blocks.get(block);
             if (engines.values().stream().anyMatch(other -> other != engine && other.hasCached(name))) {
-                redundant += org.radishspur.decision.permit.Work.BLOCK_TOKENS;
+                redundant += org.radishspur.decision.permit.RequestSize.BLOCK_TOKENS;
             }
         }
         result.recordRedundantTokens(arrival, redundant);
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/SimulatedEngine.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/SimulatedEngine.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 
 /**
  * Simulates a model engine with continuous batching and a cache of prompt blocks. It accepts every request and has no
@@ -174,7 +174,7 @@
             cache.get(block);
             cachedBlocks++;
         }
-        return Math.max(1, arrival.promptTokens() - cachedBlocks * Work.BLOCK_TOKENS);
+        return Math.max(1, arrival.promptTokens() - cachedBlocks * RequestSize.BLOCK_TOKENS);
     }
 
     /**
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.model.request.Tier;
 
 /**
@@ -62,7 +62,8 @@
         int outputTokens = (int) (MINIMUM_OUTPUT_TOKENS * Math.pow(OUTPUT_RANGE_FACTOR, source.nextDouble()));
         int announcedTokens =
                 (int) Math.max(1, outputTokens * Math.exp(source.nextGaussian() * ANNOUNCED_LOG_DEVIATION));
-        double fullBatchMicros = model.fullBatchMicros((prefixBlocks + ownBlocks) * Work.BLOCK_TOKENS, outputTokens);
+        double fullBatchMicros =
+                model.fullBatchMicros((prefixBlocks + ownBlocks) * RequestSize.BLOCK_TOKENS, outputTokens);
         long deadline = (long) (at + BASE_DEADLINE_MICROS + DEADLINE_FACTORS[tier] * fullBatchMicros);
         return new Arrival(
                 number,
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
@@ -141,7 +141,7 @@
             request.headers()
                     .set(HttpHeaderNames.HOST, address)
                     .set("Radishspur-Organisation", "load")
-                    .set(StandInUpstream.TOKENS, plan.tokens())
+                    .set(StandInUpstream.TOKENS_HEADER, plan.tokens())
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             if (plan.idempotencyKeys()) {
                 request.headers().set("Idempotency-Key", UUID.randomUUID().toString());
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
@@ -13,8 +13,8 @@
 import org.radishspur.decision.permit.PermitOutcome;
 import org.radishspur.decision.permit.PermitRequest;
 import org.radishspur.decision.permit.PoolScheduler;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.decision.permit.SchedulerOptions;
-import org.radishspur.decision.permit.Work;
 import org.radishspur.model.request.PermitId;
 import org.radishspur.model.request.Tier;
 import org.radishspur.model.table.PoolKind;
@@ -56,12 +56,12 @@
         PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.STANDARD, "measure");
         Deque<PermitId> running = new ArrayDeque<>();
         for (int request = 0; request < upstreams * 8; request++) {
-            scheduler.arrive(request(), nowMicros);
+            scheduler.submit(request(), nowMicros);
         }
         runDecisions(scheduler, running);
         long before = Samples.usedHeap();
         for (int request = 0; request < waiting; request++) {
-            scheduler.arrive(request(), nowMicros);
+            scheduler.submit(request(), nowMicros);
         }
         long bytes = (Samples.usedHeap() - before) / waiting;
         Samples samples = new Samples();
@@ -71,7 +71,7 @@
             PermitRequest next = request();
             long beganAt = System.nanoTime();
             scheduler.finish(ended, new PermitOutcome(PermitOutcome.Ending.ANSWERED, 50_000, 500_000, 100), nowMicros);
-            scheduler.arrive(next, nowMicros);
+            scheduler.submit(next, nowMicros);
             List<PermitAction> actions = scheduler.decide(nowMicros);
             if (round > ROUNDS / 4) {
                 samples.add(System.nanoTime() - beganAt);
@@ -111,7 +111,7 @@
                 "organisation-" + random.nextInt(200),
                 "route",
                 nowMicros + HOUR_MICROS * 10 + random.nextInt(1_000_000),
-                new Work(1_200, 100, prefix),
+                new RequestSize(1_200, 100, prefix),
                 "fingerprint-" + lastSequence);
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureFrames.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable;
 
 import org.radishspur.decision.permit.PermitOutcome;
-import org.radishspur.decision.permit.Work;
+import org.radishspur.decision.permit.RequestSize;
 import org.radishspur.model.request.PermitId;
 import org.radishspur.model.request.Tier;
 import org.radishspur.node.peer.ClusterView;
@@ -50,20 +50,20 @@
         measure("raft append of 1 claim", new PeerMessage.Raft("control-1#founder", "b#founder", appendRequest(1)));
         measure(
                 "permit request",
-                new PeerMessage.PermitAsk(
+                new PeerMessage.PermitAcquire(
                         "engines",
                         id,
                         Tier.NORMAL,
                         "organisation-12345",
                         "briefing",
                         30_000_000,
-                        new Work(1_200, 200, prefix),
+                        new RequestSize(1_200, 200, prefix),
                         "5d41402abc4b2a76b9719d911017c592"));
         measure("permit granted", new PeerMessage.PermitGranted("engines", id, "worker-1234", "10.12.13.14:8000"));
         measure("permit first token", new PeerMessage.PermitFirstToken("engines", id));
         measure(
                 "permit finish",
-                new PeerMessage.PermitFinish(
+                new PeerMessage.PermitRelease(
                         "engines", id, new PermitOutcome(PermitOutcome.Ending.ANSWERED, 300_000, 9_000_000, 264)));
         return 0;
     }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureLog.java
@@ -17,7 +17,7 @@
 import org.radishspur.replication.disk.FileDisk;
 import org.radishspur.replication.disk.Identity;
 import org.radishspur.replication.raft.LogEntry;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.WriteBatch;
 import org.radishspur.replication.state.ClaimHolder;
 import org.radishspur.replication.state.ControlCommand;
@@ -78,7 +78,7 @@
         long bytes = size(folder);
         long beganAt = System.nanoTime();
         try (FileDisk disk = reopen(folder)) {
-            Recovered recovered = disk.recover();
+            RecoveredState recovered = disk.recover();
             System.out.printf(
                     Locale.ROOT,
                     "recovery of %d entries without a snapshot: %.0f ms, %d bytes on disk%n",
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -69,12 +69,12 @@
                 .filter(outcome -> !outcome.badVersion() && outcome.takenBack())
                 .count();
         double shareToNew = outcomes.stream()
-                .mapToDouble(outcome -> outcome.toNew() / (rate * WINDOW_MINUTES))
+                .mapToDouble(outcome -> outcome.requestsToNew() / (rate * WINDOW_MINUTES))
                 .average()
                 .orElse(0);
         long afterFirstFault = outcomes.stream()
                 .filter(MoveOutcome::badVersion)
-                .mapToLong(MoveOutcome::afterFirstFault)
+                .mapToLong(MoveOutcome::requestsAfterFault)
                 .sum();
         double median = outcomes.stream()
                 .filter(outcome -> outcome.badVersion() && outcome.takenBack())
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveOutcome.java
@@ -7,8 +7,8 @@
  * @param completedInTime whether the move completed within its window.
  * @param takenBack whether the version was taken back before the watch ended.
  * @param requests how many requests the route had during the move.
- * @param toNew how many of them the new version received.
- * @param afterFirstFault how many of them it received later than two seconds after its first fault.
+ * @param requestsToNew how many of them the new version received.
+ * @param requestsAfterFault how many of them it received later than two seconds after its first fault.
  * @param takeBackMillis how long after the start the version was taken back, or the move ended otherwise.
  */
 record MoveOutcome(
@@ -16,6 +16,6 @@
         boolean completedInTime,
         boolean takenBack,
         long requests,
-        long toNew,
-        long afterFirstFault,
+        long requestsToNew,
+        long requestsAfterFault,
         long takeBackMillis) {}
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
@@ -6,8 +6,8 @@
 import org.radishspur.decision.move.MoveDriver;
 import org.radishspur.decision.move.MoveState;
 import org.radishspur.decision.move.SplitCounter;
+import org.radishspur.decision.move.VersionComparison;
 import org.radishspur.decision.move.VersionSplit;
-import org.radishspur.decision.move.VersionWatch;
 
 /**
  * Simulates one move of one route to a new version, in virtual time.
@@ -41,7 +41,7 @@
      */
     MoveOutcome run() {
         Move move = Move.begin(1, "route", "old", "new", 0, WINDOW_MILLIS);
-        VersionWatch watch = new VersionWatch();
+        VersionComparison watch = new VersionComparison();
         SplitCounter counter = new SplitCounter(splitOf(move));
         boolean completedInTime = false;
         long now = 0;
@@ -55,14 +55,14 @@
             } else {
                 nextTick = now + TICK_MILLIS;
             }
-            if (watch.verdict() != org.radishspur.decision.move.TakeBackReason.NONE) {
-                counter.halt();
+            if (watch.detectedFault() != org.radishspur.decision.move.RollbackReason.NONE) {
+                counter.haltNewVersion();
             }
             var proposal = MoveDriver.INSTANCE.decide(move, watch, now);
             if (proposal.isPresent()) {
                 MoveDriver.Proposal change = proposal.get();
                 move = move.with(change.state(), change.stage(), change.reason(), now + COMMIT_MILLIS);
-                counter.change(splitOf(move));
+                counter.setSplit(splitOf(move));
                 watch.beginStage();
             }
             completedInTime |= move.state() == MoveState.COMPLETED && now <= WINDOW_MILLIS + TICK_MILLIS;
@@ -72,10 +72,10 @@
                 kind.isBadOn(secondRoute), completedInTime, takenBack, requests, toNew, afterFirstFault, now);
     }
 
-    private void handleRequest(Move move, VersionWatch watch, SplitCounter counter, long now) {
+    private void handleRequest(Move move, VersionComparison watch, SplitCounter counter, long now) {
         requests++;
-        boolean useNew = counter.mayUseNew();
-        counter.granted(useNew);
+        boolean useNew = counter.isNewVersionAllowed();
+        counter.recordGrant(useNew);
         if (!useNew) {
             VersionKind.Answer old = VersionKind.drawAnswer(random, 1);
             watch.observeOld(old.failed(), old.logSlowness());
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/MemoryDisk.java
@@ -6,7 +6,7 @@
 import org.radishspur.replication.raft.Configuration;
 import org.radishspur.replication.raft.HardState;
 import org.radishspur.replication.raft.LogEntry;
-import org.radishspur.replication.raft.Recovered;
+import org.radishspur.replication.raft.RecoveredState;
 import org.radishspur.replication.raft.Snapshot;
 import org.radishspur.replication.raft.WriteBatch;
 
@@ -32,8 +32,8 @@
         entries.removeIf(entry -> entry.index() <= snapshot.lastIndex());
     }
 
-    Recovered recover() {
-        return new Recovered(hardState, snapshot, List.copyOf(entries));
+    RecoveredState recover() {
+        return new RecoveredState(hardState, snapshot, List.copyOf(entries));
     }
 
     private void replaceSnapshot(Snapshot replacement) {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -17,7 +17,7 @@
 import org.radishspur.model.table.RowChange;
 import org.radishspur.model.table.TableEdit;
 import org.radishspur.replication.control.ControlReplica;
-import org.radishspur.replication.control.Proposal;
+import org.radishspur.replication.control.ProposalOutcome;
 import org.radishspur.replication.raft.Configuration;
 import org.radishspur.replication.raft.RaftMessage;
 import org.radishspur.replication.raft.Role;
@@ -30,7 +30,7 @@
  * Simulates replicas under one random schedule of faults, with clients that send conflicting requests and resend edits.
  * A phase without faults follows, in which the replicas must recover.
  */
-public final class ReplicaSchedule implements SimulatedReplica.World {
+public final class ReplicaSchedule implements SimulatedReplica.Environment {
     private static final long LEASE_MILLIS = 220;
     private static final long TICK_MILLIS = 10;
     private static final long CLIENT_INTERVAL_MILLIS = 15;
@@ -93,7 +93,7 @@
                             node,
                             voter,
                             Configuration.ofVoters(voters),
-                            SimulatedReplica.options(leaseMillis)));
+                            SimulatedReplica.optionsWithLease(leaseMillis)));
         }
     }
 
@@ -151,7 +151,7 @@
         } else {
             sendClaim(target);
         }
-        target.step();
+        target.flushAndObserve();
     }
 
     private void sendEdit(SimulatedReplica target) {
@@ -164,8 +164,8 @@
                 .propose(
                         new ControlCommand.ApplyEdit(edit, now),
                         end -> {
-                            if (end instanceof Proposal.Committed committed
-                                    && committed.answer() instanceof ControlAnswer.OfEdit answer) {
+                            if (end instanceof ProposalOutcome.Committed committed
+                                    && committed.answer() instanceof ControlAnswer.EditResult answer) {
                                 observer.recordEditAnswer(edit.changeId(), answer.answer());
                             }
                         },
@@ -190,8 +190,8 @@
                 .propose(
                         command,
                         end -> {
-                            if (end instanceof Proposal.Committed committed
-                                    && committed.answer() instanceof ControlAnswer.OfClaim answer
+                            if (end instanceof ProposalOutcome.Committed committed
+                                    && committed.answer() instanceof ControlAnswer.ClaimResult answer
                                     && answer.answer() instanceof ClaimAnswer.Granted) {
                                 observer.recordGrant(key.key(), holder);
                             }
@@ -297,7 +297,7 @@
                         .orElse("");
                 if (!present.contains(blank.identity())) {
                     leader.replica().replace(blank.identity(), lost);
-                    leader.step();
+                    leader.flushAndObserve();
                 }
             }
         }
@@ -309,7 +309,7 @@
         }
         List<SimulatedReplica> running = List.copyOf(replicas.values());
         for (SimulatedReplica replica : running) {
-            Map<String, EditAnswer> known = replica.replica().state().tables().rememberedAnswers();
+            Map<String, EditAnswer> known = replica.replica().state().tables().storedAnswers();
             observer.answers().forEach((changeId, answer) -> {
                 if (!answer.equals(known.get(changeId))
                         && replica.replica().core().role() == Role.LEADER) {
@@ -388,7 +388,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void crashed(SimulatedReplica replica) {
+    public void onCrash(SimulatedReplica replica) {
         scheduleReplacementDuringFaults();
     }
 
@@ -413,7 +413,7 @@
                         control.replace(blank.identity(), lost);
                     }
                 }
-                leader.step();
+                leader.flushAndObserve();
             }
         }
     }
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -34,7 +34,7 @@
             checkLeader(core);
         }
         checkConfirmedRead(simulated, core);
-        if (core.mayRead(simulated.clock())) {
+        if (core.mayServeLeaseRead(simulated.clock())) {
             long revision = simulated.replica().state().tables().tables().revision();
             if (revision < acknowledgedRevision) {
                 throw new Violation(
@@ -53,7 +53,7 @@
         }
         PendingRead read = pendingReads.computeIfAbsent(
                 core.self(), self -> new PendingRead(simulated.clock(), acknowledgedRevision));
-        if (core.confirmedSince(read.begunAt())) {
+        if (core.leadershipConfirmedSince(read.begunAt())) {
             pendingReads.remove(core.self());
             long revision = simulated.replica().state().tables().tables().revision();
             if (revision < read.acknowledgedRevision()) {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -27,7 +27,7 @@
     /** The clock's rate differs from that of virtual time by this share at most. */
     private static final double MAXIMUM_CLOCK_DRIFT = 0.04;
 
-    private final World world;
+    private final Environment world;
     private final Random random;
     private final String node;
     private final double clockRate;
@@ -42,7 +42,12 @@
     private long clockStoppedMillis;
 
     SimulatedReplica(
-            World world, Random random, String node, String identity, Configuration initial, RaftOptions raftOptions) {
+            Environment world,
+            Random random,
+            String node,
+            String identity,
+            Configuration initial,
+            RaftOptions raftOptions) {
         this.raftOptions = raftOptions;
         this.world = world;
         this.random = random;
@@ -87,10 +92,10 @@
                         raftOptions, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING_PROPOSALS),
                 identity,
                 disk.recover(),
-                new ControlReplica.Surroundings(
+                new ControlReplica.Environment(
                         (to, message) -> world.send(this, to, message), new DelayedWriter(), state -> {}, random),
                 clock());
-        step();
+        flushAndObserve();
     }
 
     /** Ends the process. Of the batches not yet synced, a random number of the first ones reach the disk. */
@@ -105,7 +110,7 @@
         pendingWrites.clear();
         replica = null;
         freezeCount = 0;
-        world.crashed(this);
+        world.onCrash(this);
     }
 
     /** Ends the process and loses its disk. The next start is that of a blank replica under an identity never used before. */
@@ -116,7 +121,7 @@
     }
 
     /** Returns the Raft options for a read lease of so many milliseconds, or for none if 0. */
-    static RaftOptions options(long leaseMillis) {
+    static RaftOptions optionsWithLease(long leaseMillis) {
         return new RaftOptions(50, 300, leaseMillis, 16, SNAPSHOT_PART_BYTES, TRAILING_ENTRIES);
     }
 
@@ -136,18 +141,18 @@
     void tick() {
         if (isRunning()) {
             replica.tick(clock());
-            step();
+            flushAndObserve();
         }
     }
 
     void receive(String from, RaftMessage message) {
         if (isRunning()) {
             replica.receive(from, message, clock());
-            step();
+            flushAndObserve();
         }
     }
 
-    void step() {
+    void flushAndObserve() {
         replica.flush(clock());
         world.observe(this);
     }
@@ -163,7 +168,7 @@
         PendingWrite pending = pendingWrites.removeFirst();
         disk.write(pending.batch());
         pending.written().accept(clock());
-        step();
+        flushAndObserve();
     }
 
     /**
@@ -194,7 +199,7 @@
                     () -> {
                         if (replica != null && expectedRun == runNumber) {
                             staged.accept(snapshotSource.get());
-                            step();
+                            flushAndObserve();
                         }
                     },
                     world.writeDelay());
@@ -210,7 +215,7 @@
     /**
      * Provides the simulated environment of a replica: time, write delays, network and checks.
      */
-    interface World {
+    interface Environment {
         /**
          * Returns the virtual time, which is free of the replicas' clock drift.
          *
@@ -254,6 +259,6 @@
          *
          * @param replica the replica whose process has ended.
          */
-        void crashed(SimulatedReplica replica);
+        void onCrash(SimulatedReplica replica);
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -44,13 +44,13 @@
  */
 public final class StandInUpstream implements AutoCloseable {
     /** The request header with the number of tokens in the answer; 1 if it is missing. */
-    public static final String TOKENS = "Stand-In-Tokens";
+    public static final String TOKENS_HEADER = "Stand-In-Tokens";
 
     /** The request header with the name under which the request is logged. */
-    public static final String NAME = "Stand-In-Name";
+    public static final String NAME_HEADER = "Stand-In-Name";
 
     /** The request header whose presence ends the process without cleanup, as a crash does. */
-    public static final String CRASH = "Stand-In-Crash";
+    public static final String CRASH_HEADER = "Stand-In-Crash";
 
     private static final int MAXIMUM_BODY_BYTES = 16 << 20;
     private static final int CRASH_EXIT_CODE = 42;
@@ -108,7 +108,7 @@
      * @param index the position of the token in the answer, from 0.
      * @return the event.
      */
-    public static String token(String body, int index) {
+    public static String tokenEvent(String body, int index) {
         return "data: " + Integer.toHexString(body.hashCode() * 31 + index) + "\n\n";
     }
 
@@ -192,16 +192,16 @@
                 sendDrainingRefusal(context);
                 return;
             }
-            String name = request.headers().get(NAME, "-");
+            String name = request.headers().get(NAME_HEADER, "-");
             record("start " + name + ' ' + request.headers().get(UpstreamHeaders.REQUEST, "-"));
-            if (request.headers().contains(CRASH)) {
+            if (request.headers().contains(CRASH_HEADER)) {
                 Runtime.getRuntime().halt(CRASH_EXIT_CODE);
             }
             if (failing.get()) {
                 sendFailure(context);
                 return;
             }
-            int tokens = request.headers().getInt(TOKENS, 1);
+            int tokens = request.headers().getInt(TOKENS_HEADER, 1);
             if (kind == Kind.SERVICE) {
                 long delay = tokenMicros;
                 context.executor().schedule(() -> sendServiceAnswer(context, name, body), delay, TimeUnit.MICROSECONDS);
@@ -231,7 +231,7 @@
             int until = Math.min(tokens, index + (tokenMicros == 0 ? TOKENS_PER_CHUNK : 1));
             StringBuilder text = new StringBuilder();
             for (int token = index; token < until; token++) {
-                text.append(token(body, token));
+                text.append(tokenEvent(body, token));
             }
             var content = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             context.writeAndFlush(new DefaultHttpContent(content)).addListener(written -> {
--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -57,8 +57,8 @@
     void aVersionThatFailsEveryRequestReceivesOnlyOne(VersionKind kind) {
         for (int seed = 0; seed < SEEDS; seed++) {
             MoveOutcome outcome = new MoveTrial(kind, REQUESTS_PER_MINUTE, false, seed).run();
-            assertThat(outcome.toNew()).isEqualTo(1);
-            assertThat(outcome.afterFirstFault()).isZero();
+            assertThat(outcome.requestsToNew()).isEqualTo(1);
+            assertThat(outcome.requestsAfterFault()).isZero();
         }
     }
 }
--- a/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/BadInputTest.java
@@ -78,7 +78,7 @@
         String request = "POST /stream HTTP/1.1\r\nHost: h\r\n" + ORGANISATION_HEADER + "Content-Length: 2\r\n\r\nhi";
         assertThat(exchange(cluster.callerPort("a"), request.getBytes(StandardCharsets.ISO_8859_1)))
                 .contains("200 OK")
-                .contains(StandInUpstream.token("hi", 0).strip());
+                .contains(StandInUpstream.tokenEvent("hi", 0).strip());
     }
 
     @ParameterizedTest
@@ -126,7 +126,7 @@
             out.write("late".getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
             assertThat(readResponse(socket.getInputStream()))
-                    .contains(StandInUpstream.token("late", 0).strip());
+                    .contains(StandInUpstream.tokenEvent("late", 0).strip());
         }
     }
 
@@ -139,8 +139,8 @@
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream().write((one + two).getBytes(StandardCharsets.ISO_8859_1));
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            int first = answers.indexOf(StandInUpstream.token("one", 0).strip());
-            int second = answers.indexOf(StandInUpstream.token("two", 0).strip());
+            int first = answers.indexOf(StandInUpstream.tokenEvent("one", 0).strip());
+            int second = answers.indexOf(StandInUpstream.tokenEvent("two", 0).strip());
             assertThat(first).isPositive();
             assertThat(second).isGreaterThan(first);
         }
--- a/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
@@ -26,10 +26,10 @@
         HttpRequest.Builder request = HttpRequest.newBuilder(cluster.callerUri(node, "/stream"))
                 .header("Radishspur-Organisation", "crew")
                 .header("Radishspur-Deadline-Millis", "5000")
-                .header(StandInUpstream.TOKENS, "2")
+                .header(StandInUpstream.TOKENS_HEADER, "2")
                 .POST(HttpRequest.BodyPublishers.ofString(body));
         if (crashes) {
-            request.header(StandInUpstream.CRASH, "yes");
+            request.header(StandInUpstream.CRASH_HEADER, "yes");
         }
         return cluster.client()
                 .sendAsync(request.build(), HttpResponse.BodyHandlers.ofString())
--- a/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
@@ -36,8 +36,8 @@
             ProcessCluster cluster, String node, String path, String name, String key, int tokens) {
         HttpRequest.Builder request = HttpRequest.newBuilder(cluster.callerUri(node, path))
                 .header("Radishspur-Organisation", "organisation-" + name.length())
-                .header(StandInUpstream.NAME, name)
-                .header(StandInUpstream.TOKENS, String.valueOf(tokens))
+                .header(StandInUpstream.NAME_HEADER, name)
+                .header(StandInUpstream.TOKENS_HEADER, String.valueOf(tokens))
                 .timeout(java.time.Duration.ofSeconds(60))
                 .POST(HttpRequest.BodyPublishers.ofString("body of " + name));
         if (!key.isEmpty()) {
@@ -53,7 +53,7 @@
     private static String expectedStream(String name, int tokens) {
         StringBuilder expected = new StringBuilder();
         for (int token = 0; token < tokens; token++) {
-            expected.append(StandInUpstream.token("body of " + name, token));
+            expected.append(StandInUpstream.tokenEvent("body of " + name, token));
         }
         return expected.toString();
     }
--- a/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/OwnerUnderFaultsTest.java
@@ -31,8 +31,8 @@
         HttpRequest request = HttpRequest.newBuilder(cluster.callerUri(node, "/stream"))
                 .header("Radishspur-Organisation", "crew")
                 .header("Radishspur-Deadline-Millis", "30000")
-                .header(StandInUpstream.NAME, name)
-                .header(StandInUpstream.TOKENS, String.valueOf(TOKENS))
+                .header(StandInUpstream.NAME_HEADER, name)
+                .header(StandInUpstream.TOKENS_HEADER, String.valueOf(TOKENS))
                 .POST(HttpRequest.BodyPublishers.ofString(name))
                 .build();
         return cluster.client().sendAsync(request, HttpResponse.BodyHandlers.ofString());
@@ -97,7 +97,7 @@
                 if (answer.statusCode() == 200) {
                     StringBuilder expected = new StringBuilder();
                     for (int token = 0; token < TOKENS; token++) {
-                        expected.append(StandInUpstream.token("f" + number, token));
+                        expected.append(StandInUpstream.tokenEvent("f" + number, token));
                     }
                     assertThat(answer.body()).isEqualTo(expected.toString());
                 } else {
--- a/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
@@ -56,8 +56,8 @@
             ProcessCluster.await(() -> cluster.revision("a") == 1);
             String request =
                     "POST /note HTTP/1.1\r\nHost: h\r\nRadishspur-Organisation: crew\r\nIdempotency-Key: large\r\n"
-                            + "Radishspur-Deadline-Millis: 1500\r\nContent-Length: 5\r\n" + StandInUpstream.NAME
-                            + ": large\r\n" + StandInUpstream.TOKENS + ": " + TOKENS + "\r\n\r\nhello";
+                            + "Radishspur-Deadline-Millis: 1500\r\nContent-Length: 5\r\n" + StandInUpstream.NAME_HEADER
+                            + ": large\r\n" + StandInUpstream.TOKENS_HEADER + ": " + TOKENS + "\r\n\r\nhello";
             try (Socket socket = new Socket("127.0.0.1", cluster.callerPort("a"))) {
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                 ProcessCluster.awaitWithin(20, () -> hasCompleted(cluster, "large"));
--- a/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/schedule/SlowDisksTest.java
@@ -15,7 +15,7 @@
 import org.radishspur.model.table.PoolRow;
 import org.radishspur.model.table.RowChange;
 import org.radishspur.model.table.TableEdit;
-import org.radishspur.replication.control.Proposal;
+import org.radishspur.replication.control.ProposalOutcome;
 import org.radishspur.replication.raft.Configuration;
 import org.radishspur.replication.raft.RaftMessage;
 import org.radishspur.replication.raft.Role;
@@ -70,7 +70,7 @@
     /**
      * Delivers messages and completes writes of the replicas in virtual time.
      */
-    private static final class SimulatedCluster implements SimulatedReplica.World {
+    private static final class SimulatedCluster implements SimulatedReplica.Environment {
         private final Map<String, SimulatedReplica> replicas = new TreeMap<>();
         private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
         private final int writeMillis;
@@ -92,7 +92,7 @@
                                 voter.substring(0, 1),
                                 voter,
                                 Configuration.ofVoters(voters),
-                                SimulatedReplica.options(LEASE_MILLIS)));
+                                SimulatedReplica.optionsWithLease(LEASE_MILLIS)));
             }
             replicas.values().forEach(SimulatedReplica::start);
             tick();
@@ -133,9 +133,9 @@
                     replica.replica()
                             .propose(
                                     new ControlCommand.ApplyEdit(edit, now),
-                                    end -> editCommitted |= end instanceof Proposal.Committed,
+                                    end -> editCommitted |= end instanceof ProposalOutcome.Committed,
                                     replica.clock());
-                    replica.step();
+                    replica.flushAndObserve();
                 }
             }
         }
@@ -172,7 +172,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void crashed(SimulatedReplica replica) {
+        public void onCrash(SimulatedReplica replica) {
             throw new IllegalStateException("no replica crashes in this test");
         }
     }
