--- a/decision/src/main/java/org/radishspur/decision/move/Move.java
+++ b/decision/src/main/java/org/radishspur/decision/move/Move.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Returns the greatest share of the route's requests that the new version may get.
+     * Returns the maximum share of the route's requests that the new version may get.
      *
      * @return the share, from 0 to 1.
      */
--- a/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
@@ -16,16 +16,16 @@
     /** After this time share in a stage the move may advance without the required number of outcomes. */
     private static final double OVERDUE_STAGE_TIME_SHARE = 0.15;
 
-    /** The shortest time in a stage before the last, as a time share. */
+    /** The minimum time in a stage before the last, as a time share. */
     private static final double MIN_STAGE_TIME_SHARE = 0.04;
 
-    /** The shortest time in the last stage, as a time share. */
+    /** The minimum time in the last stage, as a time share. */
     private static final double MIN_LAST_STAGE_TIME_SHARE = 0.1;
 
-    /** The upper limit of the shortest time in a stage before the last, in milliseconds. */
+    /** The upper limit of the minimum time in a stage before the last, in milliseconds. */
     private static final long MIN_STAGE_MILLIS_LIMIT = 120_000;
 
-    /** With less evidence of a fault than this a move may advance; a share of the evidence that proves a fault. */
+    /** A move may advance with less evidence of a fault than this, as a share of the evidence that proves a fault. */
     private static final double MAX_EVIDENCE_FOR_REGULAR_STEP = 0.4;
 
     /**
@@ -34,48 +34,48 @@
      */
     private static final double MAX_EVIDENCE_FOR_OVERDUE_STEP = 0.6;
 
-    /** How long the new version is still watched after completion, as a time share. */
-    private static final double COMPLETED_WATCH_TIME_SHARE = 0.5;
+    /** How long the versions are still compared after completion, as a time share. */
+    private static final double COMPLETED_COMPARISON_TIME_SHARE = 0.5;
 
     /**
      * Decides whether to change the state or the stage of a move.
      *
      * @param move the move, as stored in the replicated state.
-     * @param watch the comparison of its new version with the old one.
+     * @param comparison the comparison of its new version with the old one.
      * @param now the current time in milliseconds since the epoch.
      * @return the change to propose, or empty if there is none.
      */
-    public Optional<Proposal> decide(Move move, VersionComparison watch, long now) {
+    public Optional<Proposal> decide(Move move, VersionComparison comparison, long now) {
         if (move.state().isFinal()) {
             return Optional.empty();
         }
-        if (watch.detectedFault() != RollbackReason.NONE) {
-            return takeBack(move, watch.detectedFault());
+        if (comparison.detectedFault() != RollbackReason.NONE) {
+            return proposeRollback(move, comparison.detectedFault());
         }
         long moveMillis = Math.max(1, move.completeBy() - move.startedAt());
         if (move.state() == MoveState.COMPLETED) {
-            boolean isWatchOver = now - move.stageSince() >= COMPLETED_WATCH_TIME_SHARE * moveMillis;
-            return isWatchOver ? propose(move, MoveState.DONE, move.stage()) : Optional.empty();
+            boolean isComparisonOver = now - move.stageSince() >= COMPLETED_COMPARISON_TIME_SHARE * moveMillis;
+            return isComparisonOver ? propose(move, MoveState.DONE, move.stage()) : Optional.empty();
         }
         if (now >= move.completeBy()) {
-            return watch.evidenceLevel() > MAX_EVIDENCE_FOR_OVERDUE_STEP
-                    ? takeBack(move, RollbackReason.IN_DOUBT)
+            return comparison.evidenceLevel() > MAX_EVIDENCE_FOR_OVERDUE_STEP
+                    ? proposeRollback(move, RollbackReason.IN_DOUBT)
                     : propose(move, MoveState.COMPLETED, MoveStage.ALL);
         }
-        return decideNextStep(move, watch, now, moveMillis);
+        return decideNextStep(move, comparison, now, moveMillis);
     }
 
-    private Optional<Proposal> decideNextStep(Move move, VersionComparison watch, long now, long moveMillis) {
+    private Optional<Proposal> decideNextStep(Move move, VersionComparison comparison, long now, long moveMillis) {
         long stageMillis = now - move.stageSince();
         double minStageShare = move.stage().isLast() ? MIN_LAST_STAGE_TIME_SHARE : MIN_STAGE_TIME_SHARE;
         long minStageMillis = move.stage().isLast()
                 ? (long) (minStageShare * moveMillis)
                 : Math.min(MIN_STAGE_MILLIS_LIMIT, (long) (minStageShare * moveMillis));
-        boolean isRegularStep = watch.outcomesInStage() >= move.stage().requiredOutcomes()
-                && watch.evidenceLevel() < MAX_EVIDENCE_FOR_REGULAR_STEP
+        boolean isRegularStep = comparison.outcomesInStage() >= move.stage().requiredOutcomes()
+                && comparison.evidenceLevel() < MAX_EVIDENCE_FOR_REGULAR_STEP
                 && stageMillis >= minStageMillis;
         boolean isOverdueStep = stageMillis >= OVERDUE_STAGE_TIME_SHARE * moveMillis
-                && watch.evidenceLevel() < MAX_EVIDENCE_FOR_OVERDUE_STEP;
+                && comparison.evidenceLevel() < MAX_EVIDENCE_FOR_OVERDUE_STEP;
         if (!isRegularStep && !isOverdueStep) {
             return Optional.empty();
         }
@@ -89,7 +89,7 @@
                 new Proposal(move.route(), move.id(), move.state(), move.stage(), state, stage, RollbackReason.NONE));
     }
 
-    private static Optional<Proposal> takeBack(Move move, RollbackReason reason) {
+    private static Optional<Proposal> proposeRollback(Move move, RollbackReason reason) {
         return Optional.of(new Proposal(
                 move.route(), move.id(), move.state(), move.stage(), MoveState.TAKEN_BACK, move.stage(), reason));
     }
--- a/decision/src/main/java/org/radishspur/decision/move/MoveStage.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveStage.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Returns the greatest share of the route's requests that the new version may get.
+     * Returns the maximum share of the route's requests that the new version may get.
      *
      * @return the share, from 0 to 1.
      */
--- a/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
+++ b/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
@@ -13,7 +13,7 @@
     /** The sum of log likelihood ratios that proves slowness. */
     private static final double SLOWNESS_THRESHOLD = 14;
 
-    /** The lowest failure rate that is assumed for the old version, as a share of its requests. */
+    /** The minimum failure rate that is assumed for the old version, as a share of its requests. */
     private static final double MIN_FAILURE_RATE = 0.001;
 
     /** The old version's failure rate starts at one failure in this number of assumed outcomes. */
@@ -22,7 +22,7 @@
     /** The failure rate of a faulty version, as a multiple of the old version's rate. */
     private static final double FAULTY_FAILURE_FACTOR = 8;
 
-    /** The lowest failure rate of a faulty version, as a share of its requests. */
+    /** The minimum failure rate of a faulty version, as a share of its requests. */
     private static final double MIN_FAULTY_FAILURE_RATE = 0.01;
 
     /**
@@ -32,7 +32,7 @@
     private static final double FAULTY_LOG_SLOWNESS = Math.log(1.2);
 
     /**
-     * The lowest standard deviation that is assumed for the log slowness of one version. Durations in a quiet pool differ so
+     * The minimum standard deviation that is assumed for the log slowness of one version. Durations in a quiet pool differ so
      * little that a constant difference of a few milliseconds would otherwise prove a good version slow.
      */
     private static final double MIN_LOG_DEVIATION = 0.2;
@@ -49,13 +49,13 @@
     /** Limits the influence of one answer: the excess log slowness, and the squared deviation in the variance. */
     private static final double OUTLIER_LIMIT = 2;
 
-    /** The most evidence of slowness from one period, since a stall of the host slows all answers of the period. */
+    /** The maximum evidence of slowness from one period, since a stall of the host slows all answers of the period. */
     private static final double MAX_EVIDENCE_PER_PERIOD = SLOWNESS_THRESHOLD / 10;
 
     /** The length of such a period, in milliseconds. */
     private static final long EVIDENCE_PERIOD_MILLIS = 1_000;
 
-    /** The lowest weight of a new answer in the old version's mean and variance. */
+    /** The minimum weight of a new answer in the old version's mean and variance. */
     private static final double MIN_AVERAGE_GAIN = 0.004;
 
     /** The number of outcomes of the old version before durations are compared. */
--- a/decision/src/main/java/org/radishspur/decision/move/VersionSplit.java
+++ b/decision/src/main/java/org/radishspur/decision/move/VersionSplit.java
@@ -6,7 +6,7 @@
  * @param moveId the id of the move that causes the split, or 0 if the route uses one version.
  * @param from the old version, or an empty string if the route uses one version.
  * @param to the new version, or an empty string if any version may serve the route.
- * @param share the greatest share of the requests that the new version may get, from 0 to 1.
+ * @param share the maximum share of the requests that the new version may get, from 0 to 1.
  */
 public record VersionSplit(long moveId, String from, String to, double share) {
     /** Lets any upstream serve the route. */
--- a/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
@@ -5,7 +5,7 @@
  * requests announced wrong answer lengths.
  */
 final class CostCorrection {
-    /** The least weight of a new sample in the moving means. */
+    /** The minimum weight of a new sample in the moving averages. */
     private static final double SMOOTHING = 0.02;
 
     private double meanEstimatedCost = 1;
--- a/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
@@ -80,9 +80,11 @@
      * Replaces the crash counts that all owners agree on. A suspect that was found here is kept until it has been in the
      * agreed counts and left them again, so that a second crash counts at once, before the agreed count grows.
      */
-    void replaceAgreedCounts(Map<String, Integer> crashes) {
-        localCrashes.keySet().removeIf(suspect -> agreedCounts.containsKey(suspect) && !crashes.containsKey(suspect));
-        agreedCounts = crashes;
+    void replaceAgreedCounts(Map<String, Integer> crashCounts) {
+        localCrashes
+                .keySet()
+                .removeIf(suspect -> agreedCounts.containsKey(suspect) && !crashCounts.containsKey(suspect));
+        agreedCounts = crashCounts;
     }
 
     private int crashCountOf(String fingerprint) {
--- a/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
@@ -8,7 +8,7 @@
  * by it.
  */
 final class OutputLengthCorrection {
-    /** The weight of a new sample in the moving mean. */
+    /** The weight of a new sample in the moving average. */
     private static final double SMOOTHING = 0.1;
 
     private static final double MIN_FACTOR = 0.01;
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -58,9 +58,9 @@
     private final Map<PermitId, Integer> announcedOutputTokens = new HashMap<>();
 
     private final FinishedAttempts finishedAttempts = new FinishedAttempts(MAX_FINISHED_ATTEMPTS);
-    private final CrashSuspects replaceCrashCounts;
+    private final CrashSuspects crashSuspects;
     private final PoolSpeeds speeds = new PoolSpeeds();
-    private final VersionRouting replaceVersionSplits = new VersionRouting();
+    private final VersionRouting versionRouting = new VersionRouting();
     private final SlotReserve slotReserve = new SlotReserve();
     private final List<PermitAction> actions = new ArrayList<>();
     private final Ejector ejector;
@@ -79,9 +79,9 @@
      */
     public PoolScheduler(PoolRow row, SchedulerOptions options, String owner) {
         this.options = options;
-        this.replaceCrashCounts = new CrashSuspects(owner);
+        this.crashSuspects = new CrashSuspects(owner);
         this.ejector = new Ejector(options, upstreams, actions);
-        this.selector = new UpstreamSelector(replaceCrashCounts, replaceVersionSplits, speeds);
+        this.selector = new UpstreamSelector(crashSuspects, versionRouting, speeds);
         configure(row);
     }
 
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Queues or refuses a request for a permit. A repeated request changes nothing, but if it is in flight, its grant is
+     * Queues or refuses a request for a permit. A duplicate request changes nothing, but if it is in flight, its grant is
      * sent again.
      *
      * @param request the request.
@@ -139,7 +139,7 @@
             return;
         }
         slotReserve.arrived(request.tier(), now);
-        if (replaceCrashCounts.isRefused(request.fingerprint())) {
+        if (crashSuspects.isRefused(request.fingerprint())) {
             refuse(
                     request.id(),
                     Refusal.notRun(
@@ -207,7 +207,7 @@
         markFinished(id);
         slotReserve.released(now);
         recordOutcome(upstream, flight, outcome, now);
-        replaceVersionSplits.ended(
+        versionRouting.ended(
                 flight.request().route(),
                 upstream,
                 outcome,
@@ -357,15 +357,15 @@
     }
 
     /**
-     * Replaces the crash suspects that all owners agree on, and refuses the waiting requests among them that have been in
-     * flight at too many crashes.
+     * Replaces the crash counts that all owners agree on, and refuses the waiting requests that were in flight at too many
+     * crashes.
      *
-     * @param crashes the number of crashes by fingerprint.
+     * @param crashCounts the number of crashes by fingerprint.
      */
-    public void replaceCrashCounts(Map<String, Integer> crashes) {
-        replaceCrashCounts.replaceAgreedCounts(crashes);
+    public void replaceCrashCounts(Map<String, Integer> crashCounts) {
+        crashSuspects.replaceAgreedCounts(crashCounts);
         for (WaitingRequest waiting : queue.all()) {
-            if (replaceCrashCounts.isRefused(waiting.request.fingerprint())) {
+            if (crashSuspects.isRefused(waiting.request.fingerprint())) {
                 queue.remove(waiting.request.id());
                 refuse(
                         waiting.request.id(),
@@ -378,22 +378,22 @@
     }
 
     /**
-     * Replaces the versions that serve each route.
+     * Replaces the splits of routes between versions.
      *
      * @param splits the splits by route; a route without a split uses any version.
      */
     public void replaceVersionSplits(Map<String, VersionSplit> splits) {
-        replaceVersionSplits.replaceSplits(splits);
+        versionRouting.replaceSplits(splits);
     }
 
     /**
-     * Returns what this scheduler has observed of the new version during a move.
+     * Returns the comparison of the new version of a route with the old one during a move.
      *
      * @param route the route.
-     * @return the watch, without observations as long as the new version has answered no request.
+     * @return the comparison, without outcomes of the new version until a request to it is answered or fails.
      */
     public VersionComparison versionComparison(String route) {
-        return replaceVersionSplits.watch(route);
+        return versionRouting.comparison(route);
     }
 
     /**
@@ -403,7 +403,7 @@
      * @param route the route.
      */
     public void haltNewVersion(String route) {
-        replaceVersionSplits.halt(route);
+        versionRouting.haltNewVersion(route);
     }
 
     /**
@@ -499,14 +499,14 @@
 
     /** Sheds one request of the least urgent tier that has any, which may be the one just added. */
     private void shedOne() {
-        WaitingRequest rejected = queue.nextToShed();
-        queue.remove(rejected.request.id());
+        WaitingRequest shed = queue.nextToShed();
+        queue.remove(shed.request.id());
         refuse(
-                rejected.request.id(),
+                shed.request.id(),
                 Refusal.notRun(
                         RefusalReason.OVERLOADED,
                         "The queue of the pool is full.",
-                        retryAfterMillis(rejected.request.tier())));
+                        retryAfterMillis(shed.request.tier())));
     }
 
     private void refuseForDeadline(PermitRequest request, long now) {
@@ -616,12 +616,12 @@
     private void grant(WaitingRequest waiting, UpstreamState upstream, long now) {
         queue.removeGranted(waiting);
         PermitRequest request = waiting.request;
-        boolean exclusive = replaceCrashCounts.isSuspect(request.fingerprint());
+        boolean exclusive = crashSuspects.isSuspect(request.fingerprint());
         if (exclusive) {
-            replaceCrashCounts.started(request.id());
+            crashSuspects.started(request.id());
         }
         inFlight.put(request.id(), upstream.name());
-        replaceVersionSplits.granted(request.route(), upstream.row().version());
+        versionRouting.granted(request.route(), upstream.row().version());
         speeds.granted(upstream.cachedShare(request.size()));
         upstream.start(request, exclusive, now);
         actions.add(new PermitAction.Grant(request.id(), upstream.name()));
@@ -630,18 +630,18 @@
     private void recordOutcome(
             UpstreamState upstream, UpstreamState.InFlightRequest flight, PermitOutcome outcome, long now) {
         PermitRequest request = flight.request();
-        replaceCrashCounts.ended(request.id());
+        crashSuspects.ended(request.id());
         switch (outcome.ending()) {
             case ANSWERED -> {
                 upstream.learn(flight, outcome.firstTokenMicros(), outcome.totalMicros(), outcome.outputTokens(), now);
-                if (replaceCrashCounts.clear(request.fingerprint())) {
+                if (crashSuspects.clear(request.fingerprint())) {
                     actions.add(new PermitAction.SuspectCleared(request.fingerprint()));
                 }
             }
             case DRAINING -> markLeaving(upstream.name());
             case CONNECTION_LOST -> {
-                String crashId = replaceCrashCounts.crashIdFor(upstream.name(), now);
-                replaceCrashCounts.recordCrash(request.fingerprint(), crashId);
+                String crashId = crashSuspects.crashIdFor(upstream.name(), now);
+                crashSuspects.recordCrash(request.fingerprint(), crashId);
                 actions.add(new PermitAction.CrashSuspected(request.fingerprint(), crashId));
             }
             default -> {}
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -18,7 +18,7 @@
     /** The number of upstreams that are compared for the shortest service time, those with the fastest output first. */
     private static final int FASTEST_COMPARED = 4;
 
-    /** The weight of a new sample in the moving mean. */
+    /** The weight of a new sample in the moving average. */
     private static final double SMOOTHING = 0.02;
 
     private List<UpstreamState> fastestFirst = List.of();
--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -6,12 +6,12 @@
  * @param reusesPrefixes whether the choice of an upstream considers which prompt prefixes are in its cache.
  * @param initialLimit the number of requests that an upstream may run at once before its speed has been measured.
  * @param deadlineMargin the factor by which an estimated time is multiplied before it is compared with a deadline.
- * @param maxReservedShare the greatest share of the slots that is kept free for more urgent tiers.
+ * @param maxReservedShare the maximum share of the slots that is kept free for more urgent tiers.
  * @param slowFactor from how many times the median output time of comparable upstreams on an upstream is ejected.
  * @param failuresToEject how many failures in a row eject an upstream.
  * @param firstEjectionMicros how long the first ejection lasts; each further one in a row is twice as long.
- * @param maxEjectionMicros the longest time that an ejection lasts.
- * @param maxEjectedShare the greatest share of a pool that may be ejected at once.
+ * @param maxEjectionMicros the maximum time that an ejection lasts.
+ * @param maxEjectedShare the maximum share of a pool that may be ejected at once.
  * @param cacheBlocks the number of prompt blocks that the cache of each upstream is assumed to hold.
  */
 public record SchedulerOptions(
--- a/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SlotReserve.java
@@ -7,7 +7,7 @@
  * bulk request has just taken is not available to an urgent request that arrives a moment later.
  */
 final class SlotReserve {
-    /** The weight of a new sample in the moving means. */
+    /** The weight of a new sample in the moving averages. */
     private static final double SMOOTHING = 0.05;
 
     /** How many slots are reserved for each arrival that is expected. */
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -11,7 +11,7 @@
 
 /**
  * Restricts the routes of one pool to the versions that they may use, and passes the outcomes of attempts during the move
- * to a new version to its watch.
+ * to a new version to the comparison of the versions.
  */
 final class VersionRouting {
     /** The bound on the logarithm of the ratio of actual to reference time. */
@@ -20,30 +20,30 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final Map<String, SplitCounter> counters = new HashMap<>();
-    private final Map<String, VersionComparison> watches = new HashMap<>();
-    private final Map<String, Long> watchedMoves = new HashMap<>();
+    private final Map<String, VersionComparison> comparisons = new HashMap<>();
+    private final Map<String, Long> comparedMoves = new HashMap<>();
 
     void replaceSplits(Map<String, VersionSplit> splits) {
         counters.keySet().retainAll(splits.keySet());
-        watches.keySet().retainAll(splits.keySet());
-        watchedMoves.keySet().retainAll(splits.keySet());
+        comparisons.keySet().retainAll(splits.keySet());
+        comparedMoves.keySet().retainAll(splits.keySet());
         splits.forEach((route, split) -> {
             VersionSplit old = counter(route).split();
             counter(route).setSplit(split);
-            if (watchedMoves.getOrDefault(route, 0L) != split.moveId()) {
-                watchedMoves.put(route, split.moveId());
-                watches.put(route, new VersionComparison());
+            if (comparedMoves.getOrDefault(route, 0L) != split.moveId()) {
+                comparedMoves.put(route, split.moveId());
+                comparisons.put(route, new VersionComparison());
             } else if (old.share() != split.share()) {
-                watch(route).beginStage();
+                comparison(route).beginStage();
             }
         });
     }
 
-    VersionComparison watch(String route) {
-        return watches.computeIfAbsent(route, key -> new VersionComparison());
+    VersionComparison comparison(String route) {
+        return comparisons.computeIfAbsent(route, key -> new VersionComparison());
     }
 
-    void halt(String route) {
+    void haltNewVersion(String route) {
         counter(route).haltNewVersion();
     }
 
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Passes the outcome of an attempt to the watch of its route, unless the outcome says nothing about the upstream.
+     * Passes the outcome of an attempt to the comparison of its route, unless the outcome says nothing about the upstream.
      *
      * <p>Times are compared with a reference that never changes. Compared with learnt speeds, the times of the old version
-     * would seem to drift while the pool learns the speed of the new one, and a good version would be taken back as slower.
+     * would seem to drift while the pool learns the speed of the new one, and a good version would be rolled back as slower.
      */
     void ended(String route, UpstreamState upstream, PermitOutcome outcome, int promptTokens, long now) {
         SplitCounter counter = counters.get(route);
@@ -95,9 +95,9 @@
         double bounded = Math.max(-MAX_LOG_SLOWNESS, Math.min(MAX_LOG_SLOWNESS, slowness));
         if (counter.split().allows(upstream.row().version(), true)) {
             int earlierAnswers = upstream.answerCount() - (failed ? 0 : 1);
-            watch(route).observeNew(failed, bounded, earlierAnswers, now / MICROS_PER_MILLI);
+            comparison(route).observeNew(failed, bounded, earlierAnswers, now / MICROS_PER_MILLI);
         } else {
-            watch(route).observeOld(failed, bounded);
+            comparison(route).observeOld(failed, bounded);
         }
     }
 
--- a/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
@@ -18,7 +18,7 @@
     /** How long a scheduler is avoided after its first failure, in milliseconds; doubles with each consecutive failure. */
     private static final long FIRST_AVOIDANCE_MILLIS = 1_000;
 
-    /** The longest time for which a scheduler is avoided after a failure, in milliseconds. */
+    /** The maximum time for which a scheduler is avoided after a failure, in milliseconds. */
     private static final long MAX_AVOIDANCE_MILLIS = 8_000;
 
     /** How long a scheduler is avoided after it has replied that it isn't ready, in milliseconds. */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
@@ -35,10 +35,10 @@
          * Creates a rejection without the length of the queue and the number of slots.
          *
          * @param reason why the request gets no slot.
-         * @param retryMillis the time in milliseconds after which a retry is likely to get a slot.
+         * @param retryAfterMillis the time in milliseconds after which a retry is likely to get a slot.
          */
-        public Rejected(Reason reason, long retryMillis) {
-            this(reason, retryMillis, 0, 0);
+        public Rejected(Reason reason, long retryAfterMillis) {
+            this(reason, retryAfterMillis, 0, 0);
         }
     }
 
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
@@ -96,7 +96,7 @@
                 now,
                 now + maxWaitMillis,
                 versions,
-                expectedLoad.toQueuedWork(now + firstByteTargetMillis, now + deadlineMillis));
+                expectedLoad.toRequirements(now + firstByteTargetMillis, now + deadlineMillis));
         avoidedRuns.forEach(queued::avoidUpstream);
         queued.setEntryDomain(failureDomain);
         return queued;
@@ -119,7 +119,7 @@
             int tier,
             String prefixId,
             long prefixTokens) {
-        QueuedRequest.Requirements toQueuedWork(long targetAt, long endsAt) {
+        QueuedRequest.Requirements toRequirements(long targetAt, long endsAt) {
             return new QueuedRequest.Requirements(
                     promptTokens,
                     expectedTokens,
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
@@ -196,8 +196,8 @@
         if (tracked == null) {
             return;
         }
-        if (decision instanceof Decision.Queued waits) {
-            listener.onReply(tracked.entry, tracked.requestId, new SlotReply.Queued(waits.expectedWaitMillis()));
+        if (decision instanceof Decision.Queued queued) {
+            listener.onReply(tracked.entry, tracked.requestId, new SlotReply.Queued(queued.expectedWaitMillis()));
             return;
         }
         queuedRequests.remove(decision.queued());
@@ -312,7 +312,7 @@
         void onReply(String entry, long requestId, SlotReply reply);
 
         /**
-         * Receives the result of an answer of an upstream.
+         * Receives the result of an upstream's answer.
          *
          * @param upstream the upstream.
          * @param succeeded whether the answer was complete and no failure of the upstream.
--- a/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
@@ -28,7 +28,7 @@
      * Creates a limit.
      *
      * @param initial the initial limit.
-     * @param ceiling the greatest value that the limit may reach.
+     * @param ceiling the maximum value that the limit may reach.
      */
     public ConcurrencyLimit(int initial, int ceiling) {
         this.ceiling = ceiling;
@@ -40,7 +40,7 @@
      *
      * @param congested whether the upstream shows congestion.
      * @param startedAt when the request was dispatched, in microseconds.
-     * @param inFlight the number of requests in flight, the observed one included.
+     * @param inFlight the number of requests in flight, the measured one included.
      * @param now the current time in microseconds.
      * @return whether the limit was decreased.
      */
--- a/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
@@ -41,10 +41,10 @@
     /**
      * Records that a prompt was dispatched to the engine, which then has its blocks in the cache.
      *
-     * @param prefix the digests of the prompt's blocks.
+     * @param blockDigests the digests of the prompt's blocks.
      */
-    public void dispatched(List<Long> prefix) {
-        for (Long block : prefix) {
+    public void dispatched(List<Long> blockDigests) {
+        for (Long block : blockDigests) {
             blocks.put(block, Boolean.TRUE);
         }
     }
@@ -79,12 +79,12 @@
     /**
      * Estimates how many leading blocks of a prompt are in the engine's cache.
      *
-     * @param prefix the digests of the prompt's blocks.
+     * @param blockDigests the digests of the prompt's blocks.
      * @return the number of blocks, multiplied by the confidence in the estimate, which is at most 1.
      */
-    public double cachedBlocks(List<Long> prefix) {
+    public double cachedBlocks(List<Long> blockDigests) {
         int cached = 0;
-        while (cached < prefix.size() && blocks.containsKey(prefix.get(cached))) {
+        while (cached < blockDigests.size() && blocks.containsKey(blockDigests.get(cached))) {
             cached++;
         }
         return cached * confidence;
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -4,7 +4,7 @@
  * Learns the speed of one upstream from the times of the requests that it ran.
  */
 public final class SpeedEstimate {
-    /** The least weight of a new sample in the moving means. */
+    /** The minimum weight of a new sample in the moving averages. */
     private static final double SMOOTHING = 0.15;
 
     private static final double INITIAL_PREFILL_MICROS = 200;
@@ -48,7 +48,7 @@
     /**
      * Learns from the time to the first token of an answer.
      *
-     * @param uncachedTokens the number of prompt tokens that had to be computed.
+     * @param uncachedTokens the number of prompt tokens that had to be processed.
      * @param micros the time from dispatch to the first token in microseconds.
      */
     public void learnFirstToken(int uncachedTokens, long micros) {
@@ -74,8 +74,8 @@
     /**
      * Learns from a request in flight that has already taken longer than expected.
      *
-     * @param minMicrosPerToken the time for each token if the request ended now, in microseconds, which is the least that
-     *     it can still be.
+     * @param minMicrosPerToken the time for each token if the request ended now, in microseconds, which is the minimum
+     *     that it can still be.
      */
     public void learnOverdue(double minMicrosPerToken) {
         outputMicros += SMOOTHING * Math.max(0, minMicrosPerToken - outputMicros);
@@ -84,7 +84,7 @@
     /**
      * Estimates how long a request would take.
      *
-     * @param uncachedTokens the number of prompt tokens that would have to be computed.
+     * @param uncachedTokens the number of prompt tokens that would have to be processed.
      * @param outputTokens the number of tokens in the answer.
      * @return the time in microseconds.
      */
@@ -96,7 +96,7 @@
      * Computes the time of a request from the times for each token. Even a cached prompt waits for a step of the engine,
      * which is added as a fixed number of prompt tokens. A request without a prompt has no such wait.
      *
-     * @param uncachedTokens the number of prompt tokens that would have to be computed.
+     * @param uncachedTokens the number of prompt tokens that would have to be processed.
      * @param prefillMicros the time for each of them in microseconds.
      * @param outputTokens the number of tokens in the answer.
      * @param outputMicros the time for each of them in microseconds.
@@ -141,15 +141,15 @@
      * Returns whether the upstream is congested, by comparing its present times with its best recent ones. Late first
      * tokens mean that requests wait in the queue of the engine; slow output means that it runs too many requests at once.
      *
-     * @param nothingWaits whether the upstream reports that no request waits in its queue, so that late first tokens have
+     * @param noneWaiting whether the upstream reports that no request waits in its queue, so that late first tokens have
      *     another cause.
      * @return whether the upstream is congested.
      */
-    public boolean isCongested(boolean nothingWaits) {
+    public boolean isCongested(boolean noneWaiting) {
         boolean slowOutput =
                 outputMicros > SLOW_OUTPUT_FACTOR * bestOutputMicros && outputMicros > MIN_CONGESTED_OUTPUT_MICROS;
         boolean slowPrefill = prefillMicros > SLOW_PREFILL_FACTOR * bestPrefillMicros;
-        return slowOutput || slowPrefill && !nothingWaits;
+        return slowOutput || slowPrefill && !noneWaiting;
     }
 
     /** Clears the signs of congestion after the limit was lowered, so that only later measurements count. */
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -20,13 +20,13 @@
     /** How long a load report counts as evidence that no request waits in the upstream's queue. */
     private static final long REPORT_VALID_MICROS = 6_000_000;
 
-    /** The share of the time for computing a prompt by which each request in flight is delayed. */
+    /** The share of the time for processing a prompt by which each request in flight is delayed. */
     private static final double PREFILL_DELAY_SHARE = 0.3;
 
     /** By how much each failure in a row raises the factor on the expected time. */
     private static final double PENALTY_PER_FAILURE = 4;
 
-    /** The least factor by which the measured time of an idle upstream is lowered. */
+    /** The minimum factor by which the measured time of an idle upstream is lowered. */
     private static final double MIN_FADING_FACTOR = 0.1;
 
     private final SchedulerOptions options;
@@ -57,7 +57,7 @@
      *
      * @param row the upstream's row in the row of the pool.
      * @param engine whether the upstream is a model engine.
-     * @param ceiling the greatest number of requests that it may run at once.
+     * @param ceiling the maximum number of requests that it may run at once.
      * @param options the scheduling policy.
      */
     public UpstreamState(UpstreamRow row, boolean engine, int ceiling, SchedulerOptions options) {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Replaces the row, as after an edit of the pool. A changed row also ends the state of leaving.
+     * Replaces the row, as after an edit of the pool. A changed row also ends the leaving state.
      *
      * @param changed the new row.
      */
@@ -180,7 +180,7 @@
     }
 
     /**
-     * Estimates how many prompt tokens the upstream would have to compute for a request.
+     * Estimates how many prompt tokens the upstream would have to process for a request.
      *
      * @param size the size of the request.
      * @return the number of tokens, at least 1 where there is a prompt.
@@ -196,7 +196,7 @@
 
     /**
      * Estimates how long a request would take if it were dispatched now, after the prompts that the upstream has yet to
-     * compute.
+     * process.
      *
      * @param size the size of the request.
      * @return the time in microseconds.
@@ -219,7 +219,8 @@
      * @return the time in microseconds.
      */
     public double selectionMicros(RequestSize size, long now) {
-        // Computing a prompt delays all other requests of the batch, which costs the pool more than the request itself.
+        // Processing a prompt delays all other requests of the batch, which costs the pool more than the request
+        // itself.
         double delay = uncachedTokens(size) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
         return (expectedMicros(size) + delay) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
     }
@@ -238,7 +239,7 @@
      * Estimates how long a request would take with no other prompt before it, for deciding whether it can meet its
      * deadline.
      *
-     * @param uncachedTokens the number of prompt tokens that would have to be computed.
+     * @param uncachedTokens the number of prompt tokens that would have to be processed.
      * @param outputTokens the number of tokens in the answer.
      * @param now the current time in microseconds.
      * @return the time in microseconds.
@@ -273,7 +274,7 @@
     }
 
     /**
-     * Records that the first token of an answer was received, which means that the prompt has been computed.
+     * Records that the first token of an answer was received, which means that the prompt has been processed.
      *
      * @param id the attempt.
      * @param now the current time in microseconds.
@@ -415,7 +416,7 @@
     }
 
     /**
-     * Applies the upstream's own report of its load. Since the report is stale, only requests beyond the greatest number
+     * Applies the upstream's own report of its load. Since the report is stale, only requests beyond the maximum number
      * in flight since the previous report count as load from other sources.
      *
      * @param running the number of requests that the upstream reports as running.
--- a/decision/src/test/java/org/radishspur/decision/move/VersionComparisonPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/move/VersionComparisonPropertyTest.java
@@ -16,20 +16,20 @@
     private static final long OBSERVATION_MILLIS = 60_000;
     private static final long SECOND_MILLIS = 1_000;
 
-    private final VersionComparison watch = new VersionComparison();
+    private final VersionComparison comparison = new VersionComparison();
 
     /** Records a minute of answers, and returns the first detected fault. */
     private RollbackReason firstDetectedFault(int answersPerSecond, long seed, Host host) {
         Random random = new Random(seed);
         for (int oldAnswer = 0; oldAnswer < OLD_ANSWERS; oldAnswer++) {
-            watch.observeOld(false, random.nextGaussian() * LOG_DEVIATION);
+            comparison.observeOld(false, random.nextGaussian() * LOG_DEVIATION);
         }
         for (int answer = 0; answer < answersPerSecond * OBSERVATION_MILLIS / SECOND_MILLIS; answer++) {
             long sentAt = answer * SECOND_MILLIS / answersPerSecond;
             double logSlowness = host.logSlowness(sentAt) + random.nextGaussian() * LOG_DEVIATION;
-            watch.observeNew(false, logSlowness, answer, host.answeredAt(sentAt));
-            if (watch.detectedFault() != RollbackReason.NONE) {
-                return watch.detectedFault();
+            comparison.observeNew(false, logSlowness, answer, host.answeredAt(sentAt));
+            if (comparison.detectedFault() != RollbackReason.NONE) {
+                return comparison.detectedFault();
             }
         }
         return RollbackReason.NONE;
--- a/decision/src/test/java/org/radishspur/decision/move/VersionComparisonTest.java
+++ b/decision/src/test/java/org/radishspur/decision/move/VersionComparisonTest.java
@@ -13,7 +13,7 @@
     private static final double USUAL_MICROS = 20_000;
     private static final long ANSWER_GAP_MILLIS = 1_200;
 
-    private final VersionComparison watch = new VersionComparison();
+    private final VersionComparison comparison = new VersionComparison();
     private final Random random = new Random(3);
 
     private int earlierAnswers;
@@ -26,13 +26,13 @@
     }
 
     private void observeNewNow(boolean failed, double logSlowness) {
-        watch.observeNew(failed, logSlowness, earlierAnswers, now);
+        comparison.observeNew(failed, logSlowness, earlierAnswers, now);
         earlierAnswers += failed ? 0 : 1;
     }
 
     private void observeOldAnswers(int count) {
         for (int oldAnswer = 0; oldAnswer < count; oldAnswer++) {
-            watch.observeOld(false, random.nextGaussian() * 0.3);
+            comparison.observeOld(false, random.nextGaussian() * 0.3);
         }
     }
 
@@ -40,7 +40,7 @@
     void aVersionWhoseFirstAnswerFailsIsDetectedImmediately() {
         observeOldAnswers(50);
         advanceAndObserveNew(true, 0);
-        assertThat(watch.detectedFault()).isEqualTo(RollbackReason.FAILS_OUTRIGHT);
+        assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.FAILS_OUTRIGHT);
     }
 
     @Test
@@ -48,18 +48,18 @@
         observeOldAnswers(50);
         advanceAndObserveNew(false, 0);
         advanceAndObserveNew(true, 0);
-        assertThat(watch.detectedFault()).isEqualTo(RollbackReason.NONE);
+        assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.NONE);
     }
 
     @Test
     void aVersionThatIsAFifthSlowerIsDetected() {
         observeOldAnswers(500);
         int answers = 0;
-        while (watch.detectedFault() == RollbackReason.NONE && answers < 1_000) {
+        while (comparison.detectedFault() == RollbackReason.NONE && answers < 1_000) {
             advanceAndObserveNew(false, Math.log(1.2) + random.nextGaussian() * 0.3);
             answers++;
         }
-        assertThat(watch.detectedFault()).isEqualTo(RollbackReason.SLOWER);
+        assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.SLOWER);
         assertThat(answers).isLessThan(300);
     }
 
@@ -67,11 +67,11 @@
     @Test
     void aVersionWithFourSlowFirstAnswersIsNotRolledBack() {
         for (int oldAnswer = 0; oldAnswer < 500; oldAnswer++) {
-            watch.observeOld(false, random.nextGaussian() * 0.1);
+            comparison.observeOld(false, random.nextGaussian() * 0.1);
         }
         for (int answer = 0; answer < 300; answer++) {
             advanceAndObserveNew(false, answer < 4 ? Math.log(50) : random.nextGaussian() * 0.1);
-            assertThat(watch.detectedFault()).isEqualTo(RollbackReason.NONE);
+            assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.NONE);
         }
     }
 
@@ -103,12 +103,12 @@
                 if (answer[0].equals("new")) {
                     observeNewNow(false, logSlowness);
                 } else {
-                    watch.observeOld(false, logSlowness);
+                    comparison.observeOld(false, logSlowness);
                 }
-                assertThat(watch.detectedFault()).isEqualTo(RollbackReason.NONE);
+                assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.NONE);
             });
         }
-        assertThat(watch.evidenceLevel())
+        assertThat(comparison.evidenceLevel())
                 .as("evidence against the new version, low enough for the move to advance")
                 .isLessThan(0.4);
     }
@@ -119,7 +119,7 @@
         for (int answer = 0; answer < 20_000; answer++) {
             advanceAndObserveNew(random.nextInt(1_000) == 0, random.nextGaussian() * 0.3);
         }
-        assertThat(watch.detectedFault()).isEqualTo(RollbackReason.NONE);
+        assertThat(comparison.detectedFault()).isEqualTo(RollbackReason.NONE);
     }
 
     /** Guards against a version that becomes faulty after weeks of good answers and stays in use. */
@@ -130,7 +130,7 @@
             advanceAndObserveNew(false, random.nextGaussian() * 0.3);
         }
         int late = 0;
-        while (watch.detectedFault() == RollbackReason.NONE && late < 1_000) {
+        while (comparison.detectedFault() == RollbackReason.NONE && late < 1_000) {
             advanceAndObserveNew(random.nextInt(3) == 0, 0);
             late++;
         }
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
@@ -388,7 +388,7 @@
     @Nested
     class WithLostMessages {
         @Test
-        void aRepeatedRequestRepeatsTheGrantAndTakesNoSecondSlot() {
+        void aDuplicateRequestRepeatsTheGrantAndTakesNoSecondSlot() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             PermitRequest request = request(Tier.NORMAL, "a", "x");
             scheduler.submit(request, now);
--- a/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
@@ -22,7 +22,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends a thousand requests within at most half a second to two engines whose hosts get no processor time for a while.
+ * Sends a thousand requests within at most half a second to two engines whose hosts get no CPU time for a while.
  */
 class StarvedPoolTest {
     private static final int REQUESTS = 1_000;
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
@@ -174,7 +174,7 @@
         return longestEngineQueue;
     }
 
-    /** Returns the longest time without a grant to the entries of a scheduler's group. */
+    /** Returns the longest time without a grant to the entries that use a scheduler unless it is stopped. */
     long longestGrantGapMillis(int scheduler) {
         return Math.max(longestGrantGap[scheduler], now - lastGrantAt[scheduler]);
     }
@@ -342,7 +342,7 @@
         private final double eventMillis;
         private final Deque<Request> queue = new ArrayDeque<>();
         private int running;
-        private long promptReadUntil;
+        private long promptsProcessedUntil;
 
         Engine(double eventMillis) {
             this.eventMillis = eventMillis;
@@ -361,8 +361,8 @@
             running++;
             long promptMillis =
                     (long) (request.tokens / PROMPT_TOKENS_PER_MILLI * eventMillis / workload.fastEventMillis());
-            promptReadUntil = Math.max(promptReadUntil, now) + promptMillis;
-            long firstByteAt = promptReadUntil + (long) (request.events == 0 ? callMillis() : 2 * eventMillis);
+            promptsProcessedUntil = Math.max(promptsProcessedUntil, now) + promptMillis;
+            long firstByteAt = promptsProcessedUntil + (long) (request.events == 0 ? callMillis() : 2 * eventMillis);
             long endsAt = firstByteAt + (long) (request.events * eventMillis);
             boolean isOnTime = firstByteAt <= targetOf(request) && endsAt <= deadlineOf(request);
             onTimeByTier[request.tier] += isOnTime ? 1 : 0;
