--- a/decision/src/main/java/org/radishspur/decision/dispatch/RolloutEvaluator.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RolloutEvaluator.java
@@ -37,7 +37,7 @@
     /**
      * Decides whether the trial version is good or bad, or whether it is too early to tell.
      *
-     * @param routes the answers on each route.
+     * @param routes the outcomes on each route.
      * @param elapsed the share of the period that has passed, from 0 to 1.
      * @return the verdict.
      */
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Holds the answers on one route.
+     * Holds the outcomes on one route.
      *
-     * @param trial the answers of the version under trial.
-     * @param others the answers of the other versions.
+     * @param trial the outcomes of the version under trial.
+     * @param others the outcomes of the other versions.
      */
     public record RouteOutcomes(OutcomeCounts trial, OutcomeCounts others) {}
 
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
@@ -297,7 +297,7 @@
      * Returns whether a connection that breaks now would count as a separate failure.
      *
      * @param now the current time in milliseconds.
-     * @return whether none broke just before.
+     * @return whether no other connection broke just before.
      */
     public boolean isSeparateBreak(long now) {
         return now - lastBreakAt > SAME_CAUSE_MILLIS;
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
@@ -36,7 +36,7 @@
     /** The speed at which a fast engine processes prompts. */
     private static final double PROMPT_TOKENS_PER_MILLI = 157;
 
-    /** The share of plain calls that take longer than usual by {@link #LONG_CALL_FACTOR}. */
+    /** The share of plain calls that take longer than usual by the factor {@link #LONG_CALL_FACTOR}. */
     private static final double LONG_CALL_SHARE = 0.01;
 
     private static final double LONG_CALL_FACTOR = 5;
