--- a/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
@@ -11,10 +11,10 @@
  * @param pool the name of the pool.
  * @param upstreamRun identifies one run of the upstream's process; see
  *     {@link org.radishspur.model.catalogue.Upstream#runId()}.
- * @param unreadPromptTokens the number of prompt tokens that the upstream may still have to process.
+ * @param pendingPromptTokens the number of prompt tokens that the upstream may still have to process.
  * @param tier the tier of the route; 0 is the most urgent.
  */
-public record HeldSlot(long requestId, String pool, String upstreamRun, long unreadPromptTokens, int tier) {
+public record HeldSlot(long requestId, String pool, String upstreamRun, long pendingPromptTokens, int tier) {
     QueuedRequest toQueuedRequest(long now) {
         return new QueuedRequest(
                 "",
@@ -22,6 +22,6 @@
                 now,
                 now,
                 VersionRule.Any.INSTANCE,
-                new QueuedRequest.Requirements(unreadPromptTokens, 0, tier, now, Long.MAX_VALUE));
+                new QueuedRequest.Requirements(pendingPromptTokens, 0, tier, now, Long.MAX_VALUE));
     }
 }
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
@@ -71,7 +71,7 @@
             QueuedRequest queued = held.toQueuedRequest(now);
             TrackedRequest tracked = new TrackedRequest(entry, held.requestId(), pool, queued, Optional.empty(), 0);
             tracked.upstream = upstream;
-            upstream.recordSent(queued, held.unreadPromptTokens(), now);
+            upstream.recordSent(queued, held.pendingPromptTokens(), now);
             requestsOf(entry).put(held.requestId(), tracked);
         });
         return found;
