--- a/command/src/main/java/org/radishspur/command/AdminClient.java
+++ b/command/src/main/java/org/radishspur/command/AdminClient.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * HTTP client of the admin server of one node, which forwards calls that only the control leader can answer.
+ * Calls the admin server of one node over HTTP; the node forwards calls that only the control leader can answer.
  */
 public final class AdminClient {
-    /** Maximum duration of one call. */
+    /** The maximum duration of one call. */
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     private static final int NOT_FOUND = 404;
@@ -101,10 +101,10 @@
      * @param body the JSON body.
      */
     record Reply(int status, JsonNode body) {
-        private static final int FIRST_ERROR_STATUS = 300;
+        private static final int FIRST_STATUS_AFTER_SUCCESS = 300;
 
         boolean isSuccess() {
-            return status < FIRST_ERROR_STATUS;
+            return status < FIRST_STATUS_AFTER_SUCCESS;
         }
     }
 }
--- a/command/src/main/java/org/radishspur/command/EvacuationCommand.java
+++ b/command/src/main/java/org/radishspur/command/EvacuationCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Base of the commands that evacuate a failure domain and end its evacuation.
+ * Implements what the commands that evacuate and readmit a failure domain have in common.
  */
 abstract class EvacuationCommand implements Callable<Integer> {
     @Mixin
--- a/command/src/main/java/org/radishspur/command/LossesCommand.java
+++ b/command/src/main/java/org/radishspur/command/LossesCommand.java
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Key under which losses are counted.
+     * Identifies a group of losses that are counted together.
      *
      * @param windowStart the start of the window in seconds since the epoch, or 0 without windows.
      * @param cause the reason why the requests were not served.
--- a/model/src/main/java/org/radishspur/model/catalogue/PoolRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/PoolRule.java
@@ -5,7 +5,7 @@
  *
  * @param name the name of the pool.
  * @param maximumConnections the maximum number of connections to one upstream, from all entry nodes together.
- * @param slots how many requests an upstream runs at once, or 0 if only the host list states it.
+ * @param slots the maximum number of requests that an upstream runs at once, or 0 if only the host list states it.
  * @param engine whether the upstreams are model engines; if not, they are plain services.
  * @param coldStart the limit on requests to an upstream after its start.
  */
@@ -15,7 +15,7 @@
      *
      * @param name the name of the pool.
      * @param maximumConnections the maximum number of connections to one upstream, from all entry nodes together.
-     * @param slots how many requests an upstream runs at once, or 0 if only the host list states it.
+     * @param slots the maximum number of requests that an upstream runs at once, or 0 if only the host list states it.
      * @param engine whether the upstreams are model engines; if not, they are plain services.
      */
     public PoolRule(String name, int maximumConnections, int slots, boolean engine) {
--- a/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
@@ -55,10 +55,10 @@
      */
     public String choosePool(double draw) {
         double total = shares.stream().mapToDouble(PoolShare::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (PoolShare share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.pool();
             }
         }
--- a/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
@@ -11,7 +11,7 @@
  * @param address the IP address and port.
  * @param failureDomain the failure domain that the instance belongs to.
  * @param version the version of its software.
- * @param slots how many requests it runs at once, or 0 if the host list doesn't state it.
+ * @param slots the maximum number of requests that it runs at once, or 0 if the host list doesn't state it.
  * @param draining whether the instance is draining and receives no new requests.
  * @param cold whether the instance is still warming up after its start and accepts only a few requests.
  */
@@ -55,7 +55,7 @@
         return id + '@' + incarnation + '@' + address;
     }
 
-    /** {@inheritDoc} Written by hand: the method that records generate is linked at run time, at each process start. */
+    /** {@inheritDoc} Written by hand, because the generated method of a record is linked at run time, at each process start. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Upstream upstream
--- a/model/src/main/java/org/radishspur/model/table/RouteRow.java
+++ b/model/src/main/java/org/radishspur/model/table/RouteRow.java
@@ -16,7 +16,7 @@
  * @param defaultTier the tier of a request that states none.
  * @param tierCeiling the most urgent tier that a request may ask for.
  * @param defaultDeadlineMillis the time until the deadline of a request that states none, in milliseconds.
- * @param deadlineCeilingMillis the longest time until the deadline that a request may ask for, in milliseconds.
+ * @param deadlineCeilingMillis the maximum time until the deadline that a request may ask for, in milliseconds.
  * @param bodyLimitBytes the maximum size of a request body, in bytes.
  * @param version the upstream version that the route is to use, or an empty text for any version.
  * @param completeByMillis the time by which all requests of the route are to use its version, in milliseconds since the
--- a/replication/src/main/java/org/radishspur/replication/codec/Format.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/Format.java
@@ -300,20 +300,20 @@
         private final Constructor<?> constructor;
         private final Method[] accessors;
         private final Format[] componentFormats;
-        private final Object[] absent;
+        private final Object[] defaultValues;
 
         OfRecord(Class<?> type, Function<Type, Format> formats) {
             RecordComponent[] declared = type.getRecordComponents();
             Class<?>[] types = new Class<?>[declared.length];
             accessors = new Method[declared.length];
             componentFormats = new Format[declared.length];
-            absent = new Object[declared.length];
+            defaultValues = new Object[declared.length];
             for (int index = 0; index < declared.length; index++) {
                 types[index] = declared[index].getType();
                 accessors[index] = declared[index].getAccessor();
                 accessors[index].setAccessible(true);
                 componentFormats[index] = formats.apply(declared[index].getGenericType());
-                absent[index] = absent(types[index]);
+                defaultValues[index] = defaultValue(types[index]);
             }
             try {
                 constructor = type.getDeclaredConstructor(types);
@@ -323,8 +323,8 @@
             }
         }
 
-        /** Returns the value of a component that is missing in the input. */
-        private static Object absent(Class<?> type) {
+        /** Returns the value of a component of this type that is missing in the input. */
+        private static Object defaultValue(Class<?> type) {
             if (type == boolean.class) {
                 return false;
             } else if (type == int.class) {
@@ -354,14 +354,14 @@
         @Override
         public Object read(MessageUnpacker unpacker) throws IOException {
             int length = unpacker.unpackArrayHeader();
-            Object[] values = absent.clone();
+            Object[] values = defaultValues.clone();
             for (int index = 0; index < length; index++) {
                 if (index >= componentFormats.length) {
                     unpacker.skipValue();
                     continue;
                 }
                 Object value = readNullable(componentFormats[index], unpacker);
-                values[index] = value == null ? absent[index] : value;
+                values[index] = value == null ? defaultValues[index] : value;
             }
             try {
                 return constructor.newInstance(values);
@@ -405,11 +405,11 @@
         @Override
         public Object read(MessageUnpacker unpacker) throws IOException {
             int length = unpacker.unpackArrayHeader();
-            int number = length == 2 ? unpacker.unpackInt() : -1;
-            if (number < 0 || number >= subtypes.size()) {
-                throw new IOException("unknown subtype index " + number);
+            int index = length == 2 ? unpacker.unpackInt() : -1;
+            if (index < 0 || index >= subtypes.size()) {
+                throw new IOException("unknown subtype index " + index);
             }
-            return formats.apply(subtypes.get(number)).read(unpacker);
+            return formats.apply(subtypes.get(index)).read(unpacker);
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -109,7 +109,7 @@
      * Starts the replacement of a lost replica by a new one, or the addition of a new replica.
      *
      * @param learner the identity of the new replica, whose disk is empty.
-     * @param replaced the identity of the lost replica, or an empty text to add a replica.
+     * @param replaced the identity of the lost replica, or an empty string to add a replica.
      * @return whether the change was started.
      */
     public boolean replace(String learner, String replaced) {
@@ -314,7 +314,7 @@
      * @param maximumPending the maximum number of pending proposals.
      */
     public record Options(RaftOptions raft, StateOptions state, int entriesPerSnapshot, int maximumPending) {
-        /** The default options, sized for a cluster of the current size. */
+        /** The default options, which suit the present size of the cluster. */
         public static final Options STANDARD = new Options(RaftOptions.STANDARD, StateOptions.STANDARD, 10_000, 20_000);
     }
 
--- a/replication/src/main/java/org/radishspur/replication/control/ProposalOutcome.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ProposalOutcome.java
@@ -10,14 +10,14 @@
     /**
      * Reports that the command is committed and applied.
      *
-     * @param answer the result that the state machine returned.
+     * @param answer the answer that the state machine returned.
      */
     record Committed(ControlAnswer answer) implements ProposalOutcome {}
 
     /**
      * Reports that the command was not appended to the log, because this replica isn't the leader.
      *
-     * @param leader the identity of the leader, or an empty text if it is unknown.
+     * @param leader the identity of the leader, or an empty string if it is unknown.
      */
     record NotLeader(String leader) implements ProposalOutcome {}
 
@@ -40,8 +40,8 @@
         /**
          * Receives the outcome.
          *
-         * @param proposal the outcome of the command.
+         * @param outcome the outcome of the command.
          */
-        void onOutcome(ProposalOutcome proposal);
+        void onOutcome(ProposalOutcome outcome);
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/DataFolder.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/DataFolder.java
@@ -132,8 +132,7 @@
      * @return the free space in bytes, or 0 if it can't be determined.
      */
     public long usableBytes() {
-        // Not by a FileStore, which reads the list of all mounts at each call, here on the thread that writes to the
-        // disk.
+        // Avoids a FileStore: it would read the list of all mounts at each call, on the thread that writes to the disk.
         return path.toFile().getUsableSpace();
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/FileDisk.java
@@ -31,7 +31,7 @@
     private static final int NUMBER_DIGITS = 20;
     private static final String JOURNAL_PREFIX = "journal-";
     private static final String SNAPSHOT_PREFIX = "snapshot-";
-    private static final long STANDARD_JOURNAL_BYTES = 16L << 20;
+    private static final long DEFAULT_JOURNAL_BYTES = 16L << 20;
     private static final int KEPT_SNAPSHOTS = 2;
 
     private final DataFolder folder;
@@ -39,7 +39,7 @@
     private final JournalFile.Factory journalFactory;
     private final long journalBytes;
     private final Deque<ClosedJournal> closedJournals = new ArrayDeque<>();
-    private final Set<Long> stagedSnapshots = ConcurrentHashMap.newKeySet();
+    private final Set<Long> preparedSnapshots = ConcurrentHashMap.newKeySet();
     private HardState hardState = HardState.INITIAL;
     private JournalFile currentJournal;
     private long currentNumber;
@@ -53,7 +53,7 @@
      * @param identity the identity of the folder.
      */
     public FileDisk(DataFolder folder, Identity identity) {
-        this(folder, identity, JournalFile.ChannelJournalFile::new, STANDARD_JOURNAL_BYTES);
+        this(folder, identity, JournalFile.ChannelJournalFile::new, DEFAULT_JOURNAL_BYTES);
     }
 
     FileDisk(DataFolder folder, Identity identity, JournalFile.Factory journalFactory, long journalBytes) {
@@ -97,7 +97,7 @@
         }
         try {
             if (batch.snapshot().isPresent()
-                    && !stagedSnapshots.remove(batch.snapshot().get().lastIndex())) {
+                    && !preparedSnapshots.remove(batch.snapshot().get().lastIndex())) {
                 writeSnapshot(batch.snapshot().get());
             }
             if (currentLength > journalBytes) {
@@ -121,7 +121,7 @@
     public void prepareSnapshot(Snapshot snapshot) {
         try {
             writeSnapshot(snapshot);
-            stagedSnapshots.add(snapshot.lastIndex());
+            preparedSnapshots.add(snapshot.lastIndex());
         } catch (IOException exception) {
             throw DiskFaults.translate("can't write to " + folder.path(), exception);
         }
--- a/replication/src/main/java/org/radishspur/replication/disk/Identity.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/Identity.java
@@ -17,7 +17,7 @@
 
 /**
  * Identifies a data folder and its replica permanently. The identity is assigned when the folder is formatted, and is never
- * used again after the disk was wiped.
+ * reused, not even after the disk is wiped.
  *
  * @param cluster the cluster that the folder belongs to.
  * @param node the node that formatted the folder.
--- a/replication/src/main/java/org/radishspur/replication/raft/Followers.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Followers.java
@@ -45,7 +45,7 @@
             Progress state = progress.get(voter);
             matchIndexes.add(voter.equals(self) ? persistedIndex : state == null ? 0 : state.matchIndex);
         }
-        return greatestReachedByQuorum(matchIndexes, configuration);
+        return highestReachedByQuorum(matchIndexes, configuration);
     }
 
     /**
@@ -58,7 +58,7 @@
             Progress state = progress.get(voter);
             sendTimes.add(voter.equals(self) ? Long.MAX_VALUE : state == null ? 0 : state.acknowledgedSendTime);
         }
-        return greatestReachedByQuorum(sendTimes, configuration);
+        return highestReachedByQuorum(sendTimes, configuration);
     }
 
     /**
@@ -84,7 +84,7 @@
         return oldest;
     }
 
-    private static long greatestReachedByQuorum(List<Long> values, Configuration configuration) {
+    private static long highestReachedByQuorum(List<Long> values, Configuration configuration) {
         values.sort(Comparator.reverseOrder());
         return values.get(configuration.quorum() - 1);
     }
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -18,7 +18,10 @@
  * <p>This class is not thread-safe; only the control thread uses it.
  */
 public final class RaftCore {
-    /** The shortest election timeout of a replica that has seen no leader since its start, where no lease is used. */
+    /**
+     * The minimum election timeout, in heartbeats, of a replica that has seen no leader since its start, where no lease is
+     * used.
+     */
     private static final int INITIAL_ELECTION_TIMEOUT_HEARTBEATS = 1;
 
     /** The upper bound of the estimated write time, in election timeouts. */
@@ -490,7 +493,7 @@
         Snapshot snapshot = state.snapshotInTransfer.get();
         int begin = (int) state.snapshotOffset;
         int end = Math.min(snapshot.state().length, begin + options.snapshotChunkBytes());
-        byte[] part = java.util.Arrays.copyOfRange(snapshot.state(), begin, end);
+        byte[] chunk = java.util.Arrays.copyOfRange(snapshot.state(), begin, end);
         state.unacknowledgedSince = Math.max(1, leaderClock);
         immediate.add(new OutboundMessage(
                 peer,
@@ -500,7 +503,7 @@
                         snapshot.lastTerm(),
                         snapshot.configuration(),
                         begin,
-                        part,
+                        chunk,
                         end == snapshot.state().length,
                         leaderClock)));
     }
@@ -786,8 +789,8 @@
     }
 
     private long leaseEnd() {
-        long answered = quorumAcknowledgedSendTime();
-        return answered == Long.MAX_VALUE ? Long.MAX_VALUE : answered + options.leaseMillis();
+        long acknowledgedSendTime = quorumAcknowledgedSendTime();
+        return acknowledgedSendTime == Long.MAX_VALUE ? Long.MAX_VALUE : acknowledgedSendTime + options.leaseMillis();
     }
 
     private long appendAsLeader(Payload payload) {
@@ -833,9 +836,10 @@
         // there is no leader to wait for; if there is a leader, the pre-vote is refused. One heartbeat rather than two
         // starts the election sooner but splits votes more often, so that it may not shorten an outage.
         boolean noLeaderSeen = options.leaseMillis() == 0 && !leaderSeen;
-        long shortest = noLeaderSeen
+        long minimumMillis = noLeaderSeen
                 ? INITIAL_ELECTION_TIMEOUT_HEARTBEATS * options.heartbeatMillis()
                 : options.electionTimeoutMillis();
-        electionDueAt = now + shortest + random.nextLong(Math.max(1, noLeaderSeen ? 2 * shortest : shortest));
+        electionDueAt =
+                now + minimumMillis + random.nextLong(Math.max(1, noLeaderSeen ? 2 * minimumMillis : minimumMillis));
     }
 }
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftLog.java
@@ -62,8 +62,8 @@
                     "can't append entry " + entry.index() + " to a log that ends at " + lastIndex());
         }
         entries.add(entry);
-        if (entry.payload() instanceof LogEntry.Payload.ConfigurationChange membership) {
-            configurations.put(entry.index(), membership.configuration());
+        if (entry.payload() instanceof LogEntry.Payload.ConfigurationChange change) {
+            configurations.put(entry.index(), change.configuration());
         }
     }
 
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
@@ -4,7 +4,7 @@
  * Holds the timeouts and size limits of a replica.
  *
  * @param heartbeatMillis the interval between the heartbeats of a leader, in milliseconds.
- * @param electionTimeoutMillis the shortest time without contact to a leader after which a follower starts an election,
+ * @param electionTimeoutMillis the minimum time without contact to a leader after which a follower starts an election,
  *     in milliseconds; a random time of up to the same length is added.
  * @param leaseMillis how long the replies of a majority allow the leader to serve reads, in milliseconds; it must be
  *     shorter than the election timeout by more than the drift of the hosts' clocks in that time; 0 disables the lease,
--- a/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
+++ b/replication/src/main/java/org/radishspur/replication/state/MoveTable.java
@@ -18,7 +18,7 @@
 /**
  * Stores the latest move of each route to another version, and earlier moves. An accepted edit that changes the version
  * of a route begins a move. After that, the move only changes by proposals that match its current state and stage, by
- * being taken back, or by another edit.
+ * being rolled back, or by another edit.
  */
 public final class MoveTable {
     private static final int MAXIMUM_ENDED_MOVES = 1_000;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Begins, changes, takes back or removes moves according to an accepted edit.
+     * Begins, changes, rolls back or removes moves according to an accepted edit.
      *
      * @param before the tables before the edit.
      * @param after the tables after the edit.
@@ -59,7 +59,7 @@
 
     /**
      * Changes a move if it is still in the state and stage that the proposal expects. A move that hasn't ended can be
-     * taken back from any state and stage; a move that has ended never changes again.
+     * rolled back from any state and stage; a move that has ended never changes again.
      *
      * @param proposal the proposed change.
      * @param now the proposer's wall clock, in milliseconds since the epoch.
--- a/replication/src/main/java/org/radishspur/replication/state/TablesState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesState.java
@@ -26,7 +26,7 @@
     /** The number of answers to keep, which covers two days at the required rate of 29,000 changes a day. */
     static final int MAXIMUM_STORED_ANSWERS = 60_000;
 
-    /** The shortest time in which a route can move to another version, as that version is evaluated first. */
+    /** The minimum time in which a route can move to another version, as that version is evaluated first. */
     private static final long MINIMUM_MOVE_MILLIS = 60_000;
 
     /** The number of revisions whose changes are kept for deltas. */
@@ -205,7 +205,7 @@
      * Holds the answer to one edit.
      *
      * @param changeId the identity of the edit.
-     * @param digest a digest of the edit; an edit with the same identity and another digest is refused.
+     * @param digest a digest of the edit; an edit with the same identity and another digest is rejected.
      * @param answer the answer.
      */
     public record AnsweredEdit(String changeId, int digest, EditAnswer answer) {}
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -57,9 +57,10 @@
         return state.moves().latest().get("route");
     }
 
-    private void propose(Move seen, MoveState to, MoveStage stage, RollbackReason reason) {
+    private void propose(Move expected, MoveState to, MoveStage stage, RollbackReason reason) {
         state.apply(new ControlCommand.ChangeMove(
-                new MoveDriver.Proposal("route", seen.id(), seen.state(), seen.stage(), to, stage, reason), NOW));
+                new MoveDriver.Proposal("route", expected.id(), expected.state(), expected.stage(), to, stage, reason),
+                NOW));
     }
 
     private VersionSplit split() {
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void anEditToTheOldVersionTakesTheMoveBack() {
+    void anEditToTheOldVersionRollsTheMoveBack() {
         createRoute();
         putRoute("2", NOW + HOUR_MILLIS, NOW);
         putRoute("1", 0, NOW);
@@ -129,16 +130,16 @@
         assertThat(latestMove().completeBy()).isEqualTo(NOW + HOUR_MILLIS / 2);
     }
 
-    /** Guards against requests to a version whose move was taken back, caused by delayed proposals or a snapshot. */
+    /** Guards against requests to a version whose move was rolled back, caused by delayed proposals or a snapshot. */
     @Property(seed = "99", tries = 200, shrinking = ShrinkingMode.OFF)
-    void aMoveThatWasTakenBackNeverChangesAgain(@ForAll long seed) {
+    void aMoveThatWasRolledBackNeverChangesAgain(@ForAll long seed) {
         Random random = new Random(seed);
         createRoute();
         putRoute("2", NOW + HOUR_MILLIS, NOW);
-        List<Move> seen = new java.util.ArrayList<>(List.of(latestMove()));
-        boolean takenBack = false;
+        List<Move> observedMoves = new java.util.ArrayList<>(List.of(latestMove()));
+        boolean rolledBack = false;
         for (int step = 0; step < 60; step++) {
-            Move stale = seen.get(random.nextInt(seen.size()));
+            Move stale = observedMoves.get(random.nextInt(observedMoves.size()));
             MoveState next = MoveState.values()[random.nextInt(MoveState.values().length)];
             MoveStage stage = next == MoveState.STEPPING ? stale.stage().next() : MoveStage.ALL;
             propose(stale, next, stage, RollbackReason.NONE);
@@ -146,13 +147,13 @@
                 state.restore(state.image().encode());
             }
             Move now = latestMove();
-            assertThat(!takenBack || now.state() == MoveState.TAKEN_BACK).isTrue();
-            assertThat(now.share()).isLessThanOrEqualTo(takenBack ? 0 : 1);
-            boolean doneAndTakenBack = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
+            assertThat(!rolledBack || now.state() == MoveState.TAKEN_BACK).isTrue();
+            assertThat(now.share()).isLessThanOrEqualTo(rolledBack ? 0 : 1);
+            boolean doneAndRolledBack = now.history().stream().anyMatch(event -> event.state() == MoveState.DONE)
                     && now.state() == MoveState.TAKEN_BACK;
-            assertThat(doneAndTakenBack).as("done and taken back").isFalse();
-            takenBack |= now.state() == MoveState.TAKEN_BACK;
-            seen.add(now);
+            assertThat(doneAndRolledBack).as("done and rolled back").isFalse();
+            rolledBack |= now.state() == MoveState.TAKEN_BACK;
+            observedMoves.add(now);
         }
     }
 }
