--- a/command/src/main/java/org/radishspur/command/ApplyCommand.java
+++ b/command/src/main/java/org/radishspur/command/ApplyCommand.java
@@ -99,7 +99,7 @@
 
     private int awaitInForce(long revision) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-        List<String> missing = missing(revision);
+        List<String> missing = nodesNotInForce(revision);
         while (!missing.isEmpty() && System.nanoTime() < deadlineNanos) {
             try {
                 Thread.sleep(POLL_MILLIS);
@@ -107,13 +107,13 @@
                 Thread.currentThread().interrupt();
                 break;
             }
-            missing = missing(revision);
+            missing = nodesNotInForce(revision);
         }
         print(missing.isEmpty() ? "in force on all" : "accepted, not in force on", revision, missing);
         return missing.isEmpty() ? ExitCode.DONE.code() : ExitCode.NOT_IN_FORCE.code();
     }
 
-    private List<String> missing(long revision) {
+    private List<String> nodesNotInForce(long revision) {
         List<String> missing = new ArrayList<>();
         for (JsonNode node : client.get("/v1/status").body().path("nodes")) {
             if (node.path("revisionInForce").asLong() < revision) {
--- a/command/src/main/java/org/radishspur/command/TraceCommand.java
+++ b/command/src/main/java/org/radishspur/command/TraceCommand.java
@@ -36,7 +36,7 @@
             "upstream-failed", "the connection to the upstream broke or its answer was invalid; it may have run");
 
     @Parameters(index = "0", paramLabel = "REQUEST", description = "The request's id.")
-    private String request;
+    private String requestId;
 
     @Parameters(index = "1..*", paramLabel = "FILE", description = "Log files; standard input if there are none.")
     private List<Path> files = List.of();
@@ -48,13 +48,13 @@
     @Override
     public Integer call() throws IOException {
         List<JsonNode> events = new ArrayList<>();
-        EventReader.INSTANCE.read(files, line -> line.contains(request), event -> {
-            if (event.path("request").asText().equals(request)) {
+        EventReader.INSTANCE.read(files, line -> line.contains(requestId), event -> {
+            if (event.path("request").asText().equals(requestId)) {
                 events.add(event);
             }
         });
         if (events.isEmpty()) {
-            System.err.println("no event found for request " + request);
+            System.err.println("no event found for request " + requestId);
             return ExitCode.FAILED.code();
         }
         events.sort(Comparator.comparingLong(event -> event.path("at").asLong()));
