--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -164,9 +164,7 @@
         long waitMillis = Math.min(MAX_WAIT_MILLIS, (long) (statedMillis * CONFIRMATION_WAIT_SHARE));
         timer = services.loop()
                 .schedule(
-                        () -> refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false),
-                        waitMillis,
-                        TimeUnit.MILLISECONDS);
+                        () -> refuse(EndReason.UNCONFIRMED, maxRetryAfter(), false), waitMillis, TimeUnit.MILLISECONDS);
         services.awaitConfirmation(this, () -> {
             timer.cancel(false);
             matchRoute(statedMillis);
@@ -194,7 +192,7 @@
         requestFirstSlot();
     }
 
-    /** Draws a pool of the route by its shares and requests a slot there. */
+    /** Chooses a pool of the route at random by its shares and requests a slot there. */
     private void requestFirstSlot() {
         poolName = route.choosePool(ThreadLocalRandom.current().nextDouble());
         services.retryBudget(poolName).recordRequest();
@@ -212,7 +210,7 @@
     /**
      * Requests a slot in the pool. The upstream of the last attempt and unreachable ones serve only if no other can.
      *
-     * @param waitUntil until when to wait for the slot, by {@link EntryServices#now()}.
+     * @param waitUntil the time until which to wait for the slot, by {@link EntryServices#now()}.
      * @param trialAllowed whether an upstream of a version under trial may run the request.
      */
     private void requestSlot(long waitUntil, boolean trialAllowed) {
@@ -246,7 +244,7 @@
                 waitMillis,
                 Math.max(0, targetMillis),
                 deadlineAt - now,
-                buildWork(),
+                buildExpectedLoad(),
                 avoided);
     }
 
@@ -256,7 +254,7 @@
                 .orElse(0.0);
     }
 
-    private SlotRequest.ExpectedLoad buildWork() {
+    private SlotRequest.ExpectedLoad buildExpectedLoad() {
         boolean generates = route.kind() == RequestKind.STREAM;
         return new SlotRequest.ExpectedLoad(
                 head.promptTokens(),
@@ -295,8 +293,8 @@
         return RetryAfterPolicy.INSTANCE.retryAfterMillis(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
     }
 
-    /** Returns the longest sensible retry-after in milliseconds, for refusals that tell nothing about capacity. */
-    private long latestRetryAfter() {
+    /** Returns the maximum retry-after in milliseconds, for refusals without information about capacity. */
+    private long maxRetryAfter() {
         return RetryAfterPolicy.INSTANCE.maxRetryAfterMillis(deadlineAt - EntryServices.now());
     }
 
@@ -305,9 +303,10 @@
     public void onGranted(UpstreamSlot granted) {
         slot = null;
         if (!services.isConfirmed() || !isStillAllowed()) {
-            // The view may have changed or expired since the check on arrival, also by a pause of the whole process.
+            // The view may have changed or expired since the check on arrival, for instance during
+            // a pause of the whole process.
             granted.end(SlotOutcome.UNUSED);
-            refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
+            refuse(EndReason.UNCONFIRMED, maxRetryAfter(), false);
             return;
         }
         services.metrics().recordSlotWait(EntryServices.now() - arrivedAt);
@@ -321,7 +320,7 @@
     boolean mayStillBeSent(UpstreamLoad upstream) {
         boolean unchanged = services.view().hasSameContent(viewAtGrant);
         return services.isConfirmed()
-                && (unchanged || isStillAllowed() && services.slots().mayUse(upstream));
+                && (unchanged || isStillAllowed() && services.slots().isUsable(upstream));
     }
 
     /** Requests another slot, or refuses the request, after the current view no longer allows its granted upstream. */
@@ -329,7 +328,7 @@
         if (services.isConfirmed() && isStillAllowed()) {
             onNotRun("outdated", false);
         } else {
-            refuse(EndReason.UNCONFIRMED, latestRetryAfter(), false);
+            refuse(EndReason.UNCONFIRMED, maxRetryAfter(), false);
         }
     }
 
@@ -386,7 +385,7 @@
                 && (!wasSent || services.retryBudget(poolName).tryTake())) {
             retry(reason);
         } else {
-            refuse(EndReason.NOT_TAKEN, latestRetryAfter(), false);
+            refuse(EndReason.NOT_TAKEN, maxRetryAfter(), false);
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
@@ -43,7 +43,7 @@
      */
     private static final long BALANCER_UPDATE_MILLIS = 2_300;
 
-    /** How long before the end of the grace period a planned stop ends even with requests in flight, in milliseconds. */
+    /** How long before the end of the grace period a planned stop ends even with requests in progress, in milliseconds. */
     private static final long GRACE_MARGIN_MILLIS = 400;
 
     /** How long connecting to an upstream may take, in milliseconds; the network itself takes a few. */
@@ -59,7 +59,7 @@
     private final EventLoop traffic = eventLoops.next();
     private final FleetLinks links;
     private final EntryServices services;
-    private final ViewPoller follower;
+    private final ViewPoller viewPoller;
     private final FrontServer frontServer;
     private final Supervisor.Scheduler.ThreadScheduler restartScheduler = new Supervisor.Scheduler.ThreadScheduler();
     private final Supervisor supervisor;
@@ -69,12 +69,15 @@
      * Starts an entry.
      *
      * @param settings the settings of the process, with the addresses for callers and for the ready check.
-     * @param callers reads the requests of callers and the responses of upstreams.
-     * @param operators reads catalogues.
+     * @param callerDialect parses the requests of callers and the responses of upstreams.
+     * @param operatorDialect parses catalogues.
      * @param events the log of structured events.
      */
     public EntryProcess(
-            PlatformProcessSettings settings, CallerDialect callers, OperatorDialect operators, EventLog events) {
+            PlatformProcessSettings settings,
+            CallerDialect callerDialect,
+            OperatorDialect operatorDialect,
+            EventLog events) {
         this.settings = settings;
         this.events = events;
         control.setFailureListener(cause -> failed.countDown());
@@ -85,7 +88,7 @@
         UpstreamExchange.Factory exchanges = new UpstreamConnections(traffic, CONNECT_TIMEOUT_MILLIS, MAX_IDLE_MILLIS);
         services = new EntryServices(
                 settings,
-                callers,
+                callerDialect,
                 events,
                 metrics,
                 new EntryServices.Transport(traffic, exchanges, links),
@@ -93,8 +96,8 @@
         metrics.registry().register("requests.in_progress", (Gauge<Integer>) services::inProgress);
         metrics.registry().register("catalogue.revision", (Gauge<Long>)
                 () -> services.view().revision());
-        follower = new ViewPoller(
-                control, links, operators, events, settings.peerAddress().toString(), versionCounters, view -> {
+        viewPoller = new ViewPoller(
+                control, links, operatorDialect, events, settings.peerAddress().toString(), versionCounters, view -> {
                     if (!services.applyConfirmation(view)) {
                         traffic.execute(() -> services.onView(view));
                     }
@@ -109,7 +112,7 @@
                 .ifPresent(address -> supervisor.supervise(
                         "metrics-server", () -> new MetricsServer(address, eventLoops, metrics.registry())));
         supervisor.start(cause -> failed.countDown());
-        control.execute(() -> follower.seeds(addresses(settings.seeds())));
+        control.execute(() -> viewPoller.setSeeds(addresses(settings.seeds())));
         // Loads the JSON parser now, while the entry waits for the control leader, and not at the first catalogue.
         control.execute(() -> Json.INSTANCE.readTree("{}", ErrorCode.TABLE_INVALID));
     }
@@ -120,9 +123,9 @@
         if (message instanceof FleetMessage.Reply reply) {
             services.onReply(sender.peer(), reply);
         } else if (message instanceof FleetMessage.Document document) {
-            control.execute(() -> follower.onDocument(document));
-        } else if (message instanceof FleetMessage.ViewResponse followed) {
-            control.execute(() -> follower.onViewResponse(followed));
+            control.execute(() -> viewPoller.onDocument(document));
+        } else if (message instanceof FleetMessage.ViewResponse response) {
+            control.execute(() -> viewPoller.onViewResponse(response));
         }
     }
 
@@ -139,7 +142,7 @@
      */
     public void reload(PlatformProcessSettings changed) {
         events.emit(EventCode.RELOADED, changed.seeds());
-        control.execute(() -> follower.seeds(addresses(changed.seeds())));
+        control.execute(() -> viewPoller.setSeeds(addresses(changed.seeds())));
     }
 
     /**
@@ -153,7 +156,7 @@
 
     /**
      * Performs a planned stop. The ready check fails first, while requests are still served until the load balancer routes
-     * callers elsewhere; then no connection is accepted, and requests in flight may end within the grace period.
+     * callers elsewhere; then no connection is accepted, and requests in progress may end within the grace period.
      */
     public void shutDown() {
         events.emit(EventCode.STOPPING, services.inProgress());
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -25,7 +25,7 @@
 
 /**
  * Holds the state and the services that all requests of one entry share: the confirmed view, the slot client, the retry
- * budgets and the periodic check of requests in flight. The traffic thread owns it; other threads may call
+ * budgets and the periodic check of requests in progress. The traffic thread owns it; other threads may call
  * {@link #applyConfirmation} and the getters of volatile fields.
  */
 final class EntryServices {
@@ -51,7 +51,7 @@
     private final VersionCounters versionCounters;
     private final Map<CallerExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
     private final Set<CallerExchange> running = new HashSet<>();
-    private final Map<String, Long> longestDeadlineMillis = new HashMap<>();
+    private final Map<String, Long> maxDeadlineMillis = new HashMap<>();
     private volatile ConfirmedView view = ConfirmedView.EMPTY;
     private volatile boolean confirmationAwaited;
     private volatile boolean stopping;
@@ -94,7 +94,7 @@
         boolean same = view.hasSameContent(newer);
         view = newer;
         if (!same) {
-            retryBudgets.entries(newer.entryCount());
+            retryBudgets.setEntryCount(newer.entryCount());
             slots.onView(newer, now());
         }
         resumeAwaiting();
@@ -143,10 +143,10 @@
         return view.isConfirmedWithin(settings.bounds().revocationLimitMillis() * share);
     }
 
-    /** Returns whether a caller is retrying, as its deadline is short compared with the longest one of its route. */
+    /** Returns whether a caller is retrying, as its deadline is short compared with the maximum one of its route so far. */
     boolean isCallerRetry(String route, long deadlineMillis) {
-        long longest = longestDeadlineMillis.merge(route, deadlineMillis, Math::max);
-        return RetryAfterPolicy.INSTANCE.isRetry(deadlineMillis, longest);
+        long maxMillis = maxDeadlineMillis.merge(route, deadlineMillis, Math::max);
+        return RetryAfterPolicy.INSTANCE.isRetry(deadlineMillis, maxMillis);
     }
 
     /** Runs an action once the view is confirmed, unless the request ends sooner. */
@@ -181,8 +181,8 @@
     }
 
     /** Counts a response for the rollout of its version, with the time until its last byte in milliseconds. */
-    void recordResponse(Upstream upstream, String route, boolean good, double responseMillis) {
-        versionCounters.add(upstream.pool(), upstream.version(), route, good, responseMillis, 0);
+    void recordResponse(Upstream upstream, String route, boolean succeeded, double responseMillis) {
+        versionCounters.add(upstream.pool(), upstream.version(), route, succeeded, responseMillis, 0);
     }
 
     /** Returns the monotonic clock in milliseconds. */
@@ -246,7 +246,7 @@
         inProgress--;
     }
 
-    /** Returns how many requests are in flight, from their heads on. */
+    /** Returns how many requests are in progress, each from the arrival of its head. */
     int inProgress() {
         return inProgress;
     }
--- a/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
+++ b/node/src/main/java/org/radishspur/node/entry/EventSplitter.java
@@ -57,7 +57,7 @@
         pendingEventId = -1;
     }
 
-    /** Returns the greatest identifier of a complete event, or the initial one. */
+    /** Returns the highest identifier of a complete event, or the initial one. */
     long lastEventId() {
         return lastEventId;
     }
@@ -88,7 +88,7 @@
         return end;
     }
 
-    /** Remembers the identifier of the current event if a line contains one. */
+    /** Records the identifier of the current event if a line contains one. */
     private void readEventId(int start, int end) {
         if (end - start <= ID_FIELD.length) {
             return;
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -16,7 +16,7 @@
  * Accepts the connections of callers and closes those that stay idle for too long.
  */
 final class FrontServer implements Child {
-    /** The maximum size of the request line, and also of all headers, in bytes; the catalogue asks callers for less. */
+    /** The maximum size of the request line, and also of all headers, in bytes; the catalogue states a lower limit. */
     private static final int MAX_HEAD_BYTES = 65_536;
 
     /** The maximum size of a part of a body that the decoder passes on, in bytes. */
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Stops accepting connections and closes those without a request in flight, in the last phase of a planned stop. */
+    /** Stops accepting connections and closes those without a request in progress, in the last phase of a planned stop. */
     void stopAccepting() {
         channel.close();
         connections.entrySet().stream()
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
@@ -9,7 +9,7 @@
  * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured limits.
  */
 final class RetryBudgets {
-    /** The minimum number of entries among which the slack is divided, also while their number isn't known. */
+    /** The minimum number of entries among which the slack is divided, used also while their number isn't known. */
     private static final int MIN_ENTRIES = 4;
 
     /**
@@ -27,7 +27,7 @@
     private final double retryShare;
     private final int retrySlack;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private int entries = MIN_ENTRIES;
+    private int entryCount = MIN_ENTRIES;
 
     RetryBudgets(double retryShare, int retrySlack) {
         this.retryShare = retryShare;
@@ -35,8 +35,8 @@
     }
 
     /** Sets the number of entries, which applies to budgets that are created later. */
-    void entries(int number) {
-        entries = Math.max(MIN_ENTRIES, number);
+    void setEntryCount(int number) {
+        entryCount = Math.max(MIN_ENTRIES, number);
     }
 
     /** Returns the budget of a pool. It allows a burst of this entry's share of the slack, and grows with each request. */
@@ -45,6 +45,6 @@
     }
 
     private int burst() {
-        return (int) Math.max(1, Math.round(retrySlack * BURST_SLACK_SHARE / entries));
+        return (int) Math.max(1, Math.round(retrySlack * BURST_SLACK_SHARE / entryCount));
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -75,7 +75,7 @@
     /** Applies a view to the upstreams, the quota shares and the choice of schedulers. */
     void onView(ConfirmedView view, long now) {
         pools.apply(view, Math.max(1, view.entryCount()), now);
-        pools.quotaShare(1.0 / Math.max(1, view.entryCount()));
+        pools.setQuotaShare(1.0 / Math.max(1, view.entryCount()));
         schedulerChoice.setSchedulers(view.controlHosts().stream()
                 .collect(Collectors.toMap(ControlHost::address, ControlHost::failureDomain, (one, other) -> one)));
         localScheduler.advance(now);
@@ -105,7 +105,7 @@
     }
 
     /** Returns whether the current view allows requests to be sent to an upstream. */
-    boolean mayUse(UpstreamLoad upstream) {
+    boolean isUsable(UpstreamLoad upstream) {
         return pools.isUsable(upstream);
     }
 
@@ -274,7 +274,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void onResponse(UpstreamLoad upstream, boolean good) {}
+        public void onResponse(UpstreamLoad upstream, boolean succeeded) {}
 
         /** {@inheritDoc} */
         @Override
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -46,7 +46,7 @@
     private boolean firstByteReceived;
     private boolean eventTimeReported;
     private long firstByteAt;
-    private long longestGapMillis;
+    private long longestPauseMillis;
     private final long eventsBeforeAttempt;
 
     UpstreamAttempt(CallerExchange caller, EntryServices services, UpstreamSlot slot) {
@@ -246,11 +246,11 @@
         }
     }
 
-    /** Records the arrival of bytes: times and gaps, and the first byte for the scheduler. */
+    /** Records the arrival of bytes: times and pauses, and the first byte for the scheduler. */
     private void recordBytes() {
         long now = EntryServices.now();
         if (firstByteReceived) {
-            longestGapMillis = Math.max(longestGapMillis, now - lastByteAt);
+            longestPauseMillis = Math.max(longestPauseMillis, now - lastByteAt);
         }
         lastByteAt = now;
         upstream.recordBytes(now);
@@ -293,9 +293,9 @@
         if (before != Phase.RUNNING) {
             return;
         }
-        boolean good = responseHead.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        endComplete(good);
-        caller.logAnswered(responseHead.status().code(), upstream, longestGapMillis);
+        boolean succeeded = responseHead.status().code() < HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        endComplete(succeeded);
+        caller.logAnswered(responseHead.status().code(), upstream, longestPauseMillis);
         if (isEventStream()) {
             caller.response()
                     .writeContent(caller.route().resumable() ? caller.splitter().takeRest() : Unpooled.EMPTY_BUFFER);
@@ -315,8 +315,8 @@
     }
 
     /** Ends the attempt after a complete response, and reports the measured times unless it is a failure of the upstream. */
-    private void endComplete(boolean good) {
-        if (!good) {
+    private void endComplete(boolean succeeded) {
+        if (!succeeded) {
             endAnswered(false);
             return;
         }
@@ -332,16 +332,16 @@
                 caller.expectedTokens()));
     }
 
-    /** Ends the attempt with a success or failure of the upstream, without measured times. */
-    private void endAnswered(boolean good) {
-        recordResponse(good);
-        end(good ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
+    /** Ends the attempt with a success or failure of the upstream, and reports no measured times. */
+    private void endAnswered(boolean succeeded) {
+        recordResponse(succeeded);
+        end(succeeded ? SlotOutcome.SUCCESS : SlotOutcome.FAILURE);
     }
 
     /** Counts the response for the version of the upstream, with the time until the last byte so far. */
-    private void recordResponse(boolean good) {
+    private void recordResponse(boolean succeeded) {
         long responseMillis = firstByteReceived ? lastByteAt - sentAt : EntryServices.now() - sentAt;
-        services.recordResponse(upstream.upstream(), caller.route().name(), good, responseMillis);
+        services.recordResponse(upstream.upstream(), caller.route().name(), succeeded, responseMillis);
     }
 
     /** {@inheritDoc} */
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamSlot.java
@@ -38,7 +38,7 @@
         return upstream;
     }
 
-    /** Returns whether the scheduler wants the event time early, as it has not measured the upstream. */
+    /** Returns whether the scheduler requests the event time early, as it has no measurement of the upstream yet. */
     boolean isEventTimeRequested() {
         return eventTimeRequested;
     }
--- a/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
+++ b/node/src/main/java/org/radishspur/node/entry/VersionCounters.java
@@ -17,7 +17,7 @@
 
     /** Adds one response, with its times to the first byte and for one event in milliseconds. */
     synchronized void add(
-            String pool, String version, String route, boolean good, double firstMillis, double eventMillis) {
+            String pool, String version, String route, boolean succeeded, double firstMillis, double eventMillis) {
         String key = pool + '\n' + version + '\n' + route;
         VersionCounts before = counts.getOrDefault(key, new VersionCounts(pool, version, route, 0, 0, 0, 0));
         counts.put(
@@ -27,7 +27,7 @@
                         version,
                         route,
                         before.answers() + 1,
-                        before.failures() + (good ? 0 : 1),
+                        before.failures() + (succeeded ? 0 : 1),
                         before.firstMillis() + firstMillis,
                         before.eventMillis() + eventMillis));
     }
--- a/node/src/main/java/org/radishspur/node/fleet/FleetInbox.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetInbox.java
@@ -9,7 +9,7 @@
     /**
      * Handles a message.
      *
-     * @param sender the other end of the connection, to which an answer can be sent.
+     * @param sender the other end of the connection, to which a response can be sent.
      * @param message the message.
      */
     void onMessage(Sender sender, FleetMessage message);
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -20,10 +20,10 @@
  */
 public sealed interface FleetMessage {
 
-    /** Requests a {@link Pong}, to check that the other end still answers. */
+    /** Requests a {@link Pong}, to check that the other end still responds. */
     record Ping() implements FleetMessage {}
 
-    /** Answers a {@link Ping}. */
+    /** Responds to a {@link Ping}. */
     record Pong() implements FleetMessage {}
 
     /**
@@ -48,13 +48,13 @@
     /**
      * Requests the current control state from the control leader.
      *
-     * @param nonce a number that the answer repeats.
+     * @param nonce a number that the response carries as well.
      * @param entry the address of the entry, or empty if a scheduler sends the request.
      * @param incarnation the time at which the sender started, in milliseconds since the epoch, which tells its runs apart.
      * @param revision the revision of the sender's catalogue, 0 if it has none.
      * @param listTerm the term of the sender's host list.
      * @param listReading the reading of the sender's host list within that term.
-     * @param versionCounts the answers that the entry has counted since it started, by version.
+     * @param versionCounts the responses that the entry has counted since it started, by version.
      */
     record ViewRequest(
             long nonce,
@@ -67,11 +67,11 @@
             implements FleetMessage {}
 
     /**
-     * Answers a {@link ViewRequest}.
+     * Responds to a {@link ViewRequest}.
      *
      * @param nonce the number from the request.
      * @param confirmed whether a majority has confirmed, after the request arrived, that the sender leads; otherwise only the
-     *     leader and the control hosts of this answer are valid.
+     *     leader and the control hosts of this response are valid.
      * @param leader the address of the leader, or empty if it isn't known.
      * @param revision the revision of the current catalogue.
      * @param list the host list, if the receiver has an older one.
@@ -101,23 +101,23 @@
      * @param scheduler the incarnation of the sending scheduler.
      * @param full whether the report carries all upstreams, so that the counts of any other upstream are zero.
      * @param upstreams the hash codes of the runs of the upstreams.
-     * @param counts five numbers for each upstream, one upstream after the other: requests in progress, successful answers,
-     *     failed answers, the logarithmic step of the time per event, and the unread prompt tokens in units of 256.
+     * @param counts five numbers for each upstream, one upstream after the other: requests in progress, successful responses,
+     *     failed responses, the logarithmic step of the time per event, and the pending prompt tokens in units of 256.
      * @param organisations the total usage admitted for each organisation since the scheduler started.
      */
     record LoadReport(String scheduler, boolean full, int[] upstreams, int[] counts, Map<String, Long> organisations)
             implements FleetMessage {}
 
     /**
-     * Counts the answers of one version of a pool on one route that an entry has received since it started.
+     * Counts the responses of one version of a pool on one route that an entry has received since it started.
      *
      * @param pool the pool.
      * @param version the version.
      * @param route the route.
-     * @param answers the number of answers, failed ones included.
-     * @param failures the number of failed answers.
+     * @param answers the number of responses, failed ones included.
+     * @param failures the number of failed responses.
      * @param firstMillis the sum of the times to the first byte, in milliseconds.
-     * @param eventMillis the sum of the times per event of a stream or per whole plain answer, in milliseconds.
+     * @param eventMillis the sum of the times per event of a stream or per whole plain response, in milliseconds.
      */
     record VersionCounts(
             String pool,
@@ -136,7 +136,7 @@
      */
     record Attach(String entry, List<HeldSlot> held) implements FleetMessage {}
 
-    /** Detaches an entry from a scheduler; the entry repeats its pending requests at another one. */
+    /** Detaches an entry from a scheduler; the entry sends its pending requests to another one. */
     record Detach() implements FleetMessage {}
 
     /**
@@ -148,10 +148,10 @@
     record RequestSlot(long id, SlotRequest request) implements FleetMessage {}
 
     /**
-     * Answers an {@link RequestSlot}.
+     * Replies to a {@link RequestSlot}.
      *
      * @param id the number of the request at its entry.
-     * @param reply the answer.
+     * @param reply the reply.
      */
     record Reply(long id, SlotReply reply) implements FleetMessage {}
 
--- a/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Sends messages to other processes. A message to an address without a connection is dropped; the caller repeats it if that
- * is necessary.
+ * Sends messages to other processes. A message to an address without a connection is dropped; the caller sends it again
+ * if that is necessary.
  */
 public interface FleetSender {
     /**
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -21,7 +21,7 @@
  * Accepts connections from other processes of the platform.
  */
 public final class FleetServer implements Child {
-    /** The largest frame in bytes; four catalogues of the largest size that operators may send fit with room to spare. */
+    /** The maximum size of a frame in bytes; four catalogues of the maximum size that operators may send fit easily. */
     static final int MAX_FRAME_BYTES = 32 << 20;
 
     /** The time in seconds after which a silent connection is closed; the other end sends a ping at least every two seconds. */
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -31,7 +31,7 @@
         awaitingAnswer = false;
     }
 
-    /** Records that a message was received; any message answers a pending ping. */
+    /** Records that a message was received; any message counts as the response to a pending ping. */
     void onReceived(long now) {
         receivedAt = now;
         awaitingAnswer = false;
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -41,8 +41,8 @@
      * @return the time in milliseconds, never negative.
      */
     public long millisSince(Moment earlier) {
-        long steady = monotonicMillis - earlier.monotonicMillis;
+        long monotonic = monotonicMillis - earlier.monotonicMillis;
         long wall = wallMillis - earlier.wallMillis;
-        return Math.max(0, Math.max(steady, wall));
+        return Math.max(0, Math.max(monotonic, wall));
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -43,13 +43,13 @@
     /** The interval between the leader's heartbeats, in milliseconds; a read waits for up to one heartbeat round. */
     private static final long HEARTBEAT_MILLIS = 60;
 
-    /** The shortest election timeout of a follower, in milliseconds; up to six heartbeats may be late or lost. */
+    /** The minimum election timeout of a follower, in milliseconds; up to six heartbeats may be late or lost. */
     private static final long ELECTION_TIMEOUT_MILLIS = 400;
 
     /** No leases: a majority confirms every read, because on a suspended host an expired lease can still seem valid. */
     private static final long LEASE_MILLIS = 0;
 
-    /** The greatest number of log entries in a message; each may hold a catalogue, and four of the largest fit into a frame. */
+    /** The maximum number of log entries in a message; each may hold a catalogue, and four of the maximum size fit a frame. */
     private static final int ENTRIES_PER_MESSAGE = 4;
 
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 20;
@@ -66,7 +66,7 @@
     private static final int MAX_PENDING_PROPOSALS = 1_000;
 
     /** The free disk space below which nothing is proposed, in bytes; enough for one snapshot of the state beside the log. */
-    private static final long MINIMUM_FREE_BYTES = 4L << 20;
+    private static final long MIN_FREE_BYTES = 4L << 20;
 
     /** How long a planned stop waits for a follower to become leader, in milliseconds; an election takes about ten. */
     private static final long LEADERSHIP_TRANSFER_MILLIS = 150;
@@ -120,7 +120,7 @@
                         StateOptions.STANDARD,
                         ENTRIES_PER_SNAPSHOT,
                         MAX_PENDING_PROPOSALS),
-                MINIMUM_FREE_BYTES,
+                MIN_FREE_BYTES,
                 new ReplicaObserver());
         links = new FleetLinks(transportThreads.next(), this);
         replica = new ReplicaRunner(
@@ -158,7 +158,7 @@
                 .ifPresent(address -> supervisor.supervise(
                         "metrics-server", () -> new MetricsServer(address, transportThreads, metrics.registry())));
         supervisor.start(cause -> failed.countDown());
-        loop.execute(() -> membership.seeds(addresses(settings.seeds())));
+        loop.execute(() -> membership.setSeeds(addresses(settings.seeds())));
         loop.execute(hostListReader::prefetch);
         loop.repeat(viewService::answerPending, HEARTBEAT_MILLIS / 2);
     }
@@ -175,8 +175,8 @@
                 membership.onRaftMessage(raft.from());
                 replica.receive(raft.from(), raft.to(), raft.message());
                 viewService.answerPending();
-            } else if (message instanceof FleetMessage.ReplicaAnnouncement candidate) {
-                membership.onAnnouncement(candidate);
+            } else if (message instanceof FleetMessage.ReplicaAnnouncement announcement) {
+                membership.onAnnouncement(announcement);
             } else if (message instanceof FleetMessage.ViewRequest request) {
                 viewService.onViewRequest(sender, request);
             }
@@ -197,8 +197,8 @@
      */
     public void reload(PlatformProcessSettings newSettings) {
         events.emit(EventCode.RELOADED, newSettings.seeds());
-        loop.execute(() -> membership.seeds(addresses(newSettings.seeds())));
-        schedulerHost.seeds(newSettings.seeds());
+        loop.execute(() -> membership.setSeeds(addresses(newSettings.seeds())));
+        schedulerHost.setSeeds(newSettings.seeds());
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
+++ b/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
@@ -11,8 +11,8 @@
  * Holds view requests that arrive while no leader is known.
  *
  * <p>Shortens the outage after a restart of all replicas: the first heartbeat round of the new leader confirms the requests
- * that arrived before it. Otherwise each entry would have to repeat its request, after up to 80 ms, and wait for another
- * round, which takes up to 60 ms more.
+ * that arrived before it. Otherwise each entry would have to retry, after up to 80 ms, and wait for another round,
+ * which takes up to 60 ms more.
  */
 final class DeferredRequests {
     /** How long a request waits for a leader to be elected, in milliseconds; long enough for one election. */
@@ -38,7 +38,7 @@
     /**
      * A request that waits for a leader.
      *
-     * @param sender the sender of the request, to which the answer goes.
+     * @param sender the sender of the request, to which the response is sent.
      * @param request the request.
      * @param receivedAt when the request arrived, by the clock of the control thread in milliseconds.
      */
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -47,7 +47,7 @@
     /** The number of pages after which a reading stops, because more are considered a fault; 50 hosts a page make 50,000 hosts. */
     private static final int MAX_PAGES = 1_000;
 
-    /** The greatest age at which a list that was read before this replica led is still published, in milliseconds. */
+    /** The maximum age at which a list that was read before this replica led is still published, in milliseconds. */
     private static final long MAX_PREFETCHED_AGE_MILLIS = READ_INTERVAL_MILLIS;
 
     private static final long CONNECT_TIMEOUT_MILLIS = 500;
@@ -155,8 +155,8 @@
         boolean changed = latest.term() != replica.term() || !latest.upstreams().equals(upstreams);
         if (changed) {
             latest = new HostList(replica.term(), publishedReadings, upstreams);
-            long leaving = upstreams.stream().filter(Upstream::draining).count();
-            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, upstreams.size(), leaving);
+            long draining = upstreams.stream().filter(Upstream::draining).count();
+            events.emit(EventCode.HOST_LIST, latest.term(), publishedReadings, upstreams.size(), draining);
         }
     }
 
--- a/node/src/main/java/org/radishspur/node/group/OperatorServer.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorServer.java
@@ -28,7 +28,7 @@
  * Serves operators' calls over HTTP.
  */
 final class OperatorServer implements Child {
-    /** The largest body of a call in bytes; enough for a catalogue of about twenty thousand routes. */
+    /** The maximum size of the body of a call in bytes; enough for a catalogue of about twenty thousand routes. */
     private static final int MAX_BODY_BYTES = 6 << 20;
 
     private final HostPort address;
--- a/node/src/main/java/org/radishspur/node/group/OperatorService.java
+++ b/node/src/main/java/org/radishspur/node/group/OperatorService.java
@@ -135,10 +135,10 @@
     }
 
     private void propose(ControlCommand command, String target, AnswerListener listener) {
-        replica.propose(command, proposal -> {
-            if (proposal instanceof ProposalOutcome.Committed) {
+        replica.propose(command, outcome -> {
+            if (outcome instanceof ProposalOutcome.Committed) {
                 listener.onAnswer(Answer.of(OK, "{}"));
-            } else if (proposal instanceof ProposalOutcome.NotLeader) {
+            } else if (outcome instanceof ProposalOutcome.NotLeader) {
                 listener.onAnswer(redirectToLeader(target));
             } else {
                 listener.onAnswer(Answer.of(UNAVAILABLE, ""));
@@ -170,7 +170,7 @@
     }
 
     /**
-     * Makes an answer from the current state.
+     * Builds an answer from the current state.
      */
     private interface StateReader {
         Answer read(CatalogueState state);
--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -19,7 +19,7 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Advances rollouts from stage to stage at the leader, according to the answers that all entries have counted by version.
+ * Advances rollouts from stage to stage at the leader, according to the responses that all entries have counted by version.
  */
 final class RolloutDriver {
     /** The interval between evaluations of the rollouts, in milliseconds; it delays the end of a bad trial by at most this time. */
@@ -63,66 +63,67 @@
     private void evaluate(Rollout rollout) {
         String name = rollout.pool() + '/' + rollout.target();
         if (!evaluatedRollout.equals(name)) {
-            // Answers that were counted before the rollout started are no evidence for the trial.
+            // Responses that were counted before the rollout started are no evidence for the trial.
             evaluatedRollout = name;
             baselinesByEntry.clear();
             baselinesByEntry.putAll(countsByEntry);
         }
-        Map<String, RouteOutcomes> evidence = evidence(rollout);
+        Map<String, RouteOutcomes> outcomesByRoute = outcomesByRoute(rollout);
         long elapsed = System.currentTimeMillis() - rollout.startedAtMillis();
         double share = (double) elapsed / Math.max(1, rollout.periodMillis());
-        Verdict verdict = RolloutEvaluator.INSTANCE.evaluate(evidence.values(), share);
+        Verdict verdict = RolloutEvaluator.INSTANCE.evaluate(outcomesByRoute.values(), share);
         if (verdict == Verdict.BAD) {
-            advance(rollout, RolloutStage.ROLLED_BACK, evidence, "evidence against the version");
+            advance(rollout, RolloutStage.ROLLED_BACK, outcomesByRoute, "evidence against the version");
         } else if (verdict == Verdict.GOOD && rollout.stage() == RolloutStage.RUNNING) {
             movingSince.put(name, loop.nowMillis());
-            advance(rollout, RolloutStage.MOVING, evidence, "no evidence against the version");
+            advance(rollout, RolloutStage.MOVING, outcomesByRoute, "no evidence against the version");
         } else if (rollout.stage() == RolloutStage.MOVING
                 && loop.nowMillis() - movingSince.computeIfAbsent(name, key -> loop.nowMillis()) > MOVE_MILLIS) {
-            advance(rollout, RolloutStage.COMPLETED, evidence, "the requests have moved");
+            advance(rollout, RolloutStage.COMPLETED, outcomesByRoute, "the requests have moved");
         }
     }
 
-    private void advance(Rollout rollout, RolloutStage stage, Map<String, RouteOutcomes> evidence, String cause) {
+    private void advance(
+            Rollout rollout, RolloutStage stage, Map<String, RouteOutcomes> outcomesByRoute, String cause) {
         OutcomeCounts trial = OutcomeCounts.NONE;
-        for (RouteOutcomes route : evidence.values()) {
+        for (RouteOutcomes route : outcomesByRoute.values()) {
             trial = trial.plus(route.trial());
         }
         events.emit(
                 EventCode.ROLLOUT, rollout.pool(), rollout.target(), stage, trial.answers(), trial.failures(), cause);
         replica.propose(
                 new ControlCommand.AdvanceRollout(rollout.pool(), rollout.target(), stage, System.currentTimeMillis()),
-                proposal -> {});
+                outcome -> {});
     }
 
-    private Map<String, RouteOutcomes> evidence(Rollout rollout) {
-        Map<String, RouteOutcomes> evidenceByRoute = new HashMap<>();
+    private Map<String, RouteOutcomes> outcomesByRoute(Rollout rollout) {
+        Map<String, RouteOutcomes> outcomesByRoute = new HashMap<>();
         for (Map.Entry<String, List<VersionCounts>> entry : countsByEntry.entrySet()) {
-            addCounts(rollout, entry.getValue(), 1, evidenceByRoute);
-            addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, evidenceByRoute);
+            addCounts(rollout, entry.getValue(), 1, outcomesByRoute);
+            addCounts(rollout, baselinesByEntry.getOrDefault(entry.getKey(), new ArrayList<>()), -1, outcomesByRoute);
         }
-        return evidenceByRoute;
+        return outcomesByRoute;
     }
 
     private static void addCounts(
-            Rollout rollout, List<VersionCounts> counts, int sign, Map<String, RouteOutcomes> evidenceByRoute) {
+            Rollout rollout, List<VersionCounts> counts, int sign, Map<String, RouteOutcomes> outcomesByRoute) {
         for (VersionCounts count : counts) {
             if (!count.pool().equals(rollout.pool())) {
                 continue;
             }
-            OutcomeCounts side = new OutcomeCounts(
+            OutcomeCounts added = new OutcomeCounts(
                     sign * count.answers(),
                     sign * count.failures(),
                     sign * (count.firstMillis() + count.eventMillis()));
-            RouteOutcomes previous = evidenceByRoute.getOrDefault(
+            RouteOutcomes previous = outcomesByRoute.getOrDefault(
                     count.route(), new RouteOutcomes(OutcomeCounts.NONE, OutcomeCounts.NONE));
             boolean isTrial = count.version().equals(rollout.target());
-            evidenceByRoute.put(
+            outcomesByRoute.put(
                     count.route(),
                     isTrial
-                            ? new RouteOutcomes(previous.trial().plus(side), previous.others())
+                            ? new RouteOutcomes(previous.trial().plus(added), previous.others())
                             : new RouteOutcomes(
-                                    previous.trial(), previous.others().plus(side)));
+                                    previous.trial(), previous.others().plus(added)));
         }
     }
 }
--- a/node/src/main/java/org/radishspur/node/group/ViewService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -17,14 +17,14 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Answers the view requests of entries and schedulers with the current control state. An answer, like any other read, waits until
- * a majority of the replicas has confirmed, after the request arrived, that this replica is the leader.
+ * Responds to the view requests of entries and schedulers with the current control state. A response, like any other read,
+ * waits until a majority of the replicas has confirmed, after the request arrived, that this replica is the leader.
  */
 final class ViewService {
     /** The time without a request after which an entry is no longer counted, in milliseconds. */
     private static final long ENTRY_TIMEOUT_MILLIS = 3_000;
 
-    /** The time after which a read fails that no majority has confirmed, in milliseconds; entries repeat their requests sooner. */
+    /** The time after which a read fails that no majority has confirmed, in milliseconds; entries retry sooner. */
     private static final long READ_TIMEOUT_MILLIS = 900;
 
     private final ControlLoop loop;
@@ -98,7 +98,7 @@
 
             @Override
             public void onUnconfirmed() {
-                // The sender repeats the request, perhaps to another leader.
+                // The sender retries, perhaps at another leader.
                 metrics.recordViewRequest(false);
             }
         }));
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -14,7 +14,8 @@
 import org.radishspur.replication.state.CatalogueState.Rollout;
 
 /**
- * Holds the control state that an entry or a scheduler acts on, and when a majority of the control replicas last confirmed it.
+ * Holds the control state that an entry or a scheduler acts on, and the time at which a majority of the control replicas last
+ * confirmed it.
  *
  * @param catalogue the catalogue, empty until the first one is received.
  * @param hosts the latest host list, {@link HostList#NONE} until the first one is received.
@@ -22,7 +23,7 @@
  * @param entryCount the number of entries that poll the leader.
  * @param controlHosts the control hosts, each of which runs a scheduler.
  * @param evacuated the failure domains whose upstreams must get no new requests.
- * @param confirmedAt when the request was sent that the latest confirmation answers.
+ * @param confirmedAt the time at which the request for the latest confirmation was sent.
  */
 public record ConfirmedView(
         Optional<Catalogue> catalogue,
@@ -51,14 +52,14 @@
         return new ConfirmedView(catalogue, newer, rollouts, entryCount, controlHosts, evacuated, confirmedAt);
     }
 
-    ConfirmedView withAnswer(FleetMessage.ViewResponse answer, Moment sentAt) {
+    ConfirmedView withResponse(FleetMessage.ViewResponse response, Moment sentAt) {
         return new ConfirmedView(
                 catalogue,
                 hosts,
-                answer.rollouts(),
-                answer.entryCount(),
-                answer.controlHosts(),
-                answer.evacuated(),
+                response.rollouts(),
+                response.entryCount(),
+                response.controlHosts(),
+                response.evacuated(),
                 sentAt);
     }
 
@@ -83,7 +84,7 @@
     /**
      * Returns whether a catalogue and a host list are present and were confirmed recently.
      *
-     * @param millis the greatest allowed age of the confirmation, in milliseconds.
+     * @param millis the maximum age of the confirmation, in milliseconds.
      * @return whether the view is complete and younger than that.
      */
     public boolean isConfirmedWithin(double millis) {
--- a/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -25,19 +25,19 @@
  * affects only its own queue.
  */
 final class LoadReportExchange {
-    /** The shortest time without a report after which a peer is considered lost, in milliseconds. */
+    /** The minimum time without a report after which a peer is considered lost, in milliseconds. */
     private static final long PEER_TIMEOUT_MILLIS = 900;
 
-    /** The shortest time between two rounds of publishing, in milliseconds. */
+    /** The minimum time between two rounds of publishing, in milliseconds. */
     static final long MIN_ROUND_MILLIS = 40;
 
     /**
-     * The greatest number of reports that a scheduler sends each second. With more peers each scheduler publishes less
+     * The maximum number of reports that a scheduler sends each second. With more peers each scheduler publishes less
      * often, so that the cost of sending and receiving reports doesn't grow with their number.
      */
     private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-    /** The greatest number of successes or failures in one report that are recorded; more carry no further information. */
+    /** The maximum number of successes or failures in one report that are recorded; more carry no further information. */
     private static final int MAX_OUTCOMES_PER_REPORT = 4;
 
     /** The number of values that a report carries for each upstream; the constants below are their positions. */
@@ -47,9 +47,12 @@
     private static final int SUCCESSES = 1;
     private static final int FAILURES = 2;
     private static final int EVENT_TIME_STEPS = 3;
-    private static final int UNREAD_TOKEN_STEPS = 4;
+    private static final int PENDING_TOKEN_STEPS = 4;
 
-    /** The unit in which unread prompt tokens are published; an upstream reads fewer tokens in a few milliseconds. */
+    /**
+     * The unit in which pending prompt tokens, which the upstream has not read yet, are published. An upstream reads fewer
+     * tokens in a few milliseconds.
+     */
     private static final int TOKENS_PER_STEP = 256;
 
     /** The ratio between neighbouring steps of the time per event; coarse steps change rarely, and a change costs a message. */
@@ -82,12 +85,12 @@
 
     /** Sets the addresses of the peers and looks up the upstreams of the pools again; called after each change of the view. */
     void refresh(List<String> others) {
-        publishRounds.peers(others);
+        publishRounds.setPeers(others);
         upstreams = upstreamsByDigest();
         outcomes.keySet().retainAll(Set.copyOf(upstreams.values()));
     }
 
-    /** Counts an answer of an upstream, for the next report. */
+    /** Counts a response of an upstream, for the next report. */
     void recordOutcome(UpstreamLoad upstream, boolean succeeded) {
         outcomes.computeIfAbsent(upstream, key -> new long[2])[succeeded ? 0 : 1]++;
     }
@@ -139,7 +142,7 @@
             if (upstream != null) {
                 upstream.recordPeerInProgress(report.scheduler(), counts[IN_PROGRESS]);
                 upstream.recordPeerPendingTokens(
-                        report.scheduler(), (long) counts[UNREAD_TOKEN_STEPS] * TOKENS_PER_STEP);
+                        report.scheduler(), (long) counts[PENDING_TOKEN_STEPS] * TOKENS_PER_STEP);
                 upstream.recordPeerEventTime(
                         counts[EVENT_TIME_STEPS] == 0
                                 ? 0
@@ -200,7 +203,7 @@
     }
 
     /**
-     * Returns the counts of all upstreams with requests or answers, and of those published before, so that a count that has
+     * Returns the counts of all upstreams with requests or responses, and of those published before, so that a count that has
      * fallen to zero is published as well.
      */
     private Map<Integer, int[]> currentCounts(Set<Integer> published) {
@@ -213,7 +216,7 @@
                 numbers[SUCCESSES] = (int) counted[0];
                 numbers[FAILURES] = (int) counted[1];
                 numbers[EVENT_TIME_STEPS] = eventTimeStep(upstream.ownEventMillis());
-                numbers[UNREAD_TOKEN_STEPS] = (int) (upstream.ownPendingTokens() / TOKENS_PER_STEP);
+                numbers[PENDING_TOKEN_STEPS] = (int) (upstream.ownPendingTokens() / TOKENS_PER_STEP);
                 counts.put(digest, numbers);
             }
         });
@@ -225,7 +228,7 @@
         return millis <= 0 ? 0 : 1 + (int) Math.max(0, Math.round(Math.log(millis) / Math.log(EVENT_TIME_STEP_RATIO)));
     }
 
-    /** Makes a report of the counts that differ from the published ones and of the given usage. */
+    /** Builds a report of the counts that differ from the published ones and of the given usage. */
     private FleetMessage.LoadReport report(
             Map<Integer, int[]> current, Map<Integer, int[]> published, Map<String, Long> usage, boolean full) {
         List<Integer> changed = new ArrayList<>();
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -29,8 +29,8 @@
  */
 public final class PoolSet implements SlotScheduler.Pools {
     /**
-     * The part of the greatest allowed share of requests that a version under trial gets. The rest covers retries and the
-     * time in which some schedulers have not yet seen the end of a trial.
+     * The part of {@link #maxTrialShare} that a version under trial gets. The rest covers retries and the time in which some
+     * schedulers have not yet seen the end of a trial.
      */
     private static final double TRIAL_SHARE_FACTOR = 0.7;
 
@@ -52,7 +52,7 @@
      *
      * @param self the address of this process, by which its choices among upstreams differ from those of others.
      * @param failureDomain the failure domain of this process.
-     * @param maxTrialShare the greatest share of requests that a version under trial may get, between 0 and 1.
+     * @param maxTrialShare the maximum share of requests that a version under trial may get, between 0 and 1.
      */
     public PoolSet(String self, String failureDomain, double maxTrialShare) {
         this.self = self;
@@ -107,12 +107,12 @@
     }
 
     /**
-     * Sets the part of each organisation's quota that is granted here.
+     * Sets the share of each organisation's quota that is granted here.
      *
-     * @param part the part, 1 if the usage is shared with all other processes that grant slots.
+     * @param share the share, 1 if the usage is shared with all other processes that grant slots.
      */
-    public void quotaShare(double part) {
-        quotaShare = part;
+    public void setQuotaShare(double share) {
+        quotaShare = share;
     }
 
     private Optional<PoolRule> rule(String pool) {
@@ -196,7 +196,7 @@
         return !rolledBack && dispatcher(upstream.upstream().pool()).upstreams().acceptsRequests(upstream);
     }
 
-    /** Returns the usual share of failed answers in the pool of an upstream, or 0 if the pool is unknown. */
+    /** Returns the usual share of failed responses in the pool of an upstream, or 0 if the pool is unknown. */
     double usualFailureShare(UpstreamLoad upstream) {
         PoolDispatcher dispatcher = dispatchers.get(upstream.upstream().pool());
         return dispatcher == null ? 0 : dispatcher.upstreams().usualFailureShare();
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -11,7 +11,7 @@
     /** The interval between full reports, which carry unchanged values as well, in milliseconds. */
     private static final long FULL_REPORT_MILLIS = 320;
 
-    /** The smallest number of rounds from one full report to the next; it stretches the interval if rounds are rare. */
+    /** The minimum number of rounds from one full report to the next; it stretches the interval if rounds are rare. */
     private static final int MIN_ROUNDS_PER_FULL_REPORT = 4;
 
     /** The number of rounds without a report after which a peer may be considered lost. */
@@ -28,15 +28,15 @@
     /**
      * Creates rounds without peers.
      *
-     * @param tickMillis the period of the caller's timer and the shortest time between two rounds, in milliseconds.
-     * @param messagesPerSecond the greatest number of messages that all peers together get each second.
+     * @param tickMillis the period of the caller's timer and the minimum time between two rounds, in milliseconds.
+     * @param messagesPerSecond the maximum number of messages that all peers together get each second.
      */
     PublishRounds(long tickMillis, int messagesPerSecond) {
         this.tickMillis = tickMillis;
         this.messagesPerSecond = messagesPerSecond;
     }
 
-    void peers(List<String> addresses) {
+    void setPeers(List<String> addresses) {
         peers = addresses;
     }
 
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -36,24 +36,25 @@
     private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
     /**
-     * The time without a message after which an entry is considered lost, in milliseconds; an idle entry sends pings more often.
-     * Guards against slots that stay occupied by a frozen host, and against grants that are never used.
+     * The time without a message after which an entry is considered lost, in milliseconds; an entry pings its scheduler more
+     * often, even while it is idle. Guards against slots that stay occupied by a frozen host, and against grants that are
+     * never used.
      */
     private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
-    /** The greatest age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
+    /** The maximum age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
     private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
     private final PlatformProcessSettings settings;
 
-    /** The follower's own thread: parsing a large catalogue takes longer than an election timeout of the replica. */
-    private final ControlLoop followerLoop = new ControlLoop();
+    /** The view poller's own thread, as parsing a large catalogue takes longer than an election timeout of the replica. */
+    private final ControlLoop pollerLoop = new ControlLoop();
 
     private final EventLoop traffic;
     private final EventLog events;
     private final MetricRegistry metrics;
     private final FleetLinks links;
-    private final ViewPoller follower;
+    private final ViewPoller viewPoller;
     private final PoolSet pools;
     private final QuotaLedger quotas;
     private final SlotScheduler slotScheduler;
@@ -82,7 +83,7 @@
             EventLog events,
             MetricRegistry metrics) {
         this.settings = settings;
-        followerLoop.setFailureListener(failure);
+        pollerLoop.setFailureListener(failure);
         this.traffic = traffic;
         this.events = events;
         this.metrics = metrics;
@@ -93,11 +94,11 @@
         slotScheduler = new SlotScheduler(pools, quotas, new SchedulerListener());
         evacuationLog = new EvacuationLog(pools, events);
         loadReports = new LoadReportExchange(links, pools, quotas, self + '/' + System.currentTimeMillis());
-        follower = new ViewPoller(
-                followerLoop, links, dialect, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
+        viewPoller = new ViewPoller(
+                pollerLoop, links, dialect, events, "", List::of, newer -> traffic.execute(() -> onView(newer)));
         metrics.register("scheduler.entries", (Gauge<Integer>) slotScheduler::entryCount);
         metrics.register("scheduler.waiting", (Gauge<Integer>) slotScheduler::queueLength);
-        seeds(settings.seeds());
+        setSeeds(settings.seeds());
         traffic.scheduleAtFixedRate(
                 () -> loadReports.publishIfDue(now()),
                 LoadReportExchange.MIN_ROUND_MILLIS,
@@ -126,25 +127,25 @@
      *
      * @param hosts some control hosts, some of which may be stale.
      */
-    public void seeds(List<HostPort> hosts) {
+    public void setSeeds(List<HostPort> hosts) {
         Set<String> addresses = new TreeSet<>();
         hosts.forEach(host -> addresses.add(host.toString()));
-        followerLoop.execute(() -> follower.seeds(addresses));
+        pollerLoop.execute(() -> viewPoller.setSeeds(addresses));
     }
 
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
-        if (message instanceof FleetMessage.ViewResponse answer) {
-            followerLoop.execute(() -> follower.onViewResponse(answer));
+        if (message instanceof FleetMessage.ViewResponse response) {
+            pollerLoop.execute(() -> viewPoller.onViewResponse(response));
         } else if (message instanceof FleetMessage.Document document) {
-            followerLoop.execute(() -> follower.onDocument(document));
+            pollerLoop.execute(() -> viewPoller.onDocument(document));
         } else if (message instanceof FleetMessage.RequestSlot request) {
             onSlotRequest(sender, request);
         } else if (message instanceof FleetMessage.ReportSlot report) {
             slotScheduler.report(sender.peer(), report.id(), report.report(), now());
-        } else if (message instanceof FleetMessage.LoadReport load) {
-            if (loadReports.onReport(load, view.organisations(), now())) {
+        } else if (message instanceof FleetMessage.LoadReport loadReport) {
+            if (loadReports.onReport(loadReport, view.organisations(), now())) {
                 slotScheduler.advance(now());
             }
         } else if (message instanceof FleetMessage.Attach attach) {
@@ -225,11 +226,11 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        followerLoop.close();
+        pollerLoop.close();
         links.close();
     }
 
-    /** Sends replies to the entries, and passes on answers and ejections of upstreams. */
+    /** Sends replies to the entries, and passes on responses and ejections of upstreams. */
     private final class SchedulerListener implements SlotScheduler.Listener {
         /** {@inheritDoc} */
         @Override
--- a/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
@@ -21,19 +21,19 @@
 
 /**
  * Polls the control leader for the current control state on behalf of an entry or a scheduler, and searches for the leader
- * when it stops answering. All methods run on one control loop.
+ * when it stops responding. All methods run on one control loop.
  */
 public final class ViewPoller {
     /** The interval between requests to the leader, in milliseconds; an eighth of the time in which an edit must take effect. */
     private static final long POLL_INTERVAL_MILLIS = 300;
 
-    /** The interval between requests while no leader is known or its answer is overdue, in milliseconds. */
+    /** The interval between requests while no leader is known or its response is overdue, in milliseconds. */
     private static final long SEARCH_INTERVAL_MILLIS = 80;
 
-    /** After this time without a confirmation the other control hosts are asked as well, in milliseconds. */
+    /** The time without a confirmation after which the other control hosts are asked as well, in milliseconds. */
     private static final long LEADER_TIMEOUT_MILLIS = 500;
 
-    /** After this time an answer to a request is ignored, in milliseconds. */
+    /** The time after which the response to a request is ignored, in milliseconds. */
     private static final long REQUEST_TIMEOUT_MILLIS = 3_000;
 
     private final ControlLoop loop;
@@ -56,12 +56,12 @@
     /**
      * Starts polling.
      *
-     * @param loop the thread that polls, handles answers and calls the listener.
+     * @param loop the thread that polls, handles responses and calls the listener.
      * @param links the connections to the control hosts.
      * @param dialect parses catalogues.
      * @param events receives structured events.
      * @param entry the address of the entry that polls, empty for a scheduler.
-     * @param versionCounts the source of the answer counts that are sent with each request.
+     * @param versionCounts the source of the response counts that are sent with each request.
      * @param listener receives the view after each confirmation and each new catalogue.
      */
     public ViewPoller(
@@ -88,7 +88,7 @@
      *
      * @param addresses their addresses, some of which may be stale.
      */
-    public void seeds(Set<String> addresses) {
+    public void setSeeds(Set<String> addresses) {
         seeds.clear();
         seeds.addAll(addresses);
         updateLinks();
@@ -96,37 +96,40 @@
     }
 
     /**
-     * Handles the answer to a request. A confirmed answer updates the view; any other one only names the control hosts and,
-     * where it is known, the leader.
+     * Handles the response to a request. A confirmed response updates the view; any other one only names the control hosts
+     * and, where it is known, the leader.
      *
-     * @param answer the answer.
+     * @param response the response.
      */
-    public void onViewResponse(FleetMessage.ViewResponse answer) {
-        if (!answer.controlHosts().isEmpty() && answer.confirmed()) {
+    public void onViewResponse(FleetMessage.ViewResponse response) {
+        if (!response.controlHosts().isEmpty() && response.confirmed()) {
             controlHosts.clear();
         }
-        answer.controlHosts().forEach(host -> controlHosts.put(host.address(), host));
-        if (!answer.confirmed()) {
-            onLeaderHint(answer.leader());
+        response.controlHosts().forEach(host -> controlHosts.put(host.address(), host));
+        if (!response.confirmed()) {
+            onLeaderHint(response.leader());
             updateLinks();
             return;
         }
-        Moment sentAt = requestsSentAt.remove(answer.nonce());
+        Moment sentAt = requestsSentAt.remove(response.nonce());
         if (sentAt == null) {
             return;
         }
         if (leaderLost) {
             leaderLost = false;
             events.emit(
-                    EventCode.CONTROL, "followed", answer.leader(), Moment.now().millisSince(view.confirmedAt()));
+                    EventCode.CONTROL,
+                    "followed",
+                    response.leader(),
+                    Moment.now().millisSince(view.confirmedAt()));
         }
-        leader = answer.leader();
-        updateView(answer, sentAt);
+        leader = response.leader();
+        updateView(response, sentAt);
         updateLinks();
     }
 
     /**
-     * Replaces the catalogue by a newer one. The time of the last confirmation changes only with the next confirmed answer.
+     * Replaces the catalogue by a newer one. The time of the last confirmation changes only with the next confirmed response.
      *
      * @param document the catalogue; it is ignored unless its revision is newer.
      */
@@ -153,31 +156,32 @@
         }
     }
 
-    private void updateView(FleetMessage.ViewResponse answer, Moment sentAt) {
+    private void updateView(FleetMessage.ViewResponse response, Moment sentAt) {
         ConfirmedView next = view;
-        if (answer.list().isPresent() && answer.list().get().isLaterThan(next.hosts())) {
-            HostList hosts = answer.list().get();
+        if (response.list().isPresent() && response.list().get().isLaterThan(next.hosts())) {
+            HostList hosts = response.list().get();
             next = next.withHosts(hosts);
-            long leaving = hosts.upstreams().stream().filter(Upstream::draining).count();
+            long draining =
+                    hosts.upstreams().stream().filter(Upstream::draining).count();
             events.emit(
                     EventCode.HOST_LIST,
                     hosts.term(),
                     hosts.reading(),
                     hosts.upstreams().size(),
-                    leaving);
+                    draining);
         }
-        // The answer confirms the view only if the catalogue here is at least as new as the leader's. An answer that
-        // arrives after the answer to a later request must not set the confirmation back.
-        boolean current = next.revision() >= answer.revision();
+        // The response confirms the view only if the catalogue here is at least as new as the leader's. A response that
+        // arrives after the response to a later request must not set the confirmation back.
+        boolean current = next.revision() >= response.revision();
         boolean newer = sentAt.monotonicMillis() >= next.confirmedAt().monotonicMillis();
         if (current && newer) {
-            next = next.withAnswer(answer, sentAt);
+            next = next.withResponse(response, sentAt);
         }
         view = next;
         listener.onView(next);
     }
 
-    /** Sends requests and schedules the next poll, sooner if an answer is overdue; each poll wakes up an otherwise idle host. */
+    /** Sends requests and schedules the next poll, sooner if a response is overdue; each poll wakes an otherwise idle host. */
     private void poll() {
         sendRequests();
         boolean overdue = Moment.now().millisSince(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
@@ -246,7 +250,7 @@
     }
 
     /**
-     * Provides the answer counts of an entry by version; may be called from any thread.
+     * Provides the response counts of an entry by version; may be called from any thread.
      */
     public interface CountSource {
         /**
--- a/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
@@ -12,7 +12,7 @@
 
     private static int burst(int entries, int slack) {
         RetryBudgets budgets = new RetryBudgets(RETRY_SHARE, slack);
-        budgets.entries(entries);
+        budgets.setEntryCount(entries);
         RetryBudget budget = budgets.forPool("pool");
         for (int request = 0; request < 10_000; request++) {
             budget.recordRequest();
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -151,7 +151,7 @@
             reply(NEAR, slot, granted(UNLISTED), 1);
             assertThat(listener.granted).isEmpty();
             assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.UNUSED);
-            assertThat(links.lastAsk(NEAR).request().avoidedRuns()).containsExactly(UNLISTED.runId());
+            assertThat(links.lastRequest(NEAR).request().avoidedRuns()).containsExactly(UNLISTED.runId());
         }
 
         @Test
@@ -182,7 +182,7 @@
         void sendsTheRequestToAnotherScheduler() {
             requestSlot(0);
             client.checkPending(AFTER_TIMEOUT_MILLIS);
-            assertThat(links.lastAsk(FAR).request().maxWaitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
+            assertThat(links.lastRequest(FAR).request().maxWaitMillis()).isEqualTo(200 - AFTER_TIMEOUT_MILLIS);
         }
 
         /** Guards against a scheduler that grants slots again which its newly attached entries hold already. */
@@ -216,7 +216,7 @@
             requestSlot(0);
             links.connected.remove(NEAR);
             client.onLinkLost(NEAR, 5);
-            assertThat(links.lastAsk(FAR)).isNotNull();
+            assertThat(links.lastRequest(FAR)).isNotNull();
         }
 
         /** Guards against requests to a scheduler that detached this entry when its previous connection closed. */
@@ -287,10 +287,10 @@
             return sent.getOrDefault(address, List.of());
         }
 
-        FleetMessage.RequestSlot lastAsk(String address) {
+        FleetMessage.RequestSlot lastRequest(String address) {
             FleetMessage.RequestSlot last = null;
             for (FleetMessage message : sentTo(address)) {
-                last = message instanceof FleetMessage.RequestSlot ask ? ask : last;
+                last = message instanceof FleetMessage.RequestSlot request ? request : last;
             }
             return last;
         }
--- a/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
@@ -37,7 +37,7 @@
      */
     @Test
     void letsExactlyOneSchedulerUseAColdUpstream() {
-        List<ControlHost> controls = IntStream.range(0, 6)
+        List<ControlHost> controlHosts = IntStream.range(0, 6)
                 .mapToObj(number -> new ControlHost("10.0.0." + number + ":76", "domain-" + number % 3))
                 .toList();
         List<Upstream> cold = IntStream.range(0, 30)
@@ -54,15 +54,16 @@
                         .withCold(true))
                 .toList();
         Map<String, Integer> grants = new HashMap<>();
-        for (ControlHost control : controls) {
-            grantedUpstreams(control, controls, cold).forEach(id -> grants.merge(id, 1, Integer::sum));
+        for (ControlHost controlHost : controlHosts) {
+            grantedUpstreams(controlHost, controlHosts, cold).forEach(id -> grants.merge(id, 1, Integer::sum));
         }
         assertThat(grants).hasSize(cold.size());
         assertThat(grants.values()).allMatch(count -> count == COLD_PER_SECOND);
     }
 
-    private static List<String> grantedUpstreams(ControlHost control, List<ControlHost> controls, List<Upstream> cold) {
-        PoolSet scheduler = new PoolSet(control.address(), control.failureDomain(), 0.1);
+    private static List<String> grantedUpstreams(
+            ControlHost controlHost, List<ControlHost> controlHosts, List<Upstream> cold) {
+        PoolSet scheduler = new PoolSet(controlHost.address(), controlHost.failureDomain(), 0.1);
         PoolRule rule = new PoolRule("pool", 10, 4, true).withColdStart(new ColdStart(3_000, COLD_PER_SECOND));
         scheduler.apply(
                 new ConfirmedView(
@@ -70,10 +71,10 @@
                         new HostList(1, 1, cold),
                         List.of(),
                         0,
-                        controls,
+                        controlHosts,
                         Set.of(),
                         Moment.LONG_AGO),
-                controls.size(),
+                controlHosts.size(),
                 0);
         List<String> upstreamIds = new ArrayList<>();
         for (long now = 0; now < 1_000; now += 5) {
--- a/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PublishRoundsTest.java
@@ -13,7 +13,7 @@
     private final PublishRounds rounds = new PublishRounds(TICK_MILLIS, 150);
 
     private void peers(int number) {
-        rounds.peers(Collections.nCopies(number, "peer"));
+        rounds.setPeers(Collections.nCopies(number, "peer"));
     }
 
     @Test
