--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -208,7 +208,8 @@
     }
 
     /**
-     * Requests a slot in the pool. The upstream of the last attempt and unreachable ones serve only if no other can.
+     * Requests a slot in the pool. The upstream of the last attempt and unreachable ones are used only if no other is
+     * available.
      *
      * @param waitUntil the time until which to wait for the slot, by {@link EntryServices#now()}.
      * @param trialAllowed whether an upstream of a version under trial may run the request.
@@ -303,8 +304,8 @@
     public void onGranted(UpstreamSlot granted) {
         slot = null;
         if (!services.isConfirmed() || !isStillAllowed()) {
-            // The view may have changed or expired since the check on arrival, for instance during
-            // a pause of the whole process.
+            // The view may have changed or expired since the check on arrival, for instance during a pause of the
+            // whole process.
             granted.end(SlotOutcome.UNUSED);
             refuse(EndReason.UNCONFIRMED, maxRetryAfter(), false);
             return;
@@ -332,7 +333,7 @@
         }
     }
 
-    /** Returns whether the current catalogue still routes the request to its pool and still knows its key. */
+    /** Returns whether the current catalogue still routes the request to its pool and still assigns its key to its organisation. */
     private boolean isStillAllowed() {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         boolean routed = catalogue
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Reports the event time of a new upstream in the middle of a stream, so that schedulers know it before the end. */
+    /** Reports the event time of a new upstream in the middle of a stream, so that schedulers receive it before the end. */
     private void reportFirstEventTime() {
         long events = caller.splitter().eventCount() - eventsBeforeAttempt;
         if (slot.isEventTimeRequested() && !eventTimeReported && events >= EARLY_REPORT_EVENTS) {
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -117,7 +117,7 @@
      * @param answers the number of responses, failed ones included.
      * @param failures the number of failed responses.
      * @param firstMillis the sum of the times to the first byte, in milliseconds.
-     * @param eventMillis the sum of the times per event of a stream or per whole plain response, in milliseconds.
+     * @param eventMillis the sum of the times per event of a stream or per complete plain response, in milliseconds.
      */
     record VersionCounts(
             String pool,
