--- a/node/src/main/java/org/radishspur/node/Node.java
+++ b/node/src/main/java/org/radishspur/node/Node.java
@@ -64,7 +64,7 @@
                 settings,
                 incarnation,
                 controlLoop,
-                inbox -> new PeerConnections(settings, key, incarnation, group, inbox, metrics));
+                listener -> new PeerConnections(settings, key, incarnation, group, listener, metrics));
         services = new CallerServices(settings, core, metrics);
         registerGauges();
         rootSupervisor = new Supervisor("node", scheduler, controlLoop::nowMillis)
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/Exchange.java
@@ -83,9 +83,9 @@
         this.context = context;
         this.request = request;
         PermitId permitId = services.core().nextPermitId();
-        String name = permitId.node() + '-' + permitId.incarnation() + '-' + permitId.sequence();
+        String requestId = permitId.node() + '-' + permitId.incarnation() + '-' + permitId.sequence();
         boolean beforeHttp11 = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
-        this.answer = new AnswerWriter(connection, context, name, beforeHttp11);
+        this.answer = new AnswerWriter(connection, context, requestId, beforeHttp11);
     }
 
     void begin() {
@@ -207,7 +207,7 @@
         }
     }
 
-    private void onClaimAnswer(ClaimAnswer answered, boolean holderLives) {
+    private void onClaimAnswer(ClaimAnswer answered, boolean holderIsLive) {
         if (answered instanceof ClaimAnswer.Granted) {
             requestPermit();
             return;
@@ -217,7 +217,7 @@
             replay(finished);
         } else if (answered instanceof ClaimAnswer.KeyReused) {
             refuse(Refusal.notRun(RefusalReason.KEY_REUSED, "The key was used for another request."));
-        } else if (answered instanceof ClaimAnswer.Held && holderLives) {
+        } else if (answered instanceof ClaimAnswer.Held && holderIsLive) {
             refuse(new Refusal(
                     RefusalReason.REQUEST_IN_PROGRESS,
                     RunState.UNKNOWN,
@@ -258,19 +258,19 @@
         Attempt next = new Attempt(services.core().nextPermitId());
         attempt = next;
         long elapsedMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - beganNanos);
-        PeerMessage.PermitAcquire ask = new PeerMessage.PermitAcquire(
+        PeerMessage.PermitAcquire acquire = new PeerMessage.PermitAcquire(
                 validated.route().pool(),
                 next.id,
                 validated.tier(),
                 validated.organisation(),
                 validated.route().name(),
                 TimeUnit.MILLISECONDS.toMicros(validated.deadlineMillis()) - elapsedMicros,
-                estimateCost(),
+                estimateSize(),
                 fingerprint);
-        services.core().requestPermit(ask, next);
+        services.core().requestPermit(acquire, next);
     }
 
-    private RequestSize estimateCost() {
+    private RequestSize estimateSize() {
         if (validated.poolKind() == PoolKind.SERVICE) {
             return RequestSize.SERVICE_CALL;
         }
@@ -296,7 +296,7 @@
                 if (finishesWithoutCaller()) {
                     failCaller(deadlinePassed);
                     // Guards against an exchange that never ends: a caller that has stopped reading has paused the
-                    // reading from the upstream, and nothing else resumes it after the caller's end.
+                    // reading from the upstream, and nothing else resumes it once the caller has been refused.
                     attempt.upstreamExchange.read();
                 } else {
                     abandon(deadlinePassed, Ending.CANCELLED);
@@ -308,7 +308,8 @@
 
     /**
      * Returns whether the upstream may finish the request although the caller no longer waits: the route isn't
-     * idempotent, so the request can't be repeated, and a retry with the same key asks for its stored answer.
+     * idempotent, so the request can't be retried elsewhere, and a retry by the caller with the same key gets the
+     * stored answer.
      */
     private boolean finishesWithoutCaller() {
         return claim != null && !validated.route().idempotent() && bodyComplete;
@@ -351,7 +352,7 @@
         }
     }
 
-    /** Ends a request that provably did not run, with a refusal. */
+    /** Ends the exchange with a refusal, where the exchange itself provably did not run the request. */
     private void refuse(Refusal refusal) {
         if (stage == Stage.DONE) {
             return;
@@ -573,7 +574,7 @@
             status = response.status().code();
             contentType = response.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
             admission = UpstreamHeaders.INSTANCE.admissionOf(response);
-            reportUpstreamState(response.headers());
+            reportUpstreamStatus(response.headers());
             if (admission == UpstreamHeaders.Admission.ADMITTED) {
                 tokens.begin(contentType);
                 if (!callerDone) {
@@ -582,7 +583,7 @@
             }
         }
 
-        private void reportUpstreamState(HttpHeaders headers) {
+        private void reportUpstreamStatus(HttpHeaders headers) {
             int running = headers.getInt(UpstreamHeaders.LOAD_RUNNING, -1);
             long incarnation = UpstreamHeaders.INSTANCE.incarnationOf(headers);
             boolean leaving = headers.contains(UpstreamHeaders.LEAVING);
@@ -675,9 +676,10 @@
 
         PermitOutcome outcome(Ending ending) {
             long now = System.nanoTime();
-            long first = firstTokenNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(firstTokenNanos - dispatchedNanos);
-            long total = dispatchedNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(now - dispatchedNanos);
-            return new PermitOutcome(ending, first, total, tokens.tokens());
+            long firstTokenMicros =
+                    firstTokenNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(firstTokenNanos - dispatchedNanos);
+            long totalMicros = dispatchedNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMicros(now - dispatchedNanos);
+            return new PermitOutcome(ending, firstTokenMicros, totalMicros, tokens.tokens());
         }
 
         void abort() {
--- a/node/src/main/java/org/radishspur/node/caller/RequestClaim.java
+++ b/node/src/main/java/org/radishspur/node/caller/RequestClaim.java
@@ -10,8 +10,8 @@
 import org.radishspur.replication.state.StoredAnswer;
 
 /**
- * Makes the claim of one request with an idempotency key and ends it at most once: finished with the answer, finished with an
- * unknown outcome, or released because the request did not run.
+ * Makes the claim of one request with an idempotency key and ends it at most once: finished with the answer, finished
+ * with an unknown outcome, or released because the request did not run.
  */
 final class RequestClaim {
     private static final long COMMIT_TIMEOUT_MILLIS = 60_000;
--- a/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
+++ b/node/src/main/java/org/radishspur/node/caller/RetryBudget.java
@@ -17,7 +17,7 @@
      * Creates a budget that is one tenth full, but holds at least one retry.
      *
      * @param share the number of retries that each request adds, usually a fraction of one.
-     * @param maxRetries the number of retries that the budget holds at most.
+     * @param maxRetries the maximum number of retries that the budget holds.
      */
     public RetryBudget(double share, int maxRetries) {
         unitsPerRequest = (long) (share * UNITS_PER_RETRY);
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -77,7 +77,7 @@
                                 ? Optional.empty()
                                 : Optional.of(state.get().tables().deltaSince(status.revisionInForce())),
                         auxiliaryRevision,
-                        auxiliaryKnown ? Map.of() : suspects(state.get()),
+                        auxiliaryKnown ? Map.of() : crashCounts(state.get()),
                         auxiliaryKnown ? Map.of() : state.get().moves().latest(),
                         auxiliaryKnown ? Set.of() : state.get().catalogue().evacuated()));
     }
@@ -108,7 +108,7 @@
         if (call.request() instanceof ControlRequest.Commit commit) {
             replica.propose(
                     commit.command(),
-                    end -> sender.send(node, new PeerMessage.ControlReply(call.call(), resultOf(end))));
+                    outcome -> sender.send(node, new PeerMessage.ControlReply(call.call(), resultOf(outcome))));
         } else if (call.request() instanceof ControlRequest.Status) {
             sender.send(node, new PeerMessage.ControlReply(call.call(), status()));
         } else if (call.request() instanceof ControlRequest.Replace replace) {
@@ -116,10 +116,10 @@
         }
     }
 
-    private ControlResult resultOf(ProposalOutcome end) {
-        if (end instanceof ProposalOutcome.Committed committed) {
+    private ControlResult resultOf(ProposalOutcome outcome) {
+        if (outcome instanceof ProposalOutcome.Committed committed) {
             return new ControlResult.Committed(committed.answer(), isHolderLive(committed.answer()));
-        } else if (end instanceof ProposalOutcome.Busy) {
+        } else if (outcome instanceof ProposalOutcome.Busy) {
             return new ControlResult.Busy();
         }
         return new ControlResult.NotLeader(replica.isLeader() ? "" : replica.leaderNode());
@@ -139,7 +139,7 @@
         List<NodeSummary> summaries = new ArrayList<>(registry.summaries(loop.nowMillis()));
         Set<String> missing = new TreeSet<>(Set.of(settings.node()));
         settings.peers().forEach(peer -> missing.add(peer.node()));
-        summaries.forEach(line -> missing.remove(line.node()));
+        summaries.forEach(summary -> missing.remove(summary.node()));
         missing.forEach(node -> summaries.add(new NodeSummary(node, NodeState.LOST, "", -1, "")));
         return new ControlResult.Report(new PeerMessage.ClusterStatus(
                 settings.node(),
@@ -187,7 +187,7 @@
         return moves;
     }
 
-    private Map<String, Map<String, Integer>> suspects(ControlState state) {
+    private Map<String, Map<String, Integer>> crashCounts(ControlState state) {
         Map<String, Map<String, Integer>> byPool = new HashMap<>();
         for (String pool : state.tables().tables().pools().keySet()) {
             byPool.put(pool, state.suspects().crashCounts(pool));
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -31,11 +31,11 @@
     private final NodeSettings settings;
     private final long incarnation;
     private final ControlLoop loop;
-    private final PeerConnections links;
+    private final PeerConnections connections;
     private final ControlClient controlClient;
     private final PermitService permitService;
     private final OwnerService ownerService;
-    private final Optional<ReplicaRunner> replicaHost;
+    private final Optional<ReplicaRunner> replicaRunner;
     private final Optional<LeaderService> leaderService;
     private final AtomicLong nextPermitId = new AtomicLong();
     private volatile Tables tables = Tables.EMPTY;
@@ -44,7 +44,7 @@
     private volatile long leaderSeenAtMillis;
     private ClusterView view = ClusterView.NONE;
     private long auxiliaryRevision;
-    private long lastAuxiliaryChanges;
+    private long lastNonClaimChangeCount;
 
     /**
      * Creates the core of a node; its timers and its control replica start at once.
@@ -58,26 +58,27 @@
         this.settings = settings;
         this.incarnation = incarnation;
         this.loop = loop;
-        this.links = linksFactory.create(this);
+        this.connections = linksFactory.create(this);
         this.controlClient = new ControlClient(settings, loop, this::send);
-        this.permitService = new PermitService(loop, settings.node(), incarnation, this::send, links::isConnected);
+        this.permitService =
+                new PermitService(loop, settings.node(), incarnation, this::send, connections::isConnected);
         this.ownerService =
                 new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
-        this.replicaHost = settings.isControl()
+        this.replicaRunner = settings.isControl()
                 ? Optional.of(new ReplicaRunner(
                         ReplicaRunner.setupOf(settings),
                         loop,
                         (from, to, message) ->
-                                links.send(ReplicaRunner.nodeOf(to), new PeerMessage.Raft(from, to, message)),
+                                connections.send(ReplicaRunner.nodeOf(to), new PeerMessage.Raft(from, to, message)),
                         this::onApplied))
                 : Optional.empty();
-        this.leaderService = replicaHost.map(host -> new LeaderService(settings, loop, host, this::send));
+        this.leaderService = replicaRunner.map(runner -> new LeaderService(settings, loop, runner, this::send));
         loop.repeat(this::heartbeat, settings.timeouts().heartbeatMillis());
     }
 
     /** Connects to the other nodes. */
     public void start() {
-        links.start(cause -> {});
+        connections.start(cause -> {});
         loop.execute(this::heartbeat);
     }
 
@@ -200,22 +201,22 @@
     }
 
     /**
-     * Returns whether a planned stop of the node has begun.
+     * Returns whether the node is shutting down.
      *
-     * @return whether it has.
+     * @return whether it is.
      */
     public boolean isShuttingDown() {
         return shuttingDown;
     }
 
     /**
-     * Begins a planned stop: hands over the queues and the control leadership that this node holds.
+     * Begins a shutdown: hands over the queues and the control leadership that this node holds.
      */
     public void beginShutdown() {
         shuttingDown = true;
         loop.execute(() -> {
             heartbeat();
-            replicaHost.ifPresent(ReplicaRunner::transferLeadership);
+            replicaRunner.ifPresent(ReplicaRunner::transferLeadership);
         });
     }
 
@@ -239,8 +240,8 @@
     /** {@inheritDoc} */
     @Override
     public void close() {
-        links.close();
-        replicaHost.ifPresent(ReplicaRunner::close);
+        connections.close();
+        replicaRunner.ifPresent(ReplicaRunner::close);
     }
 
     private boolean hasRecentLeaderReply() {
@@ -250,7 +251,7 @@
 
     private boolean isConnectedToMajority() {
         long connected = settings.peers().stream()
-                .filter(peer -> links.isConnected(peer.node()))
+                .filter(peer -> connections.isConnected(peer.node()))
                 .count();
         return 2 * (connected + 1) > settings.peers().size() + 1;
     }
@@ -259,7 +260,7 @@
         if (node.equals(settings.node())) {
             loop.execute(() -> dispatch(node, message));
         } else {
-            links.send(node, message);
+            connections.send(node, message);
         }
     }
 
@@ -274,14 +275,14 @@
                 view.term(),
                 view.number(),
                 auxiliaryRevision,
-                replicaHost.map(ReplicaRunner::identity).orElse(""));
+                replicaRunner.map(ReplicaRunner::identity).orElse(""));
         Set<String> controlNodes = settings.controlNodes();
         controlNodes.forEach(node -> send(node, new PeerMessage.Heartbeat(status)));
     }
 
     private void dispatch(String node, PeerMessage message) {
         if (message instanceof PeerMessage.Raft raft) {
-            replicaHost.ifPresent(host -> host.receive(raft.from(), raft.to(), raft.message()));
+            replicaRunner.ifPresent(runner -> runner.receive(raft.from(), raft.to(), raft.message()));
         } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
             leaderService.ifPresent(service -> service.onHeartbeat(heartbeat.status()));
         } else if (message instanceof PeerMessage.HeartbeatReply reply) {
@@ -308,8 +309,8 @@
             ownerService.onCancel(cancel);
         } else if (message instanceof PeerMessage.PermitFirstToken first) {
             ownerService.onFirstToken(first);
-        } else if (message instanceof PeerMessage.PermitRelease finish) {
-            ownerService.onFinish(finish);
+        } else if (message instanceof PeerMessage.PermitRelease release) {
+            ownerService.onFinish(release);
         } else if (message instanceof PeerMessage.UpstreamStatus status) {
             ownerService.onUpstreamStatus(status);
         } else if (message instanceof PeerMessage.PermitRegister register) {
@@ -367,8 +368,8 @@
     }
 
     private void onApplied(ControlState state) {
-        boolean changed = state.nonClaimChangeCount() != lastAuxiliaryChanges;
-        lastAuxiliaryChanges = state.nonClaimChangeCount();
+        boolean changed = state.nonClaimChangeCount() != lastNonClaimChangeCount;
+        lastNonClaimChangeCount = state.nonClaimChangeCount();
         leaderService.ifPresent(service -> service.onApplied(state, changed));
     }
 
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -88,10 +88,10 @@
     }
 
     void onSuspects(Map<String, Map<String, Integer>> suspects) {
-        suspects.forEach((pool, crashes) -> {
+        suspects.forEach((pool, crashCounts) -> {
             OwnedPool owned = ownedPools.get(pool);
             if (owned != null) {
-                owned.scheduler.replaceCrashCounts(crashes);
+                owned.scheduler.replaceCrashCounts(crashCounts);
             }
         });
         requestDecision();
@@ -136,15 +136,17 @@
             if (owned == null || !reporter.isOwner(poolOf(move.route())) || pendingProposals.contains(move)) {
                 continue;
             }
-            VersionComparison watch = owned.scheduler.versionComparison(move.route());
-            if (watch.detectedFault() != RollbackReason.NONE) {
+            VersionComparison comparison = owned.scheduler.versionComparison(move.route());
+            if (comparison.detectedFault() != RollbackReason.NONE) {
                 owned.scheduler.haltNewVersion(move.route());
             }
-            MoveDriver.INSTANCE.decide(move, watch, System.currentTimeMillis()).ifPresent(proposal -> {
-                pendingProposals.add(move);
-                loop.schedule(() -> pendingProposals.remove(move), PROPOSAL_RETRY_MILLIS);
-                reporter.propose(proposal);
-            });
+            MoveDriver.INSTANCE
+                    .decide(move, comparison, System.currentTimeMillis())
+                    .ifPresent(proposal -> {
+                        pendingProposals.add(move);
+                        loop.schedule(() -> pendingProposals.remove(move), PROPOSAL_RETRY_MILLIS);
+                        reporter.propose(proposal);
+                    });
         }
     }
 
@@ -192,10 +194,10 @@
         }
     }
 
-    void onFinish(PeerMessage.PermitRelease finish) {
-        OwnedPool owned = ownedPools.get(finish.pool());
+    void onFinish(PeerMessage.PermitRelease release) {
+        OwnedPool owned = ownedPools.get(release.pool());
         if (owned != null) {
-            owned.scheduler.finish(finish.id(), finish.outcome(), loop.nowMicros());
+            owned.scheduler.finish(release.id(), release.outcome(), loop.nowMicros());
             advanceMoves();
             requestDecision();
         }
@@ -286,8 +288,8 @@
                             pool, grant.id(), grant.upstream(), addressOf(pool, grant.upstream())));
         } else if (action instanceof PermitAction.Refuse refuse) {
             sender.send(refuse.id().node(), new PeerMessage.PermitRefused(pool, refuse.id(), refuse.refusal()));
-        } else if (action instanceof PermitAction.CrashSuspected suspect) {
-            reporter.reportCrash(pool, suspect.fingerprint(), suspect.crashId());
+        } else if (action instanceof PermitAction.CrashSuspected suspected) {
+            reporter.reportCrash(pool, suspected.fingerprint(), suspected.crashId());
         } else if (action instanceof PermitAction.SuspectCleared cleared) {
             reporter.clearSuspect(pool, cleared.fingerprint());
         } else if (action instanceof PermitAction.Ejected ejected) {
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -17,7 +17,8 @@
 import org.radishspur.node.peer.PeerMessage;
 
 /**
- * Requests permits for this entry node's requests from the owners of the pools' queues, and follows changes of the owners.
+ * Requests permits for this entry node's requests from the owners of the pools' queues, and tracks changes of the
+ * owners.
  */
 final class PermitService {
     private static final long REGISTRATION_INTERVAL_MILLIS = 1_000;
@@ -174,7 +175,7 @@
     private void register(String pool, String owner) {
         List<PeerMessage.PermitInUse> registered = permitsInUse.values().stream()
                 .filter(permit -> permit.request().pool().equals(pool))
-                .map(permit -> new PeerMessage.PermitInUse(remaining(permit.request(), 0), permit.upstream()))
+                .map(permit -> new PeerMessage.PermitInUse(withElapsed(permit.request(), 0), permit.upstream()))
                 .toList();
         List<PendingRequest> pending = pendingRequests.values().stream()
                 .filter(request -> request.request.pool().equals(pool))
@@ -183,10 +184,10 @@
         pending.forEach(request -> ids.add(request.request.id()));
         sender.send(owner, new PeerMessage.PermitRegister(pool, incarnation, registered, ids));
         pending.forEach(request ->
-                sender.send(owner, remaining(request.request, loop.nowMicros() - request.requestedAtMicros)));
+                sender.send(owner, withElapsed(request.request, loop.nowMicros() - request.requestedAtMicros)));
     }
 
-    private static PeerMessage.PermitAcquire remaining(PeerMessage.PermitAcquire request, long elapsedMicros) {
+    private static PeerMessage.PermitAcquire withElapsed(PeerMessage.PermitAcquire request, long elapsedMicros) {
         return new PeerMessage.PermitAcquire(
                 request.pool(),
                 request.id(),
--- a/node/src/main/java/org/radishspur/node/control/ReplicaRunner.java
+++ b/node/src/main/java/org/radishspur/node/control/ReplicaRunner.java
@@ -28,7 +28,7 @@
     /** The applied entries that stay in the log after a snapshot, for followers that are slightly behind. */
     private static final int TRAILING_ENTRIES = 1_000;
 
-    private static final int MAXIMUM_PENDING_PROPOSALS = 20_000;
+    private static final int MAX_PENDING_PROPOSALS = 20_000;
     /** Below 1, so that a lease expires before the followers can elect another leader, even if clocks drift. */
     private static final double LEASE_TO_ELECTION_TIMEOUT_RATIO = 0.8;
 
@@ -82,8 +82,7 @@
         return new Setup(
                 folder,
                 folder.identity(settings.cluster(), settings.node()),
-                new ControlReplica.Options(
-                        raft, state, settings.limits().entriesPerSnapshot(), MAXIMUM_PENDING_PROPOSALS),
+                new ControlReplica.Options(raft, state, settings.limits().entriesPerSnapshot(), MAX_PENDING_PROPOSALS),
                 settings.limits().minimumFreeBytes(),
                 Observer.LogObserver.INSTANCE);
     }
--- a/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Decodes callers' requests and upstreams' answers, and encodes what the system adds to a request.
+ * Decodes callers' requests and upstreams' responses, and encodes what the system adds to a request.
  */
 public interface CallerDialect {
     /**
@@ -22,16 +22,16 @@
      * Rewrites the headers of a request before it is sent to an upstream. Hop-by-hop headers have already been removed.
      *
      * @param headers the caller's headers, which are changed in place.
-     * @param forward what the system adds for the upstream.
+     * @param parameters what the system adds for the upstream.
      */
-    void rewriteHeaders(HttpHeaders headers, ForwardParameters forward);
+    void rewriteHeaders(HttpHeaders headers, ForwardParameters parameters);
 
     /**
-     * Classifies the head of an upstream's answer.
+     * Classifies an upstream's response by its head.
      *
      * @param response the head.
      * @param requestId the caller's identifier of the request.
-     * @return the kind of the answer.
+     * @return the kind of the response.
      */
     ResponseKind classify(HttpResponse response, String requestId);
 
@@ -77,10 +77,10 @@
             String upstreamId, Optional<String> organisation, long remainingMillis, long resumeAfter) {}
 
     /**
-     * Classifies an answer by its head, mainly by whether the upstream ran the request.
+     * Classifies a response by its head, mainly by whether the upstream ran the request.
      */
     enum ResponseKind {
-        /** The upstream ran the request and answers with a success status. */
+        /** The upstream ran the request and responds with a success status. */
         SUCCESS,
         /** The upstream ran the request, or may have run it, and reports a failure of its own. */
         FAILURE,
@@ -88,9 +88,9 @@
         NOT_RUN,
         /** Another instance than the expected one answered at this address; it has not run the request. */
         WRONG_INSTANCE,
-        /** The answer belongs to another request. */
+        /** The response belongs to another request. */
         OTHER_REQUEST,
-        /** The answer can't be the one that the upstream meant to send; the request may have run. */
+        /** The response can't be the one that the upstream meant to send; the request may have run. */
         INVALID
     }
 }
--- a/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
+++ b/node/src/main/java/org/radishspur/node/metrics/MetricsServer.java
@@ -27,7 +27,7 @@
  */
 public final class MetricsServer implements Child {
     /** Maximum size of a request's body, which is ignored. */
-    private static final int MAXIMUM_BODY_BYTES = 8_192;
+    private static final int MAX_BODY_BYTES = 8_192;
 
     private final HostPort address;
     private final EventLoopGroup group;
@@ -53,7 +53,7 @@
         channel = ServerSocketBinder.INSTANCE.bind(address, group, accepted -> {
             accepted.pipeline()
                     .addLast(new HttpServerCodec())
-                    .addLast(new HttpObjectAggregator(MAXIMUM_BODY_BYTES))
+                    .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
                     .addLast(new RequestHandler());
         });
     }
--- a/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
@@ -88,7 +88,7 @@
         answered.inc();
     }
 
-    /** Counts a stored answer that was sent again to a caller that resent its request. */
+    /** Counts a stored answer that was sent to a caller that retried its request. */
     public void replayed() {
         replayed.inc();
     }
--- a/node/src/main/java/org/radishspur/node/peer/PeerConnections.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerConnections.java
@@ -23,12 +23,12 @@
 
 /**
  * Keeps one connection to each other node and sends messages over it. A message to a node without a connection is
- * dropped; the sender repeats a message that must arrive.
+ * dropped; the sender retries a message that must arrive.
  */
 public final class PeerConnections implements Child {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final long RECONNECT_DELAY_MILLIS = 150;
-    private static final int MAXIMUM_BACKLOG_BYTES = 32 << 20;
+    private static final int MAX_BACKLOG_BYTES = 32 << 20;
 
     private final NodeSettings settings;
     private final PeerKey key;
@@ -40,7 +40,7 @@
     private volatile boolean closed;
 
     /**
-     * Creates the links; {@link #start} opens the connections.
+     * Creates an instance without connections; {@link #start} opens them.
      *
      * @param settings the settings of the node.
      * @param key the shared key.
@@ -117,7 +117,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(MAXIMUM_BACKLOG_BYTES / 2, MAXIMUM_BACKLOG_BYTES))
+                        new WriteBufferWaterMark(MAX_BACKLOG_BYTES / 2, MAX_BACKLOG_BYTES))
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -72,7 +72,7 @@
      * @param incarnation the run of its process.
      * @param failureDomain the failure domain that it runs in.
      * @param entry whether it accepts callers' requests.
-     * @param shuttingDown whether a planned stop has begun.
+     * @param shuttingDown whether the node is shutting down.
      * @param revisionInForce the revision of the tables in force on it, or -1 where it has none.
      * @param viewTerm the term of its view of the cluster.
      * @param viewNumber the number of its view within the term.
@@ -145,7 +145,7 @@
      * @param organisation the organisation that sent the request.
      * @param route the route that the request was sent to.
      * @param remainingMicros the time until the deadline of the request, in microseconds.
-     * @param size the estimated cost of the request at an upstream.
+     * @param size the estimated size of the request: how much an upstream has to compute for it.
      * @param fingerprint the digest of the request's content.
      */
     record PermitAcquire(
@@ -204,7 +204,7 @@
     record PermitRelease(String pool, PermitId id, PermitOutcome outcome) implements PeerMessage {}
 
     /**
-     * Lists all permits and pending requests of an entry process in a pool, so that the owner can reconcile its state.
+     * Lists all permits and pending requests of an entry node in a pool, so that the owner can reconcile its state.
      *
      * @param pool the name of the pool.
      * @param incarnation the run of the entry node's process.
@@ -220,7 +220,7 @@
      * @param pool the name of the pool.
      * @param upstream the name of the upstream.
      * @param incarnation the run of its process, or 0 where it wasn't reported.
-     * @param leaving whether the upstream is about to stop.
+     * @param leaving whether the upstream is shutting down.
      * @param running the number of requests that it runs, or -1 where it wasn't reported.
      * @param waiting the number of requests queued inside it.
      */
@@ -347,7 +347,7 @@
     enum NodeState {
         /** Its latest heartbeat is recent. */
         LIVE,
-        /** Its latest heartbeat is recent and reports that a planned stop has begun. */
+        /** Its latest heartbeat is recent and reports that it is shutting down. */
         SHUTTING_DOWN,
         /** No heartbeat was received recently, or none at all. */
         LOST
--- a/node/src/main/java/org/radishspur/node/settings/FieldReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/FieldReader.java
@@ -18,7 +18,7 @@
     /** An IP address of version 4, or of version 6 in brackets, and a port. */
     private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
 
-    private static final int MAXIMUM_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private final JsonNode object;
     private final String path;
@@ -104,8 +104,8 @@
             return new HostPort("127.0.0.1", 0);
         }
         HostPort address = HostPort.parse(value.textValue());
-        if (address.port() > MAXIMUM_PORT) {
-            fault(name, "must have a port from 0 to " + MAXIMUM_PORT);
+        if (address.port() > MAX_PORT) {
+            fault(name, "must have a port from 0 to " + MAX_PORT);
         }
         return address;
     }
--- a/node/src/main/java/org/radishspur/node/settings/SecretFile.java
+++ b/node/src/main/java/org/radishspur/node/settings/SecretFile.java
@@ -17,7 +17,7 @@
     INSTANCE;
 
     /** Minimum length of a secret, without surrounding white space. */
-    private static final int MINIMUM_CHARACTERS = 16;
+    private static final int MIN_CHARACTERS = 16;
 
     /**
      * Reads the secret, after a check that neither the group nor other users can read the file.
@@ -35,9 +35,9 @@
                         ErrorCode.FILE_UNREADABLE, file + " must be readable by its owner only (chmod 600)");
             }
             String secret = Files.readString(file).strip();
-            if (secret.length() < MINIMUM_CHARACTERS) {
+            if (secret.length() < MIN_CHARACTERS) {
                 throw new RadishspurException(
-                        ErrorCode.FILE_UNREADABLE, file + " must hold at least " + MINIMUM_CHARACTERS + " characters");
+                        ErrorCode.FILE_UNREADABLE, file + " must hold at least " + MIN_CHARACTERS + " characters");
             }
             return secret;
         } catch (IOException exception) {
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -20,9 +20,9 @@
     /** Doubled once for each failure in the window, so that the first restart waits twice this delay. */
     private static final long BASE_DELAY_MILLIS = 100;
 
-    private static final long MAXIMUM_DELAY_MILLIS = 5_000;
+    private static final long MAX_DELAY_MILLIS = 5_000;
     /** A child is restarted after at most this many failures within the window. */
-    private static final int MAXIMUM_FAILURES = 8;
+    private static final int MAX_FAILURES = 8;
 
     private static final long FAILURE_WINDOW_MILLIS = 60_000;
 
@@ -98,13 +98,13 @@
         while (supervised.failures.peekFirst() < now - FAILURE_WINDOW_MILLIS) {
             supervised.failures.removeFirst();
         }
-        if (supervised.failures.size() > MAXIMUM_FAILURES) {
+        if (supervised.failures.size() > MAX_FAILURES) {
             ComponentLog.SUPERVISOR.error(
                     name + " no longer restarts the repeatedly failed " + supervised.name + '.', cause);
             parent.onFailure(cause);
             return;
         }
-        long delay = Math.min(MAXIMUM_DELAY_MILLIS, BASE_DELAY_MILLIS << supervised.failures.size());
+        long delay = Math.min(MAX_DELAY_MILLIS, BASE_DELAY_MILLIS << supervised.failures.size());
         ComponentLog.SUPERVISOR.warn(
                 name + " restarts " + supervised.name + " in " + delay + " ms: " + cause.getMessage() + '.');
         scheduler.schedule(() -> restart(supervised), delay);
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnections.java
@@ -30,8 +30,8 @@
      * Creates an empty set of connections.
      *
      * @param loop the event loop of the traffic thread, on which every method must be called.
-     * @param connectMillis how long connecting may take, in milliseconds.
-     * @param keepMillis how long an idle connection is kept at most, in milliseconds; an upstream may state a shorter time.
+     * @param connectMillis the maximum time to connect to an upstream, in milliseconds.
+     * @param keepMillis the maximum time that an idle connection is kept, in milliseconds; an upstream may state less.
      */
     public UpstreamConnections(EventLoop loop, long connectMillis, long keepMillis) {
         this.loop = loop;
@@ -45,7 +45,7 @@
         Deque<Idle> candidates = idle.getOrDefault(address, new ArrayDeque<>());
         while (!candidates.isEmpty()) {
             Idle candidate = candidates.removeLast();
-            if (candidate.channel().isActive() && System.nanoTime() < candidate.keepUntil()) {
+            if (candidate.channel().isActive() && System.nanoTime() < candidate.keepUntilNanos()) {
                 candidate.connection().begin(candidate.channel(), listener);
                 loop.execute(listener::onConnected);
                 return candidate.connection();
@@ -57,8 +57,8 @@
 
     /** Makes a connection available for reuse, for a time in milliseconds that the upstream has stated. */
     void returnIdle(String address, UpstreamConnection connection, Channel channel, long maxIdleMillis) {
-        long keepUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(keepMillis, maxIdleMillis));
-        idle.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(new Idle(connection, channel, keepUntil));
+        long keepUntilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(keepMillis, maxIdleMillis));
+        idle.computeIfAbsent(address, key -> new ArrayDeque<>()).addLast(new Idle(connection, channel, keepUntilNanos));
         // A pending read detects that the upstream closes the idle connection, before it is reused.
         channel.read();
     }
@@ -105,7 +105,7 @@
      *
      * @param connection the handler of the connection.
      * @param channel the channel of the connection.
-     * @param keepUntil until when it may be reused, by {@link System#nanoTime()}.
+     * @param keepUntilNanos until when it may be reused, by {@link System#nanoTime()}.
      */
-    private record Idle(UpstreamConnection connection, Channel channel, long keepUntil) {}
+    private record Idle(UpstreamConnection connection, Channel channel, long keepUntilNanos) {}
 }
