--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -310,7 +310,7 @@
         } else if (message instanceof PeerMessage.PermitFirstToken first) {
             ownerService.onFirstToken(first);
         } else if (message instanceof PeerMessage.PermitRelease release) {
-            ownerService.onFinish(release);
+            ownerService.onRelease(release);
         } else if (message instanceof PeerMessage.UpstreamStatus status) {
             ownerService.onUpstreamStatus(status);
         } else if (message instanceof PeerMessage.PermitRegister register) {
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -194,7 +194,7 @@
         }
     }
 
-    void onFinish(PeerMessage.PermitRelease release) {
+    void onRelease(PeerMessage.PermitRelease release) {
         OwnedPool owned = ownedPools.get(release.pool());
         if (owned != null) {
             owned.scheduler.finish(release.id(), release.outcome(), loop.nowMicros());
