--- a/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminCalls.java
@@ -101,7 +101,7 @@
         try {
             edit = Json.INSTANCE.read(body, TableEdit.class, ErrorCode.TABLE_INVALID);
         } catch (RadishspurException exception) {
-            metrics.failed(exception.code());
+            metrics.countError(exception.code());
             reply.send(AdminAnswer.failure(
                     HttpResponseStatus.BAD_REQUEST, exception.code().code(), exception.getMessage()));
             return;
@@ -130,17 +130,17 @@
         } else if (result instanceof ControlResult.Report report) {
             return AdminAnswer.ok(report.status());
         } else if (result instanceof ControlResult.Refused refused) {
-            metrics.failed(ErrorCode.REPLICA_CHANGE_REFUSED);
+            metrics.countError(ErrorCode.REPLICA_CHANGE_REFUSED);
             return AdminAnswer.failure(
                     HttpResponseStatus.CONFLICT, ErrorCode.REPLICA_CHANGE_REFUSED.code(), refused.problem());
         } else if (result instanceof ControlResult.Busy) {
-            metrics.failed(ErrorCode.DISK_FULL);
+            metrics.countError(ErrorCode.DISK_FULL);
             return AdminAnswer.failure(
                     HttpResponseStatus.SERVICE_UNAVAILABLE,
                     ErrorCode.DISK_FULL.code(),
                     "the leader takes no edits now; nothing was changed");
         }
-        metrics.failed(ErrorCode.CONTROL_UNREACHABLE);
+        metrics.countError(ErrorCode.CONTROL_UNREACHABLE);
         return AdminAnswer.failure(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
                 ErrorCode.CONTROL_UNREACHABLE.code(),
@@ -149,10 +149,10 @@
 
     private AdminAnswer answerOf(EditAnswer answer) {
         if (answer instanceof EditAnswer.Conflict) {
-            metrics.failed(ErrorCode.EDIT_CONFLICT);
+            metrics.countError(ErrorCode.EDIT_CONFLICT);
             return new AdminAnswer(HttpResponseStatus.CONFLICT, answer);
         } else if (answer instanceof EditAnswer.Invalid) {
-            metrics.failed(ErrorCode.TABLE_INVALID);
+            metrics.countError(ErrorCode.TABLE_INVALID);
             return new AdminAnswer(HttpResponseStatus.UNPROCESSABLE_ENTITY, answer);
         }
         return AdminAnswer.ok(answer);
--- a/node/src/main/java/org/radishspur/node/admin/AdminServer.java
+++ b/node/src/main/java/org/radishspur/node/admin/AdminServer.java
@@ -127,7 +127,7 @@
                         AdminAnswer.failure(HttpResponseStatus.BAD_REQUEST, ErrorCode.CALL_INVALID.code(), "not HTTP"),
                         false);
             } else if (!AdminCalls.isPublicPath(path) && !isAuthorised(request)) {
-                metrics.failed(ErrorCode.TOKEN_REFUSED);
+                metrics.countError(ErrorCode.TOKEN_REFUSED);
                 send(
                         context,
                         AdminAnswer.failure(
--- a/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
@@ -136,7 +136,7 @@
         RefusalReason reason = cause instanceof TooLongFrameException
                 ? RefusalReason.HEADERS_TOO_LARGE
                 : RefusalReason.MALFORMED_REQUEST;
-        services.metrics().refused(reason);
+        services.metrics().countRefused(reason);
         if (exchange != null) {
             exchange.onCallerGone();
             exchange = null;
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/Exchange.java
@@ -199,7 +199,7 @@
         } else if (result instanceof ControlResult.Unreachable
                 && validated.route().idempotent()
                 && services.localClaims().add(claim.key())) {
-            services.metrics().claimedLocally();
+            services.metrics().countLocalClaim();
             requestPermit();
         } else {
             refuse(Refusal.notRun(
@@ -246,7 +246,7 @@
                     "The request ran with status " + finished.answer().status() + "; its answer was not stored.",
                     0));
         } else {
-            services.metrics().replayed();
+            services.metrics().countReplayed();
             answer.writeStoredAnswer(finished.answer());
             complete();
         }
@@ -323,16 +323,16 @@
                 ? Refusal.outcomeUnknown(RefusalReason.CALLER_GONE, "The caller went away.")
                 : Refusal.notRun(RefusalReason.CALLER_GONE, "The caller went away.");
         if (stage == Stage.RUNNING && finishesWithoutCaller()) {
-            services.metrics().refused(RefusalReason.CALLER_GONE);
+            services.metrics().countRefused(RefusalReason.CALLER_GONE);
             callerDone = true;
             attempt.upstreamExchange.read();
         } else if (stage == Stage.RUNNING) {
             callerDone = true;
-            services.metrics().refused(RefusalReason.CALLER_GONE);
+            services.metrics().countRefused(RefusalReason.CALLER_GONE);
             abandon(callerGone, Ending.CANCELLED);
         } else {
             callerDone = true;
-            services.metrics().refused(RefusalReason.CALLER_GONE);
+            services.metrics().countRefused(RefusalReason.CALLER_GONE);
             refuse(callerGone);
         }
     }
@@ -385,9 +385,9 @@
             return;
         }
         callerDone = true;
-        services.metrics().refused(refusal.reason());
+        services.metrics().countRefused(refusal.reason());
         if (answer.isHeadWritten()) {
-            services.metrics().truncated();
+            services.metrics().countTruncated();
             context.close();
             return;
         }
@@ -421,12 +421,12 @@
         services.core().releasePermit(attempt.id, attempt.outcome(ending));
         boolean retryable = !unbufferedBodySent && attemptCount < MAX_ATTEMPTS && !callerDone;
         if (retryable && services.retryBudget().tryTake()) {
-            services.metrics().retried(reason);
+            services.metrics().countRetried(reason);
             requestPermit();
             return;
         }
         if (retryable) {
-            services.metrics().retryOverBudget();
+            services.metrics().countRetryOverBudget();
         }
         stage = Stage.REFUSED;
         RefusalReason refusal = reason == RetryReason.CONNECT_FAILED
@@ -652,7 +652,7 @@
                 claim.finish(status, contentType);
             }
             if (!callerDone) {
-                services.metrics().answered();
+                services.metrics().countAnswered();
                 answer.writeEnd();
             }
             complete();
--- a/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/radishspur/node/metrics/NodeMetrics.java
@@ -56,7 +56,7 @@
      *
      * @param reason its reason.
      */
-    public void refused(RefusalReason reason) {
+    public void countRefused(RefusalReason reason) {
         refusals.get(reason).inc();
     }
 
@@ -65,12 +65,12 @@
      *
      * @param reason its reason.
      */
-    public void retried(RetryReason reason) {
+    public void countRetried(RetryReason reason) {
         retries.get(reason).inc();
     }
 
     /** Counts a retry that was not made, because the retry budget was used up. */
-    public void retryOverBudget() {
+    public void countRetryOverBudget() {
         retriesOverBudget.inc();
     }
 
@@ -79,27 +79,27 @@
      *
      * @param code its code.
      */
-    public void failed(ErrorCode code) {
+    public void countError(ErrorCode code) {
         errors.get(code).inc();
     }
 
     /** Counts an answer of an upstream that was delivered to its caller in full. */
-    public void answered() {
+    public void countAnswered() {
         answered.inc();
     }
 
     /** Counts a stored answer that was sent to a caller that retried its request. */
-    public void replayed() {
+    public void countReplayed() {
         replayed.inc();
     }
 
     /** Counts an answer that was cut off after it had begun. */
-    public void truncated() {
+    public void countTruncated() {
         truncated.inc();
     }
 
     /** Counts a claim that only this node holds, because the control leader was unreachable. */
-    public void claimedLocally() {
+    public void countLocalClaim() {
         localOnlyClaims.inc();
     }
 
--- a/node/src/main/java/org/radishspur/node/peer/PeerConnections.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerConnections.java
@@ -169,7 +169,7 @@
                 channels.put(peer.node(), context.channel());
                 peerListener.onConnectionChanged(peer.node(), true);
             } else {
-                metrics.failed(ErrorCode.PEER_REFUSED);
+                metrics.countError(ErrorCode.PEER_REFUSED);
                 ComponentLog.PEER.warn(
                         "Node " + peer.node() + " failed the handshake: its protocol version or shared key differs.");
                 context.close();
--- a/node/src/main/java/org/radishspur/node/peer/PeerServer.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerServer.java
@@ -105,7 +105,7 @@
                 context.pipeline().remove(HANDSHAKE_TIMEOUT_HANDLER);
                 context.writeAndFlush(new PeerMessage.Welcome(key.signWelcome(hello.nonce())));
             } else {
-                metrics.failed(ErrorCode.PEER_REFUSED);
+                metrics.countError(ErrorCode.PEER_REFUSED);
                 ComponentLog.PEER.warn("Refused the connection of a peer at "
                         + context.channel().remoteAddress() + '.');
                 context.close();
@@ -127,7 +127,7 @@
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             boolean malformed = cause instanceof DecoderException || cause instanceof RadishspurException;
             if (malformed) {
-                metrics.failed(ErrorCode.FRAME_INVALID);
+                metrics.countError(ErrorCode.FRAME_INVALID);
                 ComponentLog.PEER.warn("Closed a connection after a malformed frame: " + cause.getMessage() + '.');
             }
             context.close();
