--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -37,6 +37,7 @@
     private final Map<String, Long> sentRevisions = new HashMap<>();
     private long registryTerm;
     private long termStartedAtMillis;
+    /** The revision of the crash suspects, moves and evacuations, which heartbeats compare. */
     private long auxiliaryRevision;
 
     LeaderService(NodeSettings settings, ControlLoop loop, ReplicaRunner replica, Sender sender) {
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -43,7 +43,9 @@
     private volatile boolean shuttingDown;
     private volatile long leaderSeenAtMillis;
     private ClusterView view = ClusterView.NONE;
+    /** The revision of the crash suspects, moves and evacuations, which heartbeats compare. */
     private long auxiliaryRevision;
+
     private long lastNonClaimChangeCount;
 
     /**
--- a/node/src/main/java/org/radishspur/node/settings/Timeouts.java
+++ b/node/src/main/java/org/radishspur/node/settings/Timeouts.java
@@ -15,7 +15,7 @@
  * @param electionMillis the minimum time without a Raft heartbeat after which a control node starts an election.
  * @param shutdownMillis the maximum time that a shutdown waits for requests in progress.
  * @param claimKeepMillis how long the claim of a request's idempotency key is kept.
- * @param suspectKeepMillis how long a request is kept as a suspect of crashing upstreams.
+ * @param suspectKeepMillis how long a request stays suspected of crashing upstreams.
  */
 public record Timeouts(
         long connectMillis,
