--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -26,7 +26,7 @@
         double maxEjectedShare,
         int cacheBlocks) {
     /** The default policy; docs/DESIGN.md describes the experiments that its values come from. */
-    public static final SchedulerOptions STANDARD =
+    public static final SchedulerOptions DEFAULTS =
             new SchedulerOptions(true, 8, 1.1, 0.25, 4.0, 3, 1_000_000, 30_000_000, 0.34, 8_192);
 
     /**
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
@@ -38,7 +38,7 @@
     private static final class SchedulerModel {
         private final Random random;
         private final PoolScheduler scheduler =
-                new PoolScheduler(PoolSchedulerTest.pool(4, 30, MAX_CONCURRENCY), SchedulerOptions.STANDARD, "owner");
+                new PoolScheduler(PoolSchedulerTest.pool(4, 30, MAX_CONCURRENCY), SchedulerOptions.DEFAULTS, "owner");
         private final Map<PermitId, PermitRequest> waiting = new HashMap<>();
         private final Map<PermitId, String> running = new HashMap<>();
         private final Map<PermitId, PermitRequest> sent = new HashMap<>();
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
@@ -34,7 +34,7 @@
     }
 
     private static PoolScheduler scheduler(int upstreams, int queueLimit, int concurrency) {
-        return new PoolScheduler(pool(upstreams, queueLimit, concurrency), SchedulerOptions.STANDARD, "owner");
+        return new PoolScheduler(pool(upstreams, queueLimit, concurrency), SchedulerOptions.DEFAULTS, "owner");
     }
 
     private PermitRequest request(Tier tier, String organisation, String fingerprint) {
@@ -368,7 +368,7 @@
                     new UpstreamRow("old", "127.0.0.1:1", "domain", "hardware", false, "1"),
                     new UpstreamRow("new", "127.0.0.1:2", "domain", "hardware", false, "2"));
             PoolRow row = new PoolRow("pool", PoolKind.ENGINE, rows, 100, 8, Map.of());
-            PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.STANDARD, "owner");
+            PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.DEFAULTS, "owner");
             scheduler.replaceVersionSplits(Map.of("route", new VersionSplit(1, "1", "2", 0.2)));
             int toNew = 0;
             for (int number = 0; number < 200; number++) {
--- a/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
@@ -43,7 +43,7 @@
                 new UpstreamRow("slow", "127.0.0.1:2", "domain", "hardware", false));
         Map<String, Long> tokenMicros = Map.of("fast", 500L, "slow", 2_000L);
         PoolScheduler scheduler = new PoolScheduler(
-                new PoolRow("pool", PoolKind.ENGINE, rows, 5_000, 512, Map.of()), SchedulerOptions.STANDARD, "owner");
+                new PoolRow("pool", PoolKind.ENGINE, rows, 5_000, 512, Map.of()), SchedulerOptions.DEFAULTS, "owner");
         Random random = new Random(seed);
         long beginAt = MICROS_PER_SECOND;
         long starvedFrom = beginAt + starvedAfterMillis * MICROS_PER_MILLI;
--- a/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/RouteRule.java
@@ -11,11 +11,11 @@
  * @param kind whether requests may be retried after they may have run.
  * @param timeoutMillis the maximum time that a caller waits for the response, in milliseconds.
  * @param targetLatencyMillis the latency up to which a response has its full value, in milliseconds; 0 for no target.
- * @param maximumEventGapMillis the maximum time between two events of a stream that callers accept, in milliseconds; 0 for
+ * @param maxEventGapMillis the maximum time between two events of a stream that callers accept, in milliseconds; 0 for
  *     no limit.
  * @param priority the priority of the route; 0 is the most urgent.
  * @param shares the pools that serve the route, with their weights.
- * @param maximumUpstreams the maximum number of upstreams on which one request may run.
+ * @param maxUpstreams the maximum number of upstreams on which one request may run.
  * @param allowsAnonymous whether requests without an API key are accepted.
  * @param resumable whether another upstream may resume a broken stream.
  */
@@ -26,10 +26,10 @@
         RequestKind kind,
         long timeoutMillis,
         long targetLatencyMillis,
-        long maximumEventGapMillis,
+        long maxEventGapMillis,
         int priority,
         List<PoolShare> shares,
-        int maximumUpstreams,
+        int maxUpstreams,
         boolean allowsAnonymous,
         boolean resumable) {
 
--- a/node/src/main/java/org/radishspur/node/control/DiskWriter.java
+++ b/node/src/main/java/org/radishspur/node/control/DiskWriter.java
@@ -63,7 +63,7 @@
 
     /** {@inheritDoc} */
     @Override
-    public void stage(Supplier<Snapshot> source, Consumer<Snapshot> staged) {
+    public void prepareSnapshot(Supplier<Snapshot> source, Consumer<Snapshot> staged) {
         snapshotExecutor.execute(() -> {
             Snapshot snapshot = source.get();
             try {
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/OwnerService.java
@@ -234,7 +234,7 @@
         if (owned == null && row != null) {
             // Grants nothing until the entry nodes have registered their permits in use, or two owners could grant the
             // same slots.
-            owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.STANDARD, ownerIdentity));
+            owned = new OwnedPool(new PoolScheduler(row, SchedulerOptions.DEFAULTS, ownerIdentity));
             owned.scheduler.pauseGrantsUntil(loop.nowMicros() + REGISTRATION_WAIT_MICROS);
             owned.scheduler.evacuate(evacuatedDomains);
             ownedPools.put(pool, owned);
--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -361,7 +361,7 @@
     /** Returns whether the request may be sent to another upstream although it may have run already. */
     private boolean isRetryAllowed() {
         return route.isRepeatable()
-                && possibleRuns < route.maximumUpstreams()
+                && possibleRuns < route.maxUpstreams()
                 && (route.kind() == RequestKind.STREAM || !response.isHeadWritten())
                 && deadlineAt - EntryServices.now() > MIN_RETRY_MILLIS;
     }
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -117,7 +117,7 @@
                                 ENTRIES_PER_MESSAGE,
                                 SNAPSHOT_CHUNK_BYTES,
                                 TRAILING_ENTRIES),
-                        StateOptions.STANDARD,
+                        StateOptions.DEFAULTS,
                         ENTRIES_PER_SNAPSHOT,
                         MAX_PENDING_PROPOSALS),
                 MIN_FREE_BYTES,
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -212,7 +212,7 @@
         snapshotInProgress = true;
         Snapshot metadata = core.snapshotWithoutState(lastApplied);
         ControlState.Image image = state.image();
-        writer.stage(() -> metadata.withState(image.encode()), snapshot -> {
+        writer.prepareSnapshot(() -> metadata.withState(image.encode()), snapshot -> {
             snapshotInProgress = false;
             core.compact(snapshot);
         });
@@ -283,7 +283,7 @@
          * @param snapshotSupplier creates the snapshot, on any thread.
          * @param onStaged the callback, which receives the snapshot once it is stored.
          */
-        void stage(Supplier<Snapshot> snapshotSupplier, Consumer<Snapshot> onStaged);
+        void prepareSnapshot(Supplier<Snapshot> snapshotSupplier, Consumer<Snapshot> onStaged);
 
         /**
          * Returns whether the disk has enough free space for further proposals.
@@ -315,7 +315,7 @@
      */
     public record Options(RaftOptions raft, StateOptions state, int entriesPerSnapshot, int maximumPending) {
         /** The default options, which suit the present size of the cluster. */
-        public static final Options STANDARD = new Options(RaftOptions.STANDARD, StateOptions.STANDARD, 10_000, 20_000);
+        public static final Options DEFAULTS = new Options(RaftOptions.DEFAULTS, StateOptions.DEFAULTS, 10_000, 20_000);
     }
 
     /**
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftOptions.java
@@ -22,5 +22,5 @@
         int snapshotChunkBytes,
         int trailingEntries) {
     /** The options for hosts with a network latency of a few milliseconds. */
-    public static final RaftOptions STANDARD = new RaftOptions(100, 600, 480, 256, 1 << 18, 1_000);
+    public static final RaftOptions DEFAULTS = new RaftOptions(100, 600, 480, 256, 1 << 18, 1_000);
 }
--- a/replication/src/main/java/org/radishspur/replication/state/StateOptions.java
+++ b/replication/src/main/java/org/radishspur/replication/state/StateOptions.java
@@ -9,5 +9,5 @@
  */
 public record StateOptions(long claimKeepMillis, long suspectKeepMillis) {
     /** The default retention times: one day for keys, ten minutes for crash suspects. */
-    public static final StateOptions STANDARD = new StateOptions(24L * 60 * 60 * 1000, 10L * 60 * 1000);
+    public static final StateOptions DEFAULTS = new StateOptions(24L * 60 * 60 * 1000, 10L * 60 * 1000);
 }
--- a/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/CatalogueStateTest.java
@@ -92,11 +92,11 @@
     /** Guards against the loss of an acknowledged evacuation when its log entry is replaced by a snapshot. */
     @Test
     void keepsEvacuationsInASnapshot() {
-        ControlState original = new ControlState(StateOptions.STANDARD);
+        ControlState original = new ControlState(StateOptions.DEFAULTS);
         original.apply(new ControlCommand.EvacuateDomain("a", 1));
         original.apply(new ControlCommand.EvacuateDomain("b", 2));
         original.apply(new ControlCommand.ReadmitDomain("a", 3));
-        ControlState restored = new ControlState(StateOptions.STANDARD);
+        ControlState restored = new ControlState(StateOptions.DEFAULTS);
         restored.restore(original.image().encode());
         assertThat(restored.catalogue().evacuated()).containsExactly("b");
     }
@@ -110,10 +110,10 @@
 
     @Test
     void keepsTheDocumentAndTheRolloutsInASnapshot() {
-        ControlState original = new ControlState(StateOptions.STANDARD);
+        ControlState original = new ControlState(StateOptions.DEFAULTS);
         original.apply(new ControlCommand.PublishCatalogue(new Document(4, "four"), 1));
         original.apply(new ControlCommand.StartRollout("pool", "v2", 12_000, 2));
-        ControlState restored = new ControlState(StateOptions.STANDARD);
+        ControlState restored = new ControlState(StateOptions.DEFAULTS);
         restored.restore(original.image().encode());
         assertThat(restored.catalogue().document()).isEqualTo(new Document(4, "four"));
         assertThat(restored.catalogue().rollouts())
--- a/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/MoveTableTest.java
@@ -29,7 +29,7 @@
     private static final long NOW = 1_000_000;
     private static final long HOUR_MILLIS = 3_600_000;
 
-    private final ControlState state = new ControlState(StateOptions.STANDARD);
+    private final ControlState state = new ControlState(StateOptions.DEFAULTS);
     private int editCount;
 
     private static UpstreamRow upstream(String version) {
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
@@ -68,8 +68,8 @@
         dispatchers.put(
                 "ours without prefixes",
                 pool -> new Dispatcher.Scheduled(
-                        pool, SchedulerOptions.STANDARD.withPrefixReuse(false), concurrencyLimit));
-        dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.STANDARD, concurrencyLimit));
+                        pool, SchedulerOptions.DEFAULTS.withPrefixReuse(false), concurrencyLimit));
+        dispatchers.put("ours", pool -> new Dispatcher.Scheduled(pool, SchedulerOptions.DEFAULTS, concurrencyLimit));
         return dispatchers;
     }
 }
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureDecisions.java
@@ -53,7 +53,7 @@
             rows.add(new UpstreamRow("u" + index, "127.0.0.1:1", "domain", "hardware", false));
         }
         PoolRow row = new PoolRow("pool", PoolKind.ENGINE, rows, 1_000_000, 8, Map.of());
-        PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.STANDARD, "measure");
+        PoolScheduler scheduler = new PoolScheduler(row, SchedulerOptions.DEFAULTS, "measure");
         Deque<PermitId> running = new ArrayDeque<>();
         for (int request = 0; request < upstreams * 8; request++) {
             scheduler.submit(request(), nowMicros);
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
@@ -34,7 +34,7 @@
     }
 
     private static void measureClaims(int claims) {
-        ControlState state = new ControlState(StateOptions.STANDARD);
+        ControlState state = new ControlState(StateOptions.DEFAULTS);
         long before = Samples.usedHeap();
         Samples samples = new Samples();
         for (long index = 1; index <= claims; index++) {
@@ -48,7 +48,7 @@
     }
 
     private static void measureEdits(int edits) {
-        ControlState state = new ControlState(StateOptions.STANDARD);
+        ControlState state = new ControlState(StateOptions.DEFAULTS);
         long before = Samples.usedHeap();
         Samples samples = new Samples();
         for (int index = 1; index <= edits; index++) {
@@ -71,7 +71,7 @@
         long copiedAt = System.nanoTime();
         byte[] encoded = image.encode();
         long encodedAt = System.nanoTime();
-        ControlState restored = new ControlState(StateOptions.STANDARD);
+        ControlState restored = new ControlState(StateOptions.DEFAULTS);
         restored.restore(encoded);
         System.out.printf(
                 Locale.ROOT,
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -60,13 +60,13 @@
         long bad = outcomes.stream().filter(MoveOutcome::badVersion).count();
         long good = outcomes.size() - bad;
         long inTime = outcomes.stream()
-                .filter(outcome -> !outcome.badVersion() && outcome.completedInTime() && !outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.completedInTime() && !outcome.rolledBack())
                 .count();
         long takenBack = outcomes.stream()
-                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
+                .filter(outcome -> outcome.badVersion() && outcome.rolledBack())
                 .count();
         long wrongly = outcomes.stream()
-                .filter(outcome -> !outcome.badVersion() && outcome.takenBack())
+                .filter(outcome -> !outcome.badVersion() && outcome.rolledBack())
                 .count();
         double shareToNew = outcomes.stream()
                 .mapToDouble(outcome -> outcome.requestsToNew() / (rate * WINDOW_MINUTES))
@@ -77,8 +77,8 @@
                 .mapToLong(MoveOutcome::requestsAfterFault)
                 .sum();
         double median = outcomes.stream()
-                .filter(outcome -> outcome.badVersion() && outcome.takenBack())
-                .mapToLong(MoveOutcome::takeBackMillis)
+                .filter(outcome -> outcome.badVersion() && outcome.rolledBack())
+                .mapToLong(MoveOutcome::rollbackMillis)
                 .sorted()
                 .skip(takenBack / 2)
                 .findFirst()
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -89,7 +89,7 @@
         runNumber++;
         replica = new ControlReplica(
                 new ControlReplica.Options(
-                        raftOptions, StateOptions.STANDARD, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING_PROPOSALS),
+                        raftOptions, StateOptions.DEFAULTS, ENTRIES_PER_SNAPSHOT, MAXIMUM_PENDING_PROPOSALS),
                 identity,
                 disk.recover(),
                 new ControlReplica.Environment(
@@ -193,7 +193,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public void stage(Supplier<Snapshot> snapshotSource, Consumer<Snapshot> staged) {
+        public void prepareSnapshot(Supplier<Snapshot> snapshotSource, Consumer<Snapshot> staged) {
             int expectedRun = runNumber;
             world.schedule(
                     () -> {
--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -23,7 +23,7 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             assertThat(new MoveTrial(kind, REQUESTS_PER_MINUTE, true, seed)
                             .run()
-                            .takenBack())
+                            .rolledBack())
                     .as("seed " + seed)
                     .isTrue();
         }
@@ -37,7 +37,7 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             MoveOutcome outcome = new MoveTrial(kind, REQUESTS_PER_MINUTE, false, seed).run();
             assertThat(outcome.completedInTime()).as("seed " + seed).isTrue();
-            assertThat(outcome.takenBack()).as("seed " + seed).isFalse();
+            assertThat(outcome.rolledBack()).as("seed " + seed).isFalse();
         }
     }
 
@@ -48,7 +48,7 @@
             MoveOutcome outcome =
                     new MoveTrial(VersionKind.GOOD_WITH_STALLS, BUSY_REQUESTS_PER_MINUTE, false, seed).run();
             assertThat(outcome.completedInTime()).as("seed " + seed).isTrue();
-            assertThat(outcome.takenBack()).as("seed " + seed).isFalse();
+            assertThat(outcome.rolledBack()).as("seed " + seed).isFalse();
         }
     }
 
