--- a/command/src/main/java/org/radishspur/command/AdminClient.java
+++ b/command/src/main/java/org/radishspur/command/AdminClient.java
@@ -39,7 +39,7 @@
      *
      * @param path the path of the call.
      * @return the reply.
-     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't know the path.
+     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't serve the path.
      */
     Reply get(String path) {
         return send(request(path).GET());
@@ -51,7 +51,7 @@
      * @param path the path of the call.
      * @param body the JSON text to send.
      * @return the reply.
-     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't know the path.
+     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't serve the path.
      */
     Reply post(String path, String body) {
         return send(request(path).POST(HttpRequest.BodyPublishers.ofString(body)));
@@ -62,7 +62,7 @@
      *
      * @param path the path of the call.
      * @return the reply.
-     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't know the path.
+     * @throws CommandException if the node doesn't reply, is unavailable, refuses the token or doesn't serve the path.
      */
     Reply delete(String path) {
         return send(request(path).DELETE());
--- a/command/src/main/java/org/radishspur/command/EventReader.java
+++ b/command/src/main/java/org/radishspur/command/EventReader.java
@@ -54,7 +54,9 @@
         }
     }
 
-    /** Parses the JSON object in a line, before which a log collector may have put a prefix. Other lines hold no event. */
+    /**
+     * Parses the JSON object in a line, before which a log collector may have put a prefix. Other lines hold no event.
+     */
     private static Optional<JsonNode> parse(String line) {
         int begin = line.indexOf('{');
         if (begin < 0) {
--- a/command/src/main/java/org/radishspur/command/ShowCommand.java
+++ b/command/src/main/java/org/radishspur/command/ShowCommand.java
@@ -116,7 +116,10 @@
                 return body.path("pools");
             }
         },
-        /** The queues and upstreams of the pools as the node that is called knows them; the owner of a queue knows all of it. */
+        /**
+         * The queues and upstreams of the pools as the node that is called has them; the owner of a queue has all of
+         * it.
+         */
         upstreams("/v1/pools") {
             @Override
             JsonNode select(JsonNode body) {
--- a/command/src/main/java/org/radishspur/command/TableFile.java
+++ b/command/src/main/java/org/radishspur/command/TableFile.java
@@ -19,7 +19,7 @@
 import org.radishspur.model.table.TablesValidator;
 
 /**
- * Holds the rows that an operator wants the tables to have, as read from a file.
+ * Holds the desired rows of the tables, as read from a file.
  *
  * @param routes the desired routes.
  * @param pools the desired pools.
--- a/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/AdmissionQueue.java
@@ -72,7 +72,7 @@
      * {@link #add}.
      *
      * @param queued the request.
-     * @param value what a slot is worth to it.
+     * @param value the value of a slot to it.
      */
     public void assignPosition(QueuedRequest queued, double value) {
         queued.assignPosition(++nextSequence, value);
--- a/decision/src/main/java/org/radishspur/decision/dispatch/ColdStartLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/ColdStartLimit.java
@@ -8,7 +8,7 @@
  * Tracks whether an upstream may be cold, and limits how many requests are sent to a cold one within one second.
  *
  * <p>Guards against an upstream that crashes again right after a restart: it is empty, so that all schedulers would
- * send to it at once.
+ * send to it at the same time.
  */
 final class ColdStartLimit {
     private static final long SECOND_MILLIS = 1_000;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Returns whether a recent possible restart means that the upstream may be cold, whatever the host list says. */
+    /** Returns whether a recent possible restart means that the upstream may be cold, whatever the host list states. */
     boolean mayBeCold(long now) {
         return rule.isLimited() && now < possiblyColdUntil;
     }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/OutputLengthEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/OutputLengthEstimate.java
@@ -20,7 +20,7 @@
     /**
      * Records a complete answer.
      *
-     * @param expectedTokens how many tokens its caller expected; 0 where the caller didn't say.
+     * @param expectedTokens how many tokens its caller expected; 0 where the caller didn't state it.
      * @param eventCount the number of events of the answer.
      */
     public void add(long expectedTokens, long eventCount) {
--- a/decision/src/main/java/org/radishspur/decision/dispatch/PoolDispatcher.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/PoolDispatcher.java
@@ -7,9 +7,9 @@
 /**
  * Dispatches the requests of one pool at one scheduler: grants each a slot at an upstream, queues it, or refuses it.
  *
- * <p>A request that finds a free slot gets it at once. When all slots are taken, requests queue here and not at the
- * upstreams, which know no tiers and admit in order of arrival. A request that can't expect a slot before its queueing
- * deadline is refused at once, so that its caller can retry when there is capacity.
+ * <p>A request that finds a free slot gets it immediately. When all slots are taken, requests queue here and not at the
+ * upstreams, which have no tiers and admit in order of arrival. A request that can't expect a slot before its queueing
+ * deadline is refused immediately, so that its caller can retry when there is capacity.
  */
 public final class PoolDispatcher {
     /** Minimum Retry-After, in milliseconds; an earlier retry would find the same load. */
@@ -23,8 +23,8 @@
 
     /**
      * Share of the slots that a request leaves free for requests whose slot value is one tier higher. Queue order alone
-     * doesn't separate tiers, because several schedulers take slots at once; a few free slots do, because one becomes
-     * free somewhere every few milliseconds.
+     * doesn't separate tiers, because several schedulers take slots at the same time; a few free slots do, because one
+     * becomes free somewhere every few milliseconds.
      */
     private static final double RESERVED_SHARE_PER_TIER = 0.04;
 
@@ -180,7 +180,7 @@
         record Queued(QueuedRequest queued, long expectedWaitMillis) implements Decision {}
 
         /**
-         * Refuses the request, which is not going to run.
+         * Refuses the request, which will not run.
          *
          * @param queued the request.
          * @param retryAfterMillis after how many milliseconds a slot is likely to be free.
--- a/decision/src/main/java/org/radishspur/decision/dispatch/QueuedRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QueuedRequest.java
@@ -156,8 +156,8 @@
      * Describes the size of a request and its deadlines.
      *
      * @param promptTokens the tokens of the prompt, 0 for a plain call.
-     * @param outputTokens how many tokens the caller expects; 0 where it doesn't say, and for a plain call.
-     * @param outputLimit how many tokens the answer can have at most; 0 where the caller doesn't say.
+     * @param outputTokens how many tokens the caller expects; 0 where it doesn't state it, and for a plain call.
+     * @param outputLimit how many tokens the answer can have at most; 0 where the caller doesn't state it.
      * @param tier the tier of the route, without the rank of the organisation; slots are reserved by it. 0 is the most
      * urgent.
      * @param targetAt when the first byte is due for the answer to have its full value, in milliseconds of the
@@ -196,7 +196,7 @@
      * @param tokens its length in tokens.
      */
     public record Prefix(String id, long tokens) {
-        /** Stands for a prompt that shares its beginning with no other. */
+        /** Represents a prompt that shares its beginning with no other. */
         public static final Prefix NONE = new Prefix("", 0);
 
         /**
--- a/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/QuotaLedger.java
@@ -151,9 +151,9 @@
     /**
      * Returns the maximum that is charged for use that was probably refilled long ago.
      *
-     * <p>A scheduler that has just started or was disconnected receives the whole use of each peer at once. Charging
-     * all of it would leave a debt of seconds, and requests within the limit would be refused; the bucket is only
-     * emptied instead.
+     * <p>A scheduler that has just started or was disconnected receives the total use of each peer in one step.
+     * Charging all of it would leave a debt of seconds, and requests within the limit would be refused; the bucket is
+     * only emptied instead.
      */
     private static double maxCatchUpCost(OrganisationRule organisation, Bucket bucket) {
         double debt = organisation.ratePerSecond() * STARTUP_DEBT_MILLIS / 1_000;
--- a/decision/src/main/java/org/radishspur/decision/dispatch/RendezvousWeight.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RendezvousWeight.java
@@ -1,8 +1,8 @@
 package org.radishspur.decision.dispatch;
 
 /**
- * Computes weights for rendezvous hashing: all processes that know the same candidates choose the same ones without a
- * message, and when a candidate leaves, only its own keys move.
+ * Computes weights for rendezvous hashing: all processes with the same list of candidates choose the same ones without
+ * a message, and when a candidate leaves, only its own keys move.
  */
 public enum RendezvousWeight {
     /** The only instance. */
--- a/decision/src/main/java/org/radishspur/decision/dispatch/ReportStaleness.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/ReportStaleness.java
@@ -28,7 +28,7 @@
 
     /**
      * Returns the minimum time between two grants at an upstream of another failure domain, in milliseconds. It keeps
-     * the schedulers from all sending at once to an upstream that has just freed two slots.
+     * the schedulers from all sending at the same time to an upstream that has just freed two slots.
      */
     long spacingMillis() {
         return isHoldKnown()
@@ -39,7 +39,7 @@
     /**
      * Returns how many slots of an upstream have probably been released by other schedulers, but not reported yet.
      * Without it, upstreams for short calls would be idle for much of the time while callers are refused, because a
-     * call holds its slot hardly longer than a report takes. Where the estimate is wrong, a request waits at the
+     * call holds its slot little longer than a report takes. Where the estimate is wrong, a request waits at the
      * upstream for less than a report interval.
      *
      * @param slots the slots of the upstream.
--- a/decision/src/main/java/org/radishspur/decision/dispatch/RolloutEvaluator.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/RolloutEvaluator.java
@@ -35,7 +35,7 @@
     private static final long MIN_ANSWERS = 10;
 
     /**
-     * Decides whether the trial version is good or bad, or whether it is too early to tell.
+     * Decides whether the trial version is good or bad, or whether it is too early to decide.
      *
      * @param routes the outcomes on each route.
      * @param elapsed the share of the period that has passed, from 0 to 1.
--- a/decision/src/main/java/org/radishspur/decision/dispatch/SlotValues.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/SlotValues.java
@@ -3,7 +3,7 @@
 import java.util.TreeMap;
 
 /**
- * Estimates what a slot is worth to a request, from its tier and from how long requests of that tier hold a slot.
+ * Estimates the value of a slot to a request, from its tier and from how long requests of that tier hold a slot.
  *
  * <p>Where slots are short, the value per holding time counts, the cµ rule of scheduling. An answer of a less urgent
  * tier that takes a tenth of a second delays no other request, but a strict order of tiers would have it time out
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamLoad.java
@@ -4,8 +4,8 @@
 import org.radishspur.model.catalogue.Upstream;
 
 /**
- * Tracks what one scheduler knows of one run of an upstream: the requests in progress, how fast it answers, and whether
- * it is healthy enough for more.
+ * Tracks the state of one run of an upstream as seen by one scheduler: the requests in progress, how fast it answers,
+ * and whether it is healthy enough for more.
  */
 public final class UpstreamLoad {
     /** Weight of the newest answer in the average times; about ten answers outweigh the older ones. */
@@ -26,7 +26,9 @@
     /** Ejection time after the first failed connection, in milliseconds; it doubles with each further one. */
     private static final long MIN_CONNECT_EJECTION_MILLIS = 200;
 
-    /** Maximum ejection time after a failed connection, in milliseconds; a restarted upstream is found again by then. */
+    /**
+     * Maximum ejection time after a failed connection, in milliseconds; a restarted upstream is found again by then.
+     */
     private static final long MAX_CONNECT_EJECTION_MILLIS = 1_600;
 
     /**
@@ -38,7 +40,7 @@
     /**
      * The same for an upstream that has not answered yet, in milliseconds. With a queue of long prompts the first
      * answer of a slow engine takes over a second; with a shorter limit every attempt would be abandoned before it, and
-     * the engine never be known as slow.
+     * the engine would never be measured as slow.
      */
     private static final long FIRST_ANSWER_SILENCE_MILLIS = 1_500;
 
@@ -187,7 +189,7 @@
     /**
      * Records the time per event of a complete answer.
      *
-     * @param millis the time from the first byte to the last, or for a plain call the whole time, in milliseconds.
+     * @param millis the time from the first byte to the last, or for a plain call the total time, in milliseconds.
      * @param events the events of the stream; 1 for a plain call.
      */
     public void recordEventTime(double millis, long events) {
@@ -197,7 +199,7 @@
     /**
      * Records the time per event that another scheduler has measured, which is used until this one has measured it.
      *
-     * @param millis the time per event in milliseconds, 0 where the other scheduler doesn't know it.
+     * @param millis the time per event in milliseconds, 0 where it is unknown to the other scheduler.
      */
     public void recordPeerEventTime(double millis) {
         peerEventMillis = millis > 0 ? millis : peerEventMillis;
@@ -429,7 +431,7 @@
         return failures.value();
     }
 
-    /** Returns how timely an answer of at most so many events is likely to be if the request is sent now. */
+    /** Returns how timely an answer of at most this number of events is likely to be if the request is sent now. */
     Timeliness timeliness(QueuedRequest.Requirements requirements, long uncachedTokens, double events, long now) {
         if (!isFirstByteKnown()) {
             return Timeliness.ON_TIME;
@@ -452,13 +454,13 @@
     /**
      * Returns whether the time to first byte can be estimated. Where there are many schedulers, each has too few
      * answers of its own from each engine, and would send long prompts and answers to slow ones. The engines of a pool
-     * hardly differ but in speed, which schedulers report to each other, so that the times of the pool can be used.
+     * differ almost only in speed, which schedulers report to each other, so that the times of the pool can be used.
      */
     private boolean isFirstByteKnown() {
         return isEventTimeKnown() && (firstByte.isKnown() || usesPoolTimes && poolFirstByte.isKnownForPool());
     }
 
-    /** Returns the expected time of a whole answer in milliseconds, 0 where it is not known. */
+    /** Returns the expected time of a complete answer in milliseconds, 0 where it is not known. */
     double totalMillis(long uncachedTokens, double events) {
         return isFirstByteKnown() ? firstByteMillis(uncachedTokens) + eventMillis() * events : 0;
     }
--- a/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
+++ b/decision/src/main/java/org/radishspur/decision/dispatch/UpstreamPool.java
@@ -113,7 +113,7 @@
 
     /**
      * Sets the cold start limit, and which cold upstreams this scheduler may use. Only one scheduler may use each cold
-     * upstream, so that the limit holds for any number of schedulers, whatever they know of each other.
+     * upstream, so that the limit holds for any number of schedulers, independently of the reports between them.
      *
      * @param rule the cold start limit of the pool.
      * @param mayUse whether this scheduler may use a cold upstream, given its run.
--- a/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
+++ b/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
@@ -32,8 +32,9 @@
     private static final double FAULTY_LOG_SLOWNESS = Math.log(1.2);
 
     /**
-     * The minimum standard deviation that is assumed for the log slowness of one version. Durations in a quiet pool differ so
-     * little that a constant difference of a few milliseconds would otherwise prove a good version slow.
+     * The minimum standard deviation that is assumed for the log slowness of one version. Durations in a pool with
+     * little load differ so little that a constant difference of a few milliseconds would otherwise prove a good
+     * version slow.
      */
     private static final double MIN_LOG_DEVIATION = 0.2;
 
@@ -64,13 +65,15 @@
     /** Below this failure rate of the old version, a share of its requests, failures count as rare. */
     private static final double RARE_FAILURE_RATE = 0.02;
 
-    /** So many failures before the first success prove a fault if failures of the old version are rare. */
+    /** The number of failures before the first success that proves a fault if failures of the old version are rare. */
     private static final int INITIAL_FAILURES_LIMIT_IF_RARE = 1;
 
-    /** So many failures before the first success prove a fault if failures of the old version are common. */
+    /**
+     * The number of failures before the first success that proves a fault if failures of the old version are common.
+     */
     private static final int INITIAL_FAILURES_LIMIT = 3;
 
-    /** So many failures in a row prove a fault at any time. */
+    /** The number of consecutive failures that proves a fault at any time. */
     private static final int CONSECUTIVE_FAILURES_LIMIT = 4;
 
     private final Cusum failureTest = new Cusum(FAILURE_THRESHOLD);
@@ -128,7 +131,8 @@
     /**
      * Adds evidence of slowness, up to the limit for one period.
      *
-     * <p>Without the limit a good version would be rolled back for one stall of its host, which slows all answers meanwhile.
+     * <p>Without the limit a good version would be rolled back for one stall of its host, which slows all answers while
+     * it lasts.
      */
     private void addSlownessEvidence(double evidence, long now) {
         if (now / EVIDENCE_PERIOD_MILLIS != currentPeriod) {
--- a/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CostCorrection.java
@@ -1,7 +1,7 @@
 package org.radishspur.decision.permit;
 
 /**
- * Learns the ratio of the actual to the estimated cost of requests. It corrects the expected wait of a queue whose
+ * Estimates the ratio of the actual to the estimated cost of requests. It corrects the expected wait of a queue whose
  * requests announced wrong answer lengths.
  */
 final class CostCorrection {
@@ -12,7 +12,7 @@
     private double meanActualCost = 1;
     private int samples;
 
-    void learn(double estimatedCost, double actualCost) {
+    void addSample(double estimatedCost, double actualCost) {
         samples++;
         double weight = Math.max(SMOOTHING, 1.0 / samples);
         meanEstimatedCost += weight * (estimatedCost - meanEstimatedCost);
--- a/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Replaces the crash counts that all owners agree on. A suspect that was found here is kept until it has been in the
-     * agreed counts and left them again, so that a second crash counts at once, before the agreed count grows.
+     * Replaces the crash counts that all owners agree on. A suspect that was found here is kept until it has been in
+     * the agreed counts and left them again, so that a second crash counts immediately, before the agreed count grows.
      */
     void replaceAgreedCounts(Map<String, Integer> crashCounts) {
         localCrashes
--- a/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Ejects an upstream unless too large a share of the pool would be ejected at once. The share limits the damage of a
-     * wrong decision about failures or speed. It doesn't apply to an upstream to which no connection can be made, since
-     * that can serve no request; such an upstream is kept only if it is the last usable one.
+     * Ejects an upstream unless too large a share of the pool would be ejected at the same time. The share limits the
+     * damage of a wrong decision about failures or speed. It doesn't apply to an upstream to which no connection can be
+     * made, since that can serve no request; such an upstream is kept only if it is the last usable one.
      */
     void eject(UpstreamState upstream, PermitAction.EjectionCause cause, long now) {
         long memberCount =
@@ -80,7 +80,7 @@
                 if (flight.becameOverdue(OVERDUE_FACTOR, now)) {
                     double minMicrosPerToken = flight.elapsed(now)
                             / (double) Math.max(1, flight.request().size().outputTokens());
-                    upstream.speed().learnOverdue(minMicrosPerToken);
+                    upstream.speed().addOverdueOutputTime(minMicrosPerToken);
                 }
             }
             if (upstream.isUsable(now) && upstream.speed().hasEnoughSamples()) {
--- a/decision/src/main/java/org/radishspur/decision/permit/FinishedAttempts.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/FinishedAttempts.java
@@ -5,7 +5,7 @@
 import org.radishspur.model.request.PermitId;
 
 /**
- * Remembers the latest attempts that have ended, so that a late duplicate of an attempt's request is not queued again.
+ * Keeps the latest attempts that have ended, so that a late duplicate of an attempt's request is not queued again.
  */
 final class FinishedAttempts {
     private final int capacity;
--- a/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/OutputLengthCorrection.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Learns the ratio of actual to announced answer length for each route and organisation, and corrects announced lengths
- * by it.
+ * Estimates the ratio of actual to announced answer length for each route and organisation, and corrects announced
+ * lengths by it.
  */
 final class OutputLengthCorrection {
     /** The weight of a new sample in the moving average. */
@@ -37,7 +37,7 @@
                 size.promptTokens(), (int) Math.max(1, size.outputTokens() * factor), size.blockDigests());
     }
 
-    void learn(PermitRequest request, int announcedTokens, int outputTokens) {
+    void addSample(PermitRequest request, int announcedTokens, int outputTokens) {
         double ratio = Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, outputTokens / (double) Math.max(1, announcedTokens)));
         factors.merge(keyOf(request), ratio, (mean, sample) -> mean + SMOOTHING * (sample - mean));
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/PermitOutcome.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PermitOutcome.java
@@ -14,7 +14,7 @@
      * The ways in which an attempt ends.
      */
     public enum Ending {
-        /** The upstream sent its whole answer. */
+        /** The upstream sent its complete answer. */
         ANSWERED,
         /** The upstream answered with an error of its own. */
         FAILED,
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -35,7 +35,7 @@
     private static final long MIN_RETRY_AFTER_MILLIS = 100;
     private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
 
-    /** The interval at which slow upstreams are looked for and idle organisations removed. */
+    /** The interval at which slow upstreams are detected and idle organisations removed. */
     private static final long HOUSEKEEPING_INTERVAL_MICROS = 100_000;
 
     /** How often a request that is first in order may wait for requests with a larger cached share. */
@@ -189,7 +189,7 @@
     }
 
     /**
-     * Releases a permit and learns from its outcome.
+     * Releases a permit and updates the estimates from its outcome.
      *
      * @param id the attempt; one that is not in flight changes nothing.
      * @param outcome how the permit was used.
@@ -216,12 +216,12 @@
         if (outcome.ending() == PermitOutcome.Ending.ANSWERED) {
             PermitRequest request = flight.request();
             if (tokens != null) {
-                outputLengths.learn(request, tokens, outcome.outputTokens());
+                outputLengths.addSample(request, tokens, outcome.outputTokens());
             }
             double estimated =
                     costOf(request.size().promptTokens(), request.size().outputTokens());
             double actual = costOf(request.size().promptTokens(), outcome.outputTokens());
-            costCorrection.learn(estimated, actual);
+            costCorrection.addSample(estimated, actual);
             queue.tier(request.tier()).charge(request.organisation(), actual - estimated);
         }
     }
@@ -633,7 +633,8 @@
         crashSuspects.ended(request.id());
         switch (outcome.ending()) {
             case ANSWERED -> {
-                upstream.learn(flight, outcome.firstTokenMicros(), outcome.totalMicros(), outcome.outputTokens(), now);
+                upstream.recordAnswer(
+                        flight, outcome.firstTokenMicros(), outcome.totalMicros(), outcome.outputTokens(), now);
                 if (crashSuspects.clear(request.fingerprint())) {
                     actions.add(new PermitAction.SuspectCleared(request.fingerprint()));
                 }
@@ -657,7 +658,7 @@
 
     /**
      * Returns the shortest time that an upstream of the pool takes for a request. It is 0 as long as the speed of any
-     * upstream is unknown: a refusal based on a guess would keep that upstream from ever being measured.
+     * upstream is unknown: a refusal based on an assumed speed would keep that upstream from ever being measured.
      */
     private double shortestServiceMicros(RequestSize size, long now) {
         speeds.refreshIfStale(upstreams.values(), now);
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -64,7 +64,7 @@
         fastestFirst = members;
     }
 
-    /** Learns which share of its prompt a granted request found in the cache of its upstream. */
+    /** Records which share of its prompt a granted request found in the cache of its upstream. */
     void granted(double cachedShare) {
         meanCachedShare += SMOOTHING * (cachedShare - meanCachedShare);
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/SchedulerOptions.java
@@ -11,7 +11,7 @@
  * @param failuresToEject how many failures in a row eject an upstream.
  * @param firstEjectionMicros how long the first ejection lasts; each further one in a row is twice as long.
  * @param maxEjectionMicros the maximum time that an ejection lasts.
- * @param maxEjectedShare the maximum share of a pool that may be ejected at once.
+ * @param maxEjectedShare the maximum share of a pool that may be ejected at the same time.
  * @param cacheBlocks the number of prompt blocks that the cache of each upstream is assumed to hold.
  */
 public record SchedulerOptions(
--- a/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
@@ -92,7 +92,9 @@
         };
     }
 
-    /** Returns the request to shed next: the one with the latest deadline of the organisation with the most queued cost. */
+    /**
+     * Returns the request to shed next: the one with the latest deadline of the organisation with the most queued cost.
+     */
     WaitingRequest nextToShed() {
         return byQueuedCost.last().requests.last();
     }
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -58,7 +58,9 @@
                 || split.allows(version, false) && counter.isOldVersionAllowed();
     }
 
-    /** Returns whether the next request of a route has to go to the new version if an upstream of it has a free slot. */
+    /**
+     * Returns whether the next request of a route has to go to the new version if an upstream of it has a free slot.
+     */
     boolean isNewVersionDue(String route) {
         SplitCounter counter = counters.get(route);
         return counter != null && counter.split().moveId() > 0 && counter.isNewVersionDue();
@@ -77,10 +79,12 @@
     }
 
     /**
-     * Passes the outcome of an attempt to the comparison of its route, unless the outcome says nothing about the upstream.
+     * Passes the outcome of an attempt to the comparison of its route, unless the outcome gives no information about
+     * the upstream.
      *
-     * <p>Times are compared with a reference that never changes. Compared with learnt speeds, the times of the old version
-     * would seem to drift while the pool learns the speed of the new one, and a good version would be rolled back as slower.
+     * <p>Times are compared with a reference that never changes. Compared with measured speeds, the times of the old
+     * version would seem to drift while the pool measures the speed of the new one, and a good version would be rolled
+     * back as slower.
      */
     void ended(String route, UpstreamState upstream, PermitOutcome outcome, int promptTokens, long now) {
         SplitCounter counter = counters.get(route);
--- a/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
@@ -15,7 +15,9 @@
  * falls back to those in other failure domains. Rendezvous hashing spreads entries over equally preferred schedulers.
  */
 public final class SchedulerChoice {
-    /** How long a scheduler is avoided after its first failure, in milliseconds; doubles with each consecutive failure. */
+    /**
+     * How long a scheduler is avoided after its first failure, in milliseconds; doubles with each consecutive failure.
+     */
     private static final long FIRST_AVOIDANCE_MILLIS = 1_000;
 
     /** The maximum time for which a scheduler is avoided after a failure, in milliseconds. */
@@ -41,8 +43,8 @@
     }
 
     /**
-     * Sorts schedulers by preference for one client: those in its failure domain first, then by rendezvous weight. Processes
-     * that know the same schedulers compute the same order for a client.
+     * Sorts schedulers by preference for one client: those in its failure domain first, then by rendezvous weight.
+     * Processes with the same list of schedulers compute the same order for a client.
      *
      * @param name identifies the client, such as the address of an entry.
      * @param failureDomain the failure domain of the client.
@@ -70,7 +72,7 @@
     /**
      * Returns the most preferred scheduler that is connected and isn't avoided.
      *
-     * @param reachable tells whether there is a connection to a scheduler.
+     * @param reachable returns whether there is a connection to a scheduler.
      * @param now the current time in milliseconds.
      * @return the address of the scheduler, or empty if there is no such scheduler.
      */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
@@ -64,10 +64,10 @@
     void notifyObserver(OutcomeObserver observer) {}
 
     /**
-     * Receives what an outcome says about the upstream.
+     * Receives what an outcome shows about the upstream.
      */
     interface OutcomeObserver {
-        /** Records an answer; {@code succeeded} tells whether it was complete and no failure of the upstream. */
+        /** Records an answer; {@code succeeded} states whether it was complete and no failure of the upstream. */
         void recordAnswer(boolean succeeded);
 
         /** Records that the connection was lost. */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotReply.java
@@ -10,13 +10,13 @@
      * Grants the request a slot.
      *
      * @param upstream the upstream to send the request to.
-     * @param eventTimeKnown whether the scheduler knows the upstream's time for one event; if not, the entry reports it
-     *     during the answer by {@link SlotReport.FirstEventTime}.
+     * @param eventTimeKnown whether the upstream's time for one event is known to the scheduler; if not, the entry
+     *     reports it during the answer by {@link SlotReport.FirstEventTime}.
      */
     record Granted(Upstream upstream, boolean eventTimeKnown) implements SlotReply {}
 
     /**
-     * Tells that the request is queued for a slot; another reply follows.
+     * Reports that the request is queued for a slot; another reply follows.
      *
      * @param expectedMillis the expected queueing time in milliseconds.
      */
@@ -27,8 +27,8 @@
      *
      * @param reason why the request gets no slot.
      * @param retryAfterMillis the time in milliseconds after which a retry is likely to get a slot.
-     * @param queueLength the number of requests in the pool's queue, or 0 if the reply doesn't tell.
-     * @param slots the number of slots in the pool, or 0 if the reply doesn't tell.
+     * @param queueLength the number of requests in the pool's queue, or 0 if the reply doesn't state it.
+     * @param slots the number of slots in the pool, or 0 if the reply doesn't state it.
      */
     record Rejected(Reason reason, long retryAfterMillis, int queueLength, int slots) implements SlotReply {
         /**
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotReport.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotReport.java
@@ -12,8 +12,8 @@
     record FirstByte(long elapsedMillis) implements SlotReport {}
 
     /**
-     * Reports the time for one event while the answer is still being streamed. It is sent if the scheduler doesn't know the
-     * speed of the upstream yet.
+     * Reports the time for one event while the answer is still being streamed. It is sent if the speed of the upstream
+     * is still unknown to the scheduler.
      *
      * @param eventMillis the time for one event, in milliseconds.
      */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
@@ -62,7 +62,7 @@
      * @param entry the entry that holds the slot.
      * @param held the slot.
      * @param now the current time in milliseconds.
-     * @return the upstream, or empty if this scheduler doesn't know it; the slot isn't counted then.
+     * @return the upstream, or empty if it is unknown to this scheduler; the slot isn't counted then.
      */
     public Optional<UpstreamLoad> adopt(String entry, HeldSlot held, long now) {
         PoolDispatcher pool = pools.dispatcher(held.pool());
--- a/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
@@ -44,7 +44,7 @@
      * @param now the current time in microseconds.
      * @return whether the limit was decreased.
      */
-    public boolean learn(boolean congested, long startedAt, int inFlight, long now) {
+    public boolean update(boolean congested, long startedAt, int inFlight, long now) {
         if (startedAt < decreasedAt) {
             return false;
         }
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -1,7 +1,7 @@
 package org.radishspur.decision.upstream;
 
 /**
- * Learns the speed of one upstream from the times of the requests that it ran.
+ * Estimates the speed of one upstream from the times of the requests that it ran.
  */
 public final class SpeedEstimate {
     /** The minimum weight of a new sample in the moving averages. */
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Learns from the time to the first token of an answer.
+     * Updates the estimate with the time to the first token of an answer.
      *
      * @param uncachedTokens the number of prompt tokens that had to be processed.
      * @param micros the time from dispatch to the first token in microseconds.
      */
-    public void learnFirstToken(int uncachedTokens, long micros) {
+    public void addFirstTokenTime(int uncachedTokens, long micros) {
         prefillSamples++;
         double perToken = micros / (double) (uncachedTokens + STEP_OVERHEAD_TOKENS);
         prefillMicros += Math.max(SMOOTHING, 1.0 / prefillSamples) * (perToken - prefillMicros);
@@ -59,12 +59,12 @@
     }
 
     /**
-     * Learns from a complete answer.
+     * Updates the estimate with a complete answer.
      *
      * @param micros the time that the tokens took in microseconds, from the first one where there was a prompt.
      * @param outputTokens the number of tokens in the answer.
      */
-    public void learnOutput(long micros, int outputTokens) {
+    public void addOutputTime(long micros, int outputTokens) {
         samples++;
         double perToken = micros / (double) Math.max(1, outputTokens);
         outputMicros += Math.max(SMOOTHING, 1.0 / samples) * (perToken - outputMicros);
@@ -72,12 +72,12 @@
     }
 
     /**
-     * Learns from a request in flight that has already taken longer than expected.
+     * Updates the estimate with a request in flight that has already taken longer than expected.
      *
      * @param minMicrosPerToken the time for each token if the request ended now, in microseconds, which is the minimum
      *     that it can still be.
      */
-    public void learnOverdue(double minMicrosPerToken) {
+    public void addOverdueOutputTime(double minMicrosPerToken) {
         outputMicros += SMOOTHING * Math.max(0, minMicrosPerToken - outputMicros);
     }
 
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -284,7 +284,7 @@
         if (flight != null && !flight.prefilled) {
             markPrefilled(flight);
             if (flight.uncachedTokens > 0) {
-                speed.learnFirstToken(flight.uncachedTokens, flight.elapsed(now));
+                speed.addFirstTokenTime(flight.uncachedTokens, flight.elapsed(now));
                 adjustLimit(flight, inFlight.size(), now);
             }
         }
@@ -292,7 +292,7 @@
 
     private void adjustLimit(InFlightRequest flight, int running, long now) {
         boolean noneWaiting = reportedNoneWaiting && now - lastReportAt < REPORT_VALID_MICROS;
-        if (limit.learn(speed.isCongested(noneWaiting), flight.startedAt, running, now)) {
+        if (limit.update(speed.isCongested(noneWaiting), flight.startedAt, running, now)) {
             speed.resetCongestion();
         }
     }
@@ -320,7 +320,7 @@
     }
 
     /**
-     * Learns from a complete answer.
+     * Updates the speed and the limit of the upstream with a complete answer.
      *
      * @param flight the request that was in flight.
      * @param firstTokenMicros the time from dispatch to the first token, in microseconds.
@@ -328,9 +328,10 @@
      * @param outputTokens the number of tokens in the answer.
      * @param now the current time in microseconds.
      */
-    public void learn(InFlightRequest flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
+    public void recordAnswer(
+            InFlightRequest flight, long firstTokenMicros, long totalMicros, int outputTokens, long now) {
         lastMeasuredAt = now;
-        speed.learnOutput(flight.uncachedTokens > 0 ? totalMicros - firstTokenMicros : totalMicros, outputTokens);
+        speed.addOutputTime(flight.uncachedTokens > 0 ? totalMicros - firstTokenMicros : totalMicros, outputTokens);
         adjustLimit(flight, inFlight.size() + 1, now);
         consecutiveFailures = 0;
         answerCount++;
--- a/decision/src/test/java/org/radishspur/decision/dispatch/DispatchUnderLoadTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/DispatchUnderLoadTest.java
@@ -20,7 +20,7 @@
  * <p>By default there are thirteen engines of nine slots; two in three are 4.4 times as fast as the rest (13.5 and 60
  * ms per event). Seven schedulers report their load every 40 ms. The three tiers have 43, 18 and 39 percent of the
  * requests, with answers of about 24, 10 and 34 events and some far longer ones (lognormal, sigma 0.9). Callers have a
- * deadline of 8 s and want the first byte within 400 ms. For five seconds there are 1.8 times as many requests as the
+ * deadline of 8 s and expect the first byte within 400 ms. For five seconds there are 1.8 times as many requests as the
  * engines can serve.
  */
 class DispatchUnderLoadTest {
@@ -54,7 +54,7 @@
      * Whether schedulers record an answer from its first byte on and report times per event to each other, rather than
      * recording it at its end and reporting none.
      */
-    private boolean learnsAtFirstByte;
+    private boolean measuresAtFirstByte;
 
     private int lateAnswers;
     private int worstOverload;
@@ -81,7 +81,7 @@
     @Test
     void keepsSlotsForRequestsThatCanStillBeOnTime() {
         callersRetry = true;
-        learnsAtFirstByte = true;
+        measuresAtFirstByte = true;
         simulateBurst();
         double least = (double) onTime[2] / offered[2];
         double middle = (double) onTime[1] / offered[1];
@@ -100,7 +100,7 @@
         engines = 42;
         reportMillis = 120;
         requestsPerSecond = 700;
-        learnsAtFirstByte = true;
+        measuresAtFirstByte = true;
         simulateBurst();
         int grants = offered[0] + offered[1] + offered[2];
         assertThat(worstOverload).as("requests beyond an engine's slots").isLessThanOrEqualTo(2 * SLOTS);
@@ -117,7 +117,7 @@
                 listed.add(new Upstream("e" + engine, 1, "pool", "10.0.0.1:80", "a", "v1", SLOTS, false, false));
             }
             upstreams.refresh(listed);
-            upstreams.setSchedulerCount(learnsAtFirstByte ? schedulerCount : 1);
+            upstreams.setSchedulerCount(measuresAtFirstByte ? schedulerCount : 1);
             schedulers.add(new PoolDispatcher(upstreams));
         }
         for (long now = 0; now < BURST_ENDS_AT; now++) {
@@ -126,7 +126,7 @@
     }
 
     private void step(long now) {
-        while (learnsAtFirstByte
+        while (measuresAtFirstByte
                 && !awaitingFirstByte.isEmpty()
                 && awaitingFirstByte.peek().firstAt() <= now) {
             recordFirstByte(awaitingFirstByte.poll(), now);
@@ -225,7 +225,7 @@
 
     private void end(Running ended, long now) {
         Request request = requests.remove(ended.queued);
-        if (learnsAtFirstByte) {
+        if (measuresAtFirstByte) {
             ended.upstream.recordBytes(now);
         } else {
             ended.upstream.recordFirstByte(ended.queued, request.promptTokens, ended.firstByteMillis, now);
@@ -252,7 +252,7 @@
                                 .find(load.upstream().runId())
                                 .ifPresent(known -> {
                                     known.recordPeerInProgress(name, load.ownInProgress());
-                                    if (learnsAtFirstByte) {
+                                    if (measuresAtFirstByte) {
                                         known.recordPeerEventTime(load.ownEventMillis());
                                     }
                                 });
--- a/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
@@ -41,7 +41,7 @@
     @Nested
     class WithFreeSlots {
         @Test
-        void grantsAtOnce() {
+        void grantsAFreeSlotImmediately() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 2, false));
             granted(dispatcher.offer(queued("r", 0, 200), NOW));
         }
@@ -103,7 +103,7 @@
         }
 
         @Test
-        void refusesAtOnceWhatCannotGetASlotInTime() {
+        void refusesImmediatelyARequestThatCannotGetASlotInTime() {
             PoolDispatcher dispatcher = dispatcher(upstream("one", "a", 1, false));
             granted(dispatcher.offer(queued("first", 0, 500), NOW));
             assertThat(dispatcher.offer(queued("second", 0, 100), NOW))
--- a/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerPropertyTest.java
@@ -29,8 +29,8 @@
 
     /**
      * Guards against an excess that grows while an organisation sends about six times its limit through all schedulers
-     * at once. Each scheduler receives the use at the others late; together they may admit the limit, and what arrives
-     * before a report.
+     * at the same time. Each scheduler receives the use at the others late; together they may admit the limit, and what
+     * arrives before a report.
      */
     @Property(tries = 60, seed = "4711")
     void keepsTheTotalWithinTheLimitDespiteReportDelay(
--- a/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/QuotaLedgerTest.java
@@ -144,7 +144,7 @@
     class AcrossSchedulers {
         /**
          * Guards against a refusal of all requests for seconds after a disconnection, while all use from that time is
-         * charged at once.
+         * charged in one step.
          */
         @Test
         void admitsRequestsWithinTheLimitSoonAfterADisconnection() {
--- a/decision/src/test/java/org/radishspur/decision/dispatch/RetryAfterPolicyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/RetryAfterPolicyTest.java
@@ -25,12 +25,12 @@
     }
 
     @Test
-    void asksForNoRetryBeforeASlotIsLikelyToBeFree() {
+    void requestsNoRetryBeforeASlotIsLikelyToBeFree() {
         assertThat(RetryAfterPolicy.INSTANCE.retryAfterMillis(3_000, 950, 0)).isEqualTo(950);
     }
 
     @Test
-    void asksForNoRetryLaterThanCallersAccept() {
+    void requestsNoRetryLaterThanCallersAccept() {
         assertThat(RetryAfterPolicy.INSTANCE.retryAfterMillis(3_000, 5_000, 0)).isEqualTo(990);
     }
 
--- a/decision/src/test/java/org/radishspur/decision/dispatch/RolloutEvaluatorTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/RolloutEvaluatorTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void findsAFailingVersionBadAtOnce() {
+    void findsAFailingVersionBadImmediately() {
         assertThat(evaluate(new OutcomeCounts(8, 3, 800), 0.1)).isEqualTo(Verdict.BAD);
     }
 
--- a/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/UpstreamPoolTest.java
@@ -182,8 +182,8 @@
         }
 
         /**
-         * Guards against an answer that no engine is expected to finish, so that a slow engine looks as good as a fast
-         * one.
+         * Guards against an answer that no engine is expected to finish, so that a slow engine is rated the same as a
+         * fast one.
          */
         @Test
         void waitForAFastEngineWhereNoneIsExpectedToFinishInTime() {
@@ -318,8 +318,8 @@
     @Nested
     class NewUpstreams {
         /**
-         * Guards against all schedulers sending at once to an engine that has just been listed and looks fast and
-         * empty.
+         * Guards against all schedulers sending at the same time to an engine that has just been listed and appears
+         * fast and empty.
          */
         @Test
         void getOnlyThisSchedulersShareOfTheirSlotsUntilMeasured() {
@@ -342,8 +342,8 @@
         }
 
         /**
-         * Guards against an engine whose requests are abandoned before its first answer, so that it is never known as
-         * slow.
+         * Guards against an engine whose requests are abandoned before its first answer, so that it is never measured
+         * as slow.
          */
         @Test
         void mayBeSilentForLongerThanMeasuredOnes() {
--- a/decision/src/test/java/org/radishspur/decision/move/VersionComparisonPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/move/VersionComparisonPropertyTest.java
@@ -35,7 +35,9 @@
         return RollbackReason.NONE;
     }
 
-    /** Guards against a good version that is rolled back for one stall of its host, of any length up to five seconds. */
+    /**
+     * Guards against a good version that is rolled back for one stall of its host, of any length up to five seconds.
+     */
     @Property(tries = 300, seed = "35")
     void oneStallOfTheHostIsNoFaultOfTheVersion(
             @ForAll @IntRange(min = 1, max = 200) int answersPerSecond,
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerPropertyTest.java
@@ -26,7 +26,9 @@
     private static final int STEPS = 1_500;
     private static final int MAX_CONCURRENCY = 6;
 
-    /** Guards against lost or duplicate grants, leaked permits, missed deadlines and pools without a usable upstream. */
+    /**
+     * Guards against lost or duplicate grants, leaked permits, missed deadlines and pools without a usable upstream.
+     */
     @Property(seed = "77", tries = 150, shrinking = ShrinkingMode.OFF)
     void invariantsHoldForRandomEventSequences(@ForAll long seed) {
         new SchedulerModel(seed).run();
--- a/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/PoolSchedulerTest.java
@@ -124,7 +124,7 @@
         }
 
         @Test
-        void theLeastUrgentRequestIsShedAtOnceEvenIfItArrivedFirst() {
+        void theLeastUrgentRequestIsShedImmediatelyEvenIfItArrivedFirst() {
             PoolScheduler scheduler = scheduler(1, 2, 1);
             scheduler.pauseGrantsUntil(Long.MAX_VALUE);
             PermitRequest bulk = request(Tier.BULK, "a", "x");
@@ -163,7 +163,7 @@
     @Nested
     class WithDeadlines {
         @Test
-        void aRequestThatCannotMeetItsDeadlineIsRefusedAtOnce() {
+        void aRequestThatCannotMeetItsDeadlineIsRefusedImmediately() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
             measureSpeeds(scheduler, 10);
             PermitRequest late = new PermitRequest(
@@ -196,7 +196,9 @@
 
     @Nested
     class WithLeavingUpstreams {
-        /** Guards against requests sent to an upstream that is about to stop, because a stale host list still names it. */
+        /**
+         * Guards against requests sent to an upstream that is about to stop, because a stale host list still names it.
+         */
         @Test
         void anUpstreamStaysLeavingUntilALaterIncarnationIsSeen() {
             PoolScheduler scheduler = scheduler(1, 100, 4);
--- a/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
+++ b/decision/src/test/java/org/radishspur/decision/permit/StarvedPoolTest.java
@@ -31,7 +31,10 @@
     private static final long DEADLINE_MICROS = 60 * MICROS_PER_SECOND;
     private static final long STEP_MICROS = 25 * MICROS_PER_MILLI;
 
-    /** Guards against refusing a request with a minute to its deadline because of speeds learnt while the hosts stalled. */
+    /**
+     * Guards against refusing a request with a minute to its deadline because of speeds measured while the hosts
+     * stalled.
+     */
     @Property(tries = 60, seed = "36")
     void noRequestWithAMinuteToItsDeadlineIsRefused(
             @ForAll @LongRange(min = 0, max = 2_000) long starvedAfterMillis,
--- a/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
@@ -20,7 +20,10 @@
 
     @Nested
     class WithAllSchedulers {
-        /** Guards against schedulers that grant the same free slot at once, so that requests queue inside an engine. */
+        /**
+         * Guards against schedulers that grant the same free slot at the same time, so that requests queue inside an
+         * engine.
+         */
         @Test
         void queuesAtMostOneRequestPerSchedulerInsideAnEngine() {
             SchedulerSimulation simulation = new SchedulerSimulation(20_261, Workload.STREAMS);
@@ -68,7 +71,9 @@
             assertThat(simulation.longestGrantGapMillis(0)).isLessThan(MAX_GRANT_GAP_MILLIS);
         }
 
-        /** Guards against slots of a stopped scheduler that stay uncounted, or counted twice, at the other schedulers. */
+        /**
+         * Guards against slots of a stopped scheduler that stay uncounted, or counted twice, at the other schedulers.
+         */
         @Test
         void servesTheMostUrgentTierOnTimeInABurst() {
             SchedulerSimulation simulation = new SchedulerSimulation(20_265, Workload.STREAMS);
--- a/decision/src/test/java/org/radishspur/decision/slot/PlainCallsAtManySchedulersTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/PlainCallsAtManySchedulersTest.java
@@ -8,8 +8,8 @@
 /**
  * Simulates short plain calls in virtual time.
  *
- * <p>Six schedulers in three failure domains share five upstreams with six slots each. A call holds its slot for hardly longer
- * than the interval between the schedulers' load reports, so reports are often stale.
+ * <p>Six schedulers in three failure domains share five upstreams with six slots each. A call holds its slot for little
+ * longer than the interval between the schedulers' load reports, so reports are often stale.
  */
 class PlainCallsAtManySchedulersTest {
     /** The capacity of one upstream, in calls per second: six slots, 61 ms per call. */
@@ -30,7 +30,10 @@
 
     @Nested
     class WithTheUpstreamsOfOneFailureDomainEvacuated {
-        /** Guards against entries without upstreams in their failure domain that get only the slots which others leave free. */
+        /**
+         * Guards against entries without upstreams in their failure domain that get only the slots which others leave
+         * free.
+         */
         @Test
         void servesEveryFailureDomainOnTimeAtNineTenthsOfTheRemainingCapacity() {
             simulation.run(UPSTREAM_CALLS_PER_SECOND, 1_000);
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerChoiceTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerChoiceTest.java
@@ -59,7 +59,9 @@
             assertThat(chooseAt(1_000)).contains("two");
         }
 
-        /** Guards against repeated delays by a scheduler that stays connected but is slow: each request to it times out. */
+        /**
+         * Guards against repeated delays by a scheduler that stays connected but is slow: each request to it times out.
+         */
         @Test
         void doublesTheAvoidanceWithEachConsecutiveFailure() {
             choice.recordFailure("two", 0);
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
@@ -337,7 +337,10 @@
         public void onEjected(UpstreamLoad upstream, String cause) {}
     }
 
-    /** Simulates an engine that runs as many requests as it has slots in order of arrival, and processes prompts one by one. */
+    /**
+     * Simulates an engine that runs as many requests as it has slots in order of arrival, and processes prompts one by
+     * one.
+     */
     private final class Engine {
         private final double eventMillis;
         private final Deque<Request> queue = new ArrayDeque<>();
--- a/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerPropertyTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerPropertyTest.java
@@ -62,7 +62,10 @@
                 .isLessThanOrEqualTo(QUOTA_COST_PER_SECOND * simulation.now / 1_000 + 2 * QUOTA_BURST_COST));
     }
 
-    /** Guards against a queue in which a later request of a lower tier overtakes one of a higher tier for the same slots. */
+    /**
+     * Guards against a queue in which a later request of a lower tier overtakes one of a higher tier for the same
+     * slots.
+     */
     @Property(tries = 60, seed = "4715")
     void servesNoLowerTierBeforeAWaitingRequestOfAHigherTier(@ForAll long seed) {
         Simulation simulation = new Simulation(1, 3, seed);
--- a/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SlotSchedulerTest.java
@@ -223,7 +223,9 @@
             scheduler.report(entry, id, new SlotReport.Ended(SlotOutcome.UNREACHABLE), now);
         }
 
-        /** Guards against an entry with a faulty network connection that ejects every upstream for all other entries. */
+        /**
+         * Guards against an entry with a faulty network connection that ejects every upstream for all other entries.
+         */
         @Test
         void ejectNoUpstreamWhenOnlyOneEntryReportsThem() {
             failToConnect("one", 1, 0);
--- a/decision/src/test/java/org/radishspur/decision/slot/Workload.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/Workload.java
@@ -25,7 +25,10 @@
         double slowEventMillis,
         List<Tier> tiers) {
 
-    /** Model requests at ninety-one entries in five failure domains; one engine in three is 4.4 times as slow as the others. */
+    /**
+     * Model requests at ninety-one entries in five failure domains; one engine in three is 4.4 times as slow as the
+     * others.
+     */
     static final Workload STREAMS = new Workload(
             5,
             1,
--- a/model/src/main/java/org/radishspur/model/catalogue/ColdStart.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/ColdStart.java
@@ -22,7 +22,10 @@
         return durationMillis > 0;
     }
 
-    /** {@inheritDoc} Written by hand, because the generated method of a record is linked at run time, at each process start. */
+    /**
+     * {@inheritDoc} Written by hand, because the generated method of a record is linked at run time, at each process
+     * start.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof ColdStart start
--- a/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
@@ -55,7 +55,10 @@
         return id + '@' + incarnation + '@' + address;
     }
 
-    /** {@inheritDoc} Written by hand, because the generated method of a record is linked at run time, at each process start. */
+    /**
+     * {@inheritDoc} Written by hand, because the generated method of a record is linked at run time, at each process
+     * start.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof Upstream upstream
--- a/model/src/main/java/org/radishspur/model/request/Tier.java
+++ b/model/src/main/java/org/radishspur/model/request/Tier.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Returns this tier, or the ceiling if this tier is more urgent, as when a route limits the tier that callers may ask
-     * for.
+     * Returns this tier, or the ceiling if this tier is more urgent, as when a route limits the tier that callers may
+     * request.
      *
      * @param ceiling the most urgent tier that is allowed.
      * @return the less urgent of both tiers.
--- a/model/src/main/java/org/radishspur/model/table/RouteRow.java
+++ b/model/src/main/java/org/radishspur/model/table/RouteRow.java
@@ -5,7 +5,7 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Describes one route: which requests it matches, which pool and version serve them, and what callers may ask for.
+ * Describes one route: which requests it matches, which pool and version serve them, and what callers may request.
  *
  * @param name the name of the route.
  * @param methods the HTTP methods that the route matches, or an empty list for all.
@@ -14,9 +14,9 @@
  * @param idempotent whether a request of this route may safely run more than once.
  * @param keyRequired whether a request without an idempotency key is refused.
  * @param defaultTier the tier of a request that states none.
- * @param tierCeiling the most urgent tier that a request may ask for.
+ * @param tierCeiling the most urgent tier that a request may have.
  * @param defaultDeadlineMillis the time until the deadline of a request that states none, in milliseconds.
- * @param deadlineCeilingMillis the maximum time until the deadline that a request may ask for, in milliseconds.
+ * @param deadlineCeilingMillis the maximum time until the deadline that a request may have, in milliseconds.
  * @param bodyLimitBytes the maximum size of a request body, in bytes.
  * @param version the upstream version that the route is to use, or an empty text for any version.
  * @param completeByMillis the time by which all requests of the route are to use its version, in milliseconds since the
--- a/model/src/main/java/org/radishspur/model/table/TablesValidator.java
+++ b/model/src/main/java/org/radishspur/model/table/TablesValidator.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Validates the tables and reports all faults at once.
+ * Validates the tables and reports all faults together.
  */
 public enum TablesValidator {
     /** The only instance; it is stateless. */
--- a/replication/src/main/java/org/radishspur/replication/raft/Effects.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/Effects.java
@@ -9,8 +9,8 @@
  * @param immediate the messages that may be sent before the write is durable.
  * @param write the batch that must become durable.
  * @param afterWrite the messages that may only be sent once this write and every earlier one are durable.
- * @param installedSnapshot the snapshot that replaces the whole state of the state machine before the committed entries are
- *     applied, if there is one.
+ * @param installedSnapshot the snapshot that replaces the complete state of the state machine before the committed
+ *     entries are applied, if there is one.
  * @param committed the entries to apply to the state machine, in order and exactly once.
  */
 public record Effects(
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -233,9 +233,9 @@
     }
 
     /**
-     * Transfers the leadership to a voter that has the whole log, for example before a planned stop.
+     * Transfers the leadership to a voter that has the complete log, for example before a planned stop.
      *
-     * @return whether a voter was asked to take over.
+     * @return whether the transfer was requested from a voter.
      */
     public boolean transferLeadership() {
         if (role != Role.LEADER) {
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftMessage.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftMessage.java
@@ -20,7 +20,7 @@
      * @param term the term of the election; for a pre-vote, the term that the election would have.
      * @param preVote whether this is a pre-vote, which asks whether a vote would be granted and commits the voter to
      *     nothing.
-     * @param transfer whether the leader asked for this election to transfer its leadership, so that voters need not
+     * @param transfer whether the leader requested this election to transfer its leadership, so that voters need not
      *     wait for its lease to expire.
      * @param lastIndex the index of the candidate's last entry.
      * @param lastTerm the term of the candidate's last entry.
@@ -100,7 +100,7 @@
             implements RaftMessage {}
 
     /**
-     * Asks a caught-up follower to start an election immediately, which transfers the leadership to it.
+     * Requests that a caught-up follower start an election immediately, which transfers the leadership to it.
      *
      * @param term the term of the leader.
      */
--- a/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlCommand.java
@@ -47,7 +47,8 @@
             implements ControlCommand {}
 
     /**
-     * Releases a claim because its holder knows that the request didn't run, so that a retry may claim it again.
+     * Releases a claim because its holder has established that the request didn't run, so that a retry may claim it
+     * again.
      *
      * @param key the identity of the request.
      * @param holder the process and attempt that hold the claim.
--- a/replication/src/main/java/org/radishspur/replication/state/ControlState.java
+++ b/replication/src/main/java/org/radishspur/replication/state/ControlState.java
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Replaces the whole state with that of a snapshot.
+     * Replaces the complete state with that of a snapshot.
      *
      * @param bytes the encoded state, or an empty array for the state before the first command.
      */
@@ -141,8 +141,8 @@
     }
 
     /**
-     * Returns a copy of the whole state. This takes little time, because the copy shares its immutable records with the
-     * state.
+     * Returns a copy of the complete state. This takes little time, because the copy shares its immutable records with
+     * the state.
      *
      * @return the copy, which any thread may encode.
      */
@@ -178,7 +178,7 @@
     }
 
     /**
-     * Holds a copy of the whole state for a snapshot.
+     * Holds a copy of the complete state for a snapshot.
      *
      * @param tables the tables and answers.
      * @param claims the claims.
--- a/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
+++ b/replication/src/main/java/org/radishspur/replication/state/TablesDelta.java
@@ -13,7 +13,7 @@
 /**
  * Describes the changes that bring a copy of the tables from one revision to a later one.
  *
- * @param fromRevision the revision that the copy must have, or -1 where the delta replaces the whole copy.
+ * @param fromRevision the revision that the copy must have, or -1 where the delta replaces the complete copy.
  * @param toRevision the revision that the copy has afterwards.
  * @param routes the routes that were added or changed.
  * @param pools the pools that were added or changed.
@@ -32,7 +32,7 @@
     public static final long ANY_REVISION = -1;
 
     /**
-     * Creates a delta that replaces the whole copy.
+     * Creates a delta that replaces the complete copy.
      *
      * @param tables the tables that the copy has afterwards.
      * @return the delta.
--- a/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
+++ b/replication/src/test/java/org/radishspur/replication/disk/FileDiskTest.java
@@ -126,7 +126,9 @@
 
     @Nested
     class WithDamage {
-        /** Guards against a control host that refuses to start or loses its vote after a power failure during a write. */
+        /**
+         * Guards against a control host that refuses to start or loses its vote after a power failure during a write.
+         */
         @Test
         void aTornLastRecordOfAnyLengthIsDiscarded() throws IOException {
             write(vote(3, "b"), entries(3, 1, 1));
--- a/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
+++ b/replication/src/test/java/org/radishspur/replication/raft/RaftCoreTest.java
@@ -75,7 +75,7 @@
 
         /** Guards against stale reads from a leader that is cut off but whose lease is still valid. */
         @Test
-        void aReplicaThatHasJustRestartedGivesNoVote() {
+        void aReplicaThatHasJustRestartedGrantsNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
             core.receive("b", request, START + OPTIONS.leaseMillis());
             assertThat(core.takeEffects().write().hardState()).isEmpty();
@@ -83,7 +83,7 @@
         }
 
         @Test
-        void aFollowerOfALiveLeaderGivesNoVote() {
+        void aFollowerOfALiveLeaderGrantsNoVote() {
             RaftCore core = core(new HardState(5, ""), List.of());
             core.receive("c", new RaftMessage.AppendRequest(5, 0, 0, List.of(), 0, 1), LATER);
             core.takeEffects();
@@ -307,7 +307,7 @@
 
         /** Guards against split votes after a power failure, which delay the first election by a second. */
         @Test
-        void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtOnce() {
+        void theHigherIdentityYieldsWhereTwoReplicasPreVoteAtTheSameTime() {
             RaftCore higherIdentity = restartedReplica("b");
             higherIdentity.tick(START + 350);
             assertThat(higherIdentity.role()).isEqualTo(Role.PRE_CANDIDATE);
--- a/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/ClaimTableTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aKeyIsForgottenAfterTheRetentionTime() {
+    void aKeyIsRemovedAfterTheRetentionTime() {
         claim(FIRST, "x", 0);
         assertThat(claim(SECOND, "x", RETENTION_MILLIS)).isInstanceOf(ClaimAnswer.Granted.class);
     }
--- a/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
+++ b/replication/src/test/java/org/radishspur/replication/state/SuspectTableTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aSuspectIsForgottenAfterTheRetentionTime() {
+    void aSuspectIsRemovedAfterTheRetentionTime() {
         report("x", "crash-1", 0);
         report("y", "crash-2", 1_000);
         assertThat(table.crashCounts("pool")).containsOnlyKeys("y");
