--- a/decision/src/main/java/org/radishspur/decision/move/Cusum.java
+++ b/decision/src/main/java/org/radishspur/decision/move/Cusum.java
@@ -2,8 +2,8 @@
 
 /**
  * Detects a change by Page's cumulative sum test (Page, Continuous inspection schemes, Biometrika 1954): a sequential
- * probability ratio test that restarts whenever it favours "no change". It therefore detects a late change as quickly as an
- * early one.
+ * probability ratio test that restarts whenever it favours "no change". It therefore detects a late change as quickly
+ * as an early one.
  */
 public final class Cusum {
     private final double threshold;
@@ -21,8 +21,8 @@
     /**
      * Adds one observation.
      *
-     * @param logLikelihoodRatio the natural logarithm of how many times more likely the observation is with a change than
-     *     without.
+     * @param logLikelihoodRatio the natural logarithm of how many times more likely the observation is with a change
+     *     than without.
      */
     public void add(double logLikelihoodRatio) {
         sum = Math.max(0, sum + logLikelihoodRatio);
--- a/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
+++ b/decision/src/main/java/org/radishspur/decision/move/MoveDriver.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides when a move advances to its next stage, is complete, or is rolled back. Each decision is a proposal. The
- * replicated state accepts a rollback unless the move is final, and any other proposal only if the move still has the state
- * and the stage that the proposal names.
+ * replicated state accepts a rollback unless the move is final, and any other proposal only if the move still has the
+ * state and the stage that the proposal names.
  *
  * <p>Time shares refer to the time from the start of a move to the time at which it is to be complete.
  */
@@ -29,8 +29,8 @@
     private static final double MAX_EVIDENCE_FOR_REGULAR_STEP = 0.4;
 
     /**
-     * The same for a move that is overdue in its stage. With more evidence than this at its completion time a move is rolled
-     * back.
+     * The same for a move that is overdue in its stage. With more evidence than this at its completion time a move is
+     * rolled back.
      */
     private static final double MAX_EVIDENCE_FOR_OVERDUE_STEP = 0.6;
 
--- a/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
+++ b/decision/src/main/java/org/radishspur/decision/move/VersionComparison.java
@@ -1,10 +1,11 @@
 package org.radishspur.decision.move;
 
 /**
- * Compares the outcomes of a new version with those of the old one on the same route over the same time. It detects a new
- * version that fails outright, fails more often, or is slower.
+ * Compares the outcomes of a new version with those of the old one on the same route over the same time. It detects a
+ * new version that fails outright, fails more often, or is slower.
  *
- * <p>Logarithms are natural. The slowness of an answer is its duration divided by the expected duration of such a request.
+ * <p>Logarithms are natural. The slowness of an answer is its duration divided by the expected duration of such a
+ * request.
  */
 public final class VersionComparison {
     /** The sum of log likelihood ratios that proves a higher failure rate. */
@@ -26,8 +27,8 @@
     private static final double MIN_FAULTY_FAILURE_RATE = 0.01;
 
     /**
-     * The logarithm of the slowness to detect. Up to half of it counts against a fault, because an upstream that gets few
-     * requests takes a tenth longer than a busy one of the same version: its caches and connections are cold.
+     * The logarithm of the slowness to detect. Up to half of it counts against a fault, because an upstream that gets
+     * few requests takes a tenth longer than a busy one of the same version: its caches and connections are cold.
      */
     private static final double FAULTY_LOG_SLOWNESS = Math.log(1.2);
 
@@ -92,7 +93,8 @@
      * Records the outcome of a request to the old version.
      *
      * @param failed whether the request failed.
-     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it failed.
+     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it
+     *     failed.
      */
     public void observeOld(boolean failed, double logSlowness) {
         oldOutcomes++;
@@ -109,7 +111,8 @@
      * Records the outcome of a request to the new version.
      *
      * @param failed whether the request failed.
-     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it failed.
+     * @param logSlowness the logarithm of the request's duration divided by the expected duration; ignored if it
+     *     failed.
      * @param earlierAnswers the number of earlier answers of the same upstream.
      * @param now the current time in milliseconds.
      */
@@ -147,8 +150,8 @@
     /**
      * Returns the logarithm of the additional slowness that is allowed while an upstream warms up.
      *
-     * <p>Its code isn't compiled yet and its caches are empty, so its first hundred answers are slower than those of the old
-     * version, the more so on a busy host. Without the allowance a good version would be rolled back.
+     * <p>Its code isn't compiled yet and its caches are empty, so its first hundred answers are slower than those of
+     * the old version, the more so on a busy host. Without the allowance a good version would be rolled back.
      */
     private static double warmUpLogSlowness(int earlierAnswers) {
         return INITIAL_WARM_UP_LOG_SLOWNESS * Math.exp(-earlierAnswers / WARM_UP_ANSWERS);
--- a/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/CrashSuspects.java
@@ -8,8 +8,8 @@
 import org.radishspur.model.request.PermitId;
 
 /**
- * Keeps the crash suspects: requests that were in flight when an upstream crashed. A suspect runs on an upstream without
- * other requests, one suspect of a pool at a time; a request that was in flight at two crashes is refused.
+ * Keeps the crash suspects: requests that were in flight when an upstream crashed. A suspect runs on an upstream
+ * without other requests, one suspect of a pool at a time; a request that was in flight at two crashes is refused.
  */
 final class CrashSuspects {
     private static final int CRASHES_TO_REFUSE = 2;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Returns the identifier of the crash that a lost connection belongs to. The connections that an upstream loses within
-     * a short time belong to the same crash.
+     * Returns the identifier of the crash that a lost connection belongs to. The connections that an upstream loses
+     * within a short time belong to the same crash.
      */
     String crashIdFor(String upstream, long now) {
         Crash crash = latestCrash.get(upstream);
--- a/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/Ejector.java
@@ -49,7 +49,8 @@
     /**
      * Readmits the upstream whose ejection ends first if no upstream of the pool is usable.
      *
-     * <p>The checks at an ejection can't prevent this state: the upstreams that were usable then may leave the pool later.
+     * <p>The checks at an ejection can't prevent this state: the upstreams that were usable then may leave the pool
+     * later.
      */
     void readmitOneIfAllEjected(long now) {
         boolean noneUsable = upstreams.values().stream().noneMatch(upstream -> upstream.isUsable(now));
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Ejects the upstreams that are much slower than the median of those with the same hardware and version. Requests in
-     * flight that are overdue count before they end.
+     * Ejects the upstreams that are much slower than the median of those with the same hardware and version. Requests
+     * in flight that are overdue count before they end.
      */
     void ejectSlowUpstreams(long now) {
         Map<String, List<Double>> outputMicrosByGroup = new HashMap<>();
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolScheduler.java
@@ -22,8 +22,8 @@
 
 /**
  * Decides for one pool which waiting request runs next and on which upstream. Callers report events with the current
- * time; {@link #decide} returns the resulting {@link PermitAction}s. Instances are used by one thread, the control thread
- * of the pool's owner. All times are in microseconds unless a name gives another unit.
+ * time; {@link #decide} returns the resulting {@link PermitAction}s. Instances are used by one thread, the control
+ * thread of the pool's owner. All times are in microseconds unless a name gives another unit.
  */
 public final class PoolScheduler {
     private static final double MICROS_PER_MILLI = 1_000;
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Applies a changed row of the pool. An upstream that the row no longer names gets no new requests and is kept while
-     * it has requests in flight.
+     * Applies a changed row of the pool. An upstream that the row no longer names gets no new requests and is kept
+     * while it has requests in flight.
      *
      * @param changed the row.
      */
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Queues or refuses a request for a permit. A duplicate request changes nothing, but if it is in flight, its grant is
-     * sent again.
+     * Queues or refuses a request for a permit. A duplicate request changes nothing, but if it is in flight, its grant
+     * is sent again.
      *
      * @param request the request.
      * @param now the current time in microseconds.
@@ -244,14 +244,14 @@
     }
 
     /**
-     * Releases the permits and removes the waiting requests of an entry process that the process itself doesn't list. Such
-     * a difference arises when a message is lost.
+     * Releases the permits and removes the waiting requests of an entry process that the process itself doesn't list.
+     * Such a difference arises when a message is lost.
      *
      * @param node the entry node.
      * @param incarnation the incarnation of its process that sent the list.
      * @param known all attempts that the process has waiting or in flight.
-     * @param graceMicros the time after its grant in which a permit is kept although it is not listed, since the grant may
-     *     not have been received yet.
+     * @param graceMicros the time after its grant in which a permit is kept although it is not listed, since the grant
+     *     may not have been received yet.
      * @param now the current time in microseconds.
      */
     public void reconcile(String node, long incarnation, Set<PermitId> known, long graceMicros, long now) {
@@ -357,8 +357,8 @@
     }
 
     /**
-     * Replaces the crash counts that all owners agree on, and refuses the waiting requests that were in flight at too many
-     * crashes.
+     * Replaces the crash counts that all owners agree on, and refuses the waiting requests that were in flight at too
+     * many crashes.
      *
      * @param crashCounts the number of crashes by fingerprint.
      */
@@ -397,8 +397,8 @@
     }
 
     /**
-     * Stops granting requests of a route to the new version of its present move. This takes effect before the other owners
-     * agree.
+     * Stops granting requests of a route to the new version of its present move. This takes effect before the other
+     * owners agree.
      *
      * @param route the route.
      */
@@ -577,8 +577,9 @@
     /**
      * Grants one request of a tier for which one of the available upstreams is selected; returns whether there was one.
      *
-     * <p>This is usually the first such request in order. The next request of another organisation is granted before it if
-     * a larger share of its prompt is cached, but no request is passed over more than {@link #MAX_TIMES_PASSED_OVER} times.
+     * <p>This is usually the first such request in order. The next request of another organisation is granted before it
+     * if a larger share of its prompt is cached, but no request is passed over more than {@link #MAX_TIMES_PASSED_OVER}
+     * times.
      */
     private boolean grantOne(Tier tier, List<UpstreamState> available, long now) {
         Iterator<WaitingRequest> heads = queue.tier(tier).heads();
--- a/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/PoolSpeeds.java
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Returns the shortest time in microseconds that one of the fastest upstreams takes for a request, if the usual share
-     * of its prompt is cached. Returns 0 as long as the speed of any upstream is unknown, and {@link Double#MAX_VALUE}
-     * where there is no upstream.
+     * Returns the shortest time in microseconds that one of the fastest upstreams takes for a request, if the usual
+     * share of its prompt is cached. Returns 0 as long as the speed of any upstream is unknown, and
+     * {@link Double#MAX_VALUE} where there is no upstream.
      */
     double shortestServiceMicros(RequestSize size, long now) {
         if (fastestFirst.isEmpty()) {
--- a/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/TierQueue.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Charges a cost to an organisation. Once the actual cost of a request is known, the difference to its estimated cost
-     * is charged, which may be negative.
+     * Charges a cost to an organisation. Once the actual cost of a request is known, the difference to its estimated
+     * cost is charged, which may be negative.
      */
     void charge(String name, double cost) {
         Organisation organisation = organisations.get(name);
--- a/decision/src/main/java/org/radishspur/decision/permit/UpstreamSelector.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/UpstreamSelector.java
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Returns whether running a request on an upstream now is better than waiting for another upstream. Waiting is better
-     * if the upstream is expected to miss the deadline, or if it puts the deadline at risk and the pool has much faster
-     * upstreams that are busy at the moment. An upstream whose speed is unknown is always used.
+     * Returns whether running a request on an upstream now is better than waiting for another upstream. Waiting is
+     * better if the upstream is expected to miss the deadline, or if it puts the deadline at risk and the pool has much
+     * faster upstreams that are busy at the moment. An upstream whose speed is unknown is always used.
      */
     private boolean isBetterThanWaiting(PermitRequest request, UpstreamState upstream, long now) {
         if (!upstream.speed().hasEnoughSamples()) {
--- a/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
+++ b/decision/src/main/java/org/radishspur/decision/permit/VersionRouting.java
@@ -10,8 +10,8 @@
 import org.radishspur.decision.upstream.UpstreamState;
 
 /**
- * Restricts the routes of one pool to the versions that they may use, and passes the outcomes of attempts during the move
- * to a new version to the comparison of the versions.
+ * Restricts the routes of one pool to the versions that they may use, and passes the outcomes of attempts during the
+ * move to a new version to the comparison of the versions.
  */
 final class VersionRouting {
     /** The bound on the logarithm of the ratio of actual to reference time. */
--- a/decision/src/main/java/org/radishspur/decision/slot/ConnectFailures.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/ConnectFailures.java
@@ -6,10 +6,11 @@
 import org.radishspur.decision.dispatch.UpstreamLoad;
 
 /**
- * Tracks connect failures, so that an upstream counts as unreachable only after two entries have failed to connect to it.
+ * Tracks connect failures, so that an upstream counts as unreachable only after two entries have failed to connect to
+ * it.
  *
- * <p>An entry with a faulty network connection of its own fails to connect to every upstream. If its reports were enough,
- * it would take all upstreams out of service for the other entries.
+ * <p>An entry with a faulty network connection of its own fails to connect to every upstream. If its reports were
+ * enough, it would take all upstreams out of service for the other entries.
  */
 final class ConnectFailures {
     /** The time within which failures reported by two entries confirm each other, in milliseconds. */
--- a/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/HeldSlot.java
@@ -4,8 +4,8 @@
 import org.radishspur.decision.dispatch.VersionRule;
 
 /**
- * Describes a slot that an entry holds and that the receiving scheduler did not grant. Another scheduler granted it, or the
- * entry's local scheduler did while no other was available.
+ * Describes a slot that an entry holds and that the receiving scheduler did not grant. Another scheduler granted it, or
+ * the entry's local scheduler did while no other was available.
  *
  * @param requestId the number of the request, unique within its entry.
  * @param pool the name of the pool.
--- a/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SchedulerChoice.java
@@ -11,8 +11,9 @@
 import org.radishspur.decision.dispatch.RendezvousWeight;
 
 /**
- * Chooses the scheduler that one entry sends its requests to. It prefers schedulers in the failure domain of the entry and
- * falls back to those in other failure domains. Rendezvous hashing spreads entries over equally preferred schedulers.
+ * Chooses the scheduler that one entry sends its requests to. It prefers schedulers in the failure domain of the entry
+ * and falls back to those in other failure domains. Rendezvous hashing spreads entries over equally preferred
+ * schedulers.
  */
 public final class SchedulerChoice {
     /**
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotOutcome.java
@@ -53,7 +53,8 @@
     }
 
     /**
-     * Returns whether the cost of the request stays charged to the quota, because the upstream may have run the request.
+     * Returns whether the cost of the request stays charged to the quota, because the upstream may have run the
+     * request.
      *
      * @return whether the charge stays; otherwise the cost is refunded.
      */
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotRequest.java
@@ -7,8 +7,8 @@
 import org.radishspur.decision.dispatch.VersionRule;
 
 /**
- * A request of an entry for a slot at an upstream of a pool. Times are relative to the moment of sending, since the clocks
- * of hosts differ.
+ * A request of an entry for a slot at an upstream of a pool. Times are relative to the moment of sending, since the
+ * clocks of hosts differ.
  *
  * @param pool the name of the pool.
  * @param failureDomain the failure domain of the entry; upstreams there are preferred.
--- a/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
+++ b/decision/src/main/java/org/radishspur/decision/slot/SlotScheduler.java
@@ -16,11 +16,12 @@
 import org.radishspur.model.catalogue.OrganisationRule;
 
 /**
- * Grants slots at upstreams to the requests of several entries, with one queue per pool. The reports of the entries update
- * the load and the health of the upstreams.
+ * Grants slots at upstreams to the requests of several entries, with one queue per pool. The reports of the entries
+ * update the load and the health of the upstreams.
  *
- * <p>A request is identified by its entry and a number that is unique within the entry. A scheduler stores nothing: an entry
- * that loses its scheduler attaches to another one, lists the slots that it holds and sends its queued requests again.
+ * <p>A request is identified by its entry and a number that is unique within the entry. A scheduler stores nothing: an
+ * entry that loses its scheduler attaches to another one, lists the slots that it holds and sends its queued requests
+ * again.
  */
 public final class SlotScheduler {
     private final Pools pools;
--- a/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/ConcurrencyLimit.java
@@ -1,11 +1,12 @@
 package org.radishspur.decision.upstream;
 
 /**
- * An adaptive limit on the number of requests that one upstream runs at once. The limit is multiplied by a factor below 1
- * when the upstream is congested. It grows fast up to near the value at which congestion last occurred, and slowly above.
+ * An adaptive limit on the number of requests that one upstream runs at once. The limit is multiplied by a factor below
+ * 1 when the upstream is congested. It grows fast up to near the value at which congestion last occurred, and slowly
+ * above.
  *
- * <p>Requests that were dispatched before the last decrease are ignored: they ran under the previous limit and would make
- * the limit oscillate.
+ * <p>Requests that were dispatched before the last decrease are ignored: they ran under the previous limit and would
+ * make the limit oscillate.
  */
 public final class ConcurrencyLimit {
     private static final double DECREASE_FACTOR = 0.85;
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Lowers the limit to at most one above the number of running requests. Called when the upstream reports that requests
-     * wait in its own queue, so that it can't run more.
+     * Lowers the limit to at most one above the number of running requests. Called when the upstream reports that
+     * requests wait in its own queue, so that it can't run more.
      *
      * @param running the number of requests that the upstream reports as running.
      */
--- a/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/PrefixIndex.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Estimates which prompt blocks an engine has in its cache. The estimate is based on the prompts that were dispatched to
- * the engine and corrected by the engine's own cache events, which are late and may be incomplete.
+ * Estimates which prompt blocks an engine has in its cache. The estimate is based on the prompts that were dispatched
+ * to the engine and corrected by the engine's own cache events, which are late and may be incomplete.
  */
 public final class PrefixIndex {
     /** The factor on the confidence at a gap in the sequence of events. */
--- a/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/SpeedEstimate.java
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Computes the time of a request from the times for each token. Even a cached prompt waits for a step of the engine,
-     * which is added as a fixed number of prompt tokens. A request without a prompt has no such wait.
+     * Computes the time of a request from the times for each token. Even a cached prompt waits for a step of the
+     * engine, which is added as a fixed number of prompt tokens. A request without a prompt has no such wait.
      *
      * @param uncachedTokens the number of prompt tokens that would have to be processed.
      * @param prefillMicros the time for each of them in microseconds.
@@ -139,10 +139,11 @@
 
     /**
      * Returns whether the upstream is congested, by comparing its present times with its best recent ones. Late first
-     * tokens mean that requests wait in the queue of the engine; slow output means that it runs too many requests at once.
+     * tokens mean that requests wait in the queue of the engine; slow output means that it runs too many requests at
+     * once.
      *
-     * @param noneWaiting whether the upstream reports that no request waits in its queue, so that late first tokens have
-     *     another cause.
+     * @param noneWaiting whether the upstream reports that no request waits in its queue, so that late first tokens
+     *     have another cause.
      * @return whether the upstream is congested.
      */
     public boolean isCongested(boolean noneWaiting) {
--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -207,12 +207,12 @@
     }
 
     /**
-     * Rates how soon the upstream would finish a request, for selecting among upstreams: the expected time, raised by the
-     * delay of other requests and by failures, and lowered while the upstream is idle.
+     * Rates how soon the upstream would finish a request, for selecting among upstreams: the expected time, raised by
+     * the delay of other requests and by failures, and lowered while the upstream is idle.
      *
-     * <p>An upstream that runs no request is not measured again, so that one slow answer, such as the first one after its
-     * start, would exclude it permanently. Therefore the rating of an idle upstream improves with the time since its last
-     * measurement.
+     * <p>An upstream that runs no request is not measured again, so that one slow answer, such as the first one after
+     * its start, would exclude it permanently. Therefore the rating of an idle upstream improves with the time since
+     * its last measurement.
      *
      * @param size the size of the request.
      * @param now the current time in microseconds.
@@ -342,7 +342,8 @@
     }
 
     /**
-     * Returns the number of complete answers of the present incarnation of the upstream that this scheduler has recorded.
+     * Returns the number of complete answers of the present incarnation of the upstream that this scheduler has
+     * recorded.
      *
      * @return the number of answers.
      */
@@ -363,8 +364,8 @@
     }
 
     /**
-     * Ejects the upstream. Each further ejection in a row lasts twice as long, up to a bound; afterwards the upstream is
-     * probed with one request at a time.
+     * Ejects the upstream. Each further ejection in a row lasts twice as long, up to a bound; afterwards the upstream
+     * is probed with one request at a time.
      *
      * @param now the current time in microseconds.
      */
@@ -392,8 +393,8 @@
     }
 
     /**
-     * Records that the upstream is leaving. It stays so until a later incarnation is seen or its row changes; a stale host
-     * list that still names it has no effect.
+     * Records that the upstream is leaving. It stays so until a later incarnation is seen or its row changes; a stale
+     * host list that still names it has no effect.
      */
     public void markLeaving() {
         leaving = true;
--- a/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
+++ b/decision/src/test/java/org/radishspur/decision/dispatch/PoolDispatcherTest.java
@@ -65,7 +65,8 @@
         }
 
         /**
-         * Guards against a stale host list that shows an upstream as live again after a newer one has shown it draining.
+         * Guards against a stale host list that shows an upstream as live again after a newer one has shown it
+         * draining.
          */
         @Test
         void sendsNothingToADrainingUpstreamAfterAStaleHostList() {
--- a/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/BurstAtManyEntriesTest.java
@@ -9,8 +9,8 @@
  * Simulates bursts in virtual time, with ninety-one entries and the engines of five failure domains.
  *
  * <p>Each entry receives a few requests a second, too few to estimate the speed of engines. Each failure domain has a
- * scheduler, and schedulers report their load to each other every 40 ms. One engine in three is 4.4 times as slow as the
- * others.
+ * scheduler, and schedulers report their load to each other every 40 ms. One engine in three is 4.4 times as slow as
+ * the others.
  */
 class BurstAtManyEntriesTest {
     private static final double USUAL_REQUESTS_PER_SECOND = 350;
--- a/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
+++ b/model/src/main/java/org/radishspur/model/catalogue/Upstream.java
@@ -6,7 +6,8 @@
  * Describes one upstream instance as a host list reports it.
  *
  * @param id the identity of the instance.
- * @param incarnation when the instance started, in milliseconds since the epoch, or 0 if the host list doesn't state it.
+ * @param incarnation when the instance started, in milliseconds since the epoch, or 0 if the host list doesn't state
+ *     it.
  * @param pool the pool that the instance belongs to.
  * @param address the IP address and port.
  * @param failureDomain the failure domain that the instance belongs to.
--- a/model/src/main/java/org/radishspur/model/error/Refusal.java
+++ b/model/src/main/java/org/radishspur/model/error/Refusal.java
@@ -6,8 +6,8 @@
  * @param reason why the request is refused.
  * @param runState what is known about whether an upstream ran the request.
  * @param detail a sentence that explains the refusal to a person.
- * @param retryAfterMillis the time that the caller should wait before a retry, in milliseconds, or 0 if a retry is of no
- *     use.
+ * @param retryAfterMillis the time that the caller should wait before a retry, in milliseconds, or 0 if a retry is of
+ *     no use.
  */
 public record Refusal(RefusalReason reason, RunState runState, String detail, long retryAfterMillis) {
 
--- a/model/src/main/java/org/radishspur/model/table/PoolKind.java
+++ b/model/src/main/java/org/radishspur/model/table/PoolKind.java
@@ -20,8 +20,8 @@
     };
 
     /**
-     * Returns whether upstreams of this kind cache prompt prefixes, so that a request runs faster at an upstream that has
-     * run another request with the same prefix.
+     * Returns whether upstreams of this kind cache prompt prefixes, so that a request runs faster at an upstream that
+     * has run another request with the same prefix.
      *
      * @return whether prompt prefixes are reused.
      */
--- a/model/src/main/java/org/radishspur/model/table/RowChange.java
+++ b/model/src/main/java/org/radishspur/model/table/RowChange.java
@@ -26,7 +26,8 @@
     String rowName();
 
     /**
-     * Returns the revision that the row must have for the change to be accepted; 0 means that the row must not exist yet.
+     * Returns the revision that the row must have for the change to be accepted; 0 means that the row must not exist
+     * yet.
      *
      * @return the expected revision.
      */
--- a/model/src/main/java/org/radishspur/model/table/Tables.java
+++ b/model/src/main/java/org/radishspur/model/table/Tables.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Finds the route for a request. The longest matching path prefix takes precedence, and among equal prefixes the route
-     * whose name comes first.
+     * Finds the route for a request. The longest matching path prefix takes precedence, and among equal prefixes the
+     * route whose name comes first.
      *
      * @param method the HTTP method of the request.
      * @param path the path of the request, without its query.
--- a/replication/src/main/java/org/radishspur/replication/codec/Format.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/Format.java
@@ -26,9 +26,9 @@
  * Writes and reads the values of one type as MessagePack.
  *
  * <p>Formats are derived from the record classes by reflection; a record is written as an array of its components. The
- * order of a record's components, and of the subtypes that a sealed type permits, is part of the format. A general object
- * mapper isn't used, because setting it up takes a tenth of a second of processor time at each process start, which
- * prolongs the time without a leader when a small host restarts after a failure.
+ * order of a record's components, and of the subtypes that a sealed type permits, is part of the format. A general
+ * object mapper isn't used, because setting it up takes a tenth of a second of processor time at each process start,
+ * which prolongs the time without a leader when a small host restarts after a failure.
  */
 interface Format {
     /**
@@ -293,8 +293,8 @@
     }
 
     /**
-     * Handles records, as arrays of their components. On reading, components that a newer version has added are skipped,
-     * and those that an older version doesn't have become empty, false, zero or null.
+     * Handles records, as arrays of their components. On reading, components that a newer version has added are
+     * skipped, and those that an older version doesn't have become empty, false, zero or null.
      */
     final class OfRecord implements Format {
         private final Constructor<?> constructor;
--- a/replication/src/main/java/org/radishspur/replication/codec/MessagePack.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/MessagePack.java
@@ -9,8 +9,8 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Encodes and decodes records as MessagePack. The decoder skips components that a newer version of a record has added, and
- * gives default values to those that an older version doesn't have.
+ * Encodes and decodes records as MessagePack. The decoder skips components that a newer version of a record has added,
+ * and gives default values to those that an older version doesn't have.
  */
 public enum MessagePack {
     /** The only instance; it is thread-safe. */
--- a/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ControlReplica.java
@@ -158,7 +158,8 @@
     }
 
     /**
-     * Returns the state machine. It may be stale unless {@link RaftCore#mayServeLeaseRead} confirms that it can be read.
+     * Returns the state machine. It may be stale unless {@link RaftCore#mayServeLeaseRead} confirms that it can be
+     * read.
      *
      * @return the state machine.
      */
@@ -198,9 +199,9 @@
     }
 
     /**
-     * Starts a snapshot once enough entries have been applied since the last one. A larger state requires more entries, so
-     * that the cost of snapshots per entry stays the same. Only a quick copy of the state is made on the control thread:
-     * encoding and storing it there would delay heartbeats long enough to cause an election.
+     * Starts a snapshot once enough entries have been applied since the last one. A larger state requires more entries,
+     * so that the cost of snapshots per entry stays the same. Only a quick copy of the state is made on the control
+     * thread: encoding and storing it there would delay heartbeats long enough to cause an election.
      */
     private void takeSnapshotIfDue() {
         long requiredEntries =
@@ -219,12 +220,12 @@
     }
 
     /**
-     * Advances the replacement of a replica by one step. The next step follows from the configuration alone, so that a new
-     * leader continues where the previous one stopped.
+     * Advances the replacement of a replica by one step. The next step follows from the configuration alone, so that a
+     * new leader continues where the previous one stopped.
      *
-     * <p>The order of steps protects against the loss of another replica during a replacement: the new replica becomes a
-     * voter only once its disk holds everything that is committed, and the lost voter is removed only after that change has
-     * been committed by a majority of a configuration that includes both.
+     * <p>The order of steps protects against the loss of another replica during a replacement: the new replica becomes
+     * a voter only once its disk holds everything that is committed, and the lost voter is removed only after that
+     * change has been committed by a majority of a configuration that includes both.
      */
     private void advanceMembership() {
         Configuration current = core.configuration();
--- a/replication/src/main/java/org/radishspur/replication/control/ProposalOutcome.java
+++ b/replication/src/main/java/org/radishspur/replication/control/ProposalOutcome.java
@@ -22,14 +22,14 @@
     record NotLeader(String leader) implements ProposalOutcome {}
 
     /**
-     * Reports that this replica lost the leadership before it knew the command to be committed, so that the command may or
-     * may not be committed.
+     * Reports that this replica lost the leadership before it knew the command to be committed, so that the command may
+     * or may not be committed.
      */
     record InDoubt() implements ProposalOutcome {}
 
     /**
-     * Reports that the command was not appended to the log, because too many proposals are pending or the disk is nearly
-     * full.
+     * Reports that the command was not appended to the log, because too many proposals are pending or the disk is
+     * nearly full.
      */
     record Busy() implements ProposalOutcome {}
 
--- a/replication/src/main/java/org/radishspur/replication/disk/Identity.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/Identity.java
@@ -16,13 +16,14 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Identifies a data folder and its replica permanently. The identity is assigned when the folder is formatted, and is never
- * reused, not even after the disk is wiped.
+ * Identifies a data folder and its replica permanently. The identity is assigned when the folder is formatted, and is
+ * never reused, not even after the disk is wiped.
  *
  * @param cluster the cluster that the folder belongs to.
  * @param node the node that formatted the folder.
  * @param replica the identity of the replica, as a voter or a learner.
- * @param initialVoters the identities of the founding replicas, or an empty set for a replica that joins the cluster later.
+ * @param initialVoters the identities of the founding replicas, or an empty set for a replica that joins the cluster
+ *     later.
  */
 public record Identity(String cluster, String node, String replica, Set<String> initialVoters) {
 
@@ -56,8 +57,8 @@
     }
 
     /**
-     * Parses an identity from JSON. It is read field by field, because setting up a general object mapper takes a fifth of
-     * a second when a small host restarts.
+     * Parses an identity from JSON. It is read field by field, because setting up a general object mapper takes a fifth
+     * of a second when a small host restarts.
      *
      * @param text the JSON text.
      * @return the identity.
--- a/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
+++ b/replication/src/main/java/org/radishspur/replication/disk/JournalCodec.java
@@ -32,8 +32,9 @@
      * Reads the intact records at the beginning of a journal.
      *
      * <p>Corruption must not be taken for a torn tail. Each batch is one record and is synced before the next one is
-     * written, so a crash can tear only the last record. An intact record after a damaged one proves that the damaged one
-     * had been synced, so that other replicas may rely on it: truncating the journal there would lose a vote or an entry.
+     * written, so a crash can tear only the last record. An intact record after a damaged one proves that the damaged
+     * one had been synced, so that other replicas may rely on it: truncating the journal there would lose a vote or an
+     * entry.
      *
      * @param bytes the content of the journal.
      * @param last whether this is the latest journal, whose last record may be torn.
--- a/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
+++ b/replication/src/main/java/org/radishspur/replication/raft/RaftCore.java
@@ -19,8 +19,8 @@
  */
 public final class RaftCore {
     /**
-     * The minimum election timeout, in heartbeats, of a replica that has seen no leader since its start, where no lease is
-     * used.
+     * The minimum election timeout, in heartbeats, of a replica that has seen no leader since its start, where no lease
+     * is used.
      */
     private static final int INITIAL_ELECTION_TIMEOUT_HEARTBEATS = 1;
 
