--- a/command/src/main/java/org/radishspur/command/LossesCommand.java
+++ b/command/src/main/java/org/radishspur/command/LossesCommand.java
@@ -58,7 +58,7 @@
         String cause =
                 switch (event.path("event").asText()) {
                     case "REFUSED" ->
-                        "refused: " + reason + (event.path("returning").asBoolean() ? ", came back" : "");
+                        "refused: " + reason + (event.path("returning").asBoolean() ? ", retried by the caller" : "");
                     case "FAILED" -> "failed: " + reason + (answerBegun ? ", in the answer" : "");
                     case "LEFT" -> answerBegun ? "left in the answer" : "left before the answer";
                     case "ANSWERED" ->
--- a/command/src/main/java/org/radishspur/command/TraceCommand.java
+++ b/command/src/main/java/org/radishspur/command/TraceCommand.java
@@ -25,7 +25,7 @@
 final class TraceCommand implements Callable<Integer> {
     /** The explanations by the reason code of a refusal or failure. */
     private static final Map<String, String> EXPLANATIONS = Map.of(
-            "overload", "no place was expected to become free in the pool within the request's maximum wait",
+            "overload", "no slot was expected to become free in the pool within the request's maximum wait",
             "quota", "the organisation had used up its quota",
             "unconfirmed", "the entry had no confirmation by the control leader that its tables are still in force",
             "expired", "its deadline passed before it was sent to an upstream",
--- a/command/src/test/java/org/radishspur/command/LossesCommandTest.java
+++ b/command/src/test/java/org/radishspur/command/LossesCommandTest.java
@@ -37,7 +37,7 @@
         assertThat(CommandMain.run("losses", log())).isZero();
         assertThat(printed.text().lines().map(String::strip))
                 .anyMatch(line -> line.matches("0 +refused: overload +1 +2"))
-                .anyMatch(line -> line.matches("0 +refused: overload, came back +1 +1"))
+                .anyMatch(line -> line.matches("0 +refused: overload, retried by the caller +1 +1"))
                 .anyMatch(line -> line.matches("0 +left in the answer +0 +1"))
                 .anyMatch(line -> line.matches("0 +upstream answered 500 +2 +1"));
     }
--- a/command/src/test/java/org/radishspur/command/TraceCommandTest.java
+++ b/command/src/test/java/org/radishspur/command/TraceCommandTest.java
@@ -38,7 +38,7 @@
     void explainsARefusalUnderOverload() throws IOException {
         String log = file("log", "{\"at\":1,\"event\":\"REFUSED\",\"request\":\"r1\",\"reason\":\"overload\"}");
         CommandMain.run("trace", "--explain", "r1", log);
-        assertThat(printed.text()).contains("has not run: no place was expected");
+        assertThat(printed.text()).contains("has not run: no slot was expected");
     }
 
     @Test
