--- a/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
+++ b/decision/src/main/java/org/radishspur/decision/upstream/UpstreamState.java
@@ -15,7 +15,7 @@
  */
 public final class UpstreamState {
     /** The time without a measurement after which an idle upstream counts as twice as fast as last measured. */
-    private static final double MEASUREMENT_FADE_MICROS = 5_000_000;
+    private static final double MEASUREMENT_DECAY_MICROS = 5_000_000;
 
     /** How long a load report counts as evidence that no request waits in the upstream's queue. */
     private static final long REPORT_VALID_MICROS = 6_000_000;
@@ -27,7 +27,7 @@
     private static final double PENALTY_PER_FAILURE = 4;
 
     /** The minimum factor by which the measured time of an idle upstream is lowered. */
-    private static final double MIN_FADING_FACTOR = 0.1;
+    private static final double MIN_DECAY_FACTOR = 0.1;
 
     private final SchedulerOptions options;
     private final Map<PermitId, InFlightRequest> inFlight = new HashMap<>();
@@ -222,7 +222,7 @@
         // Processing a prompt delays all other requests of the batch, which costs the pool more than the request
         // itself.
         double delay = uncachedTokens(size) * speed.prefillMicros() * inFlight.size() * PREFILL_DELAY_SHARE;
-        return (expectedMicros(size) + delay) * fadingFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
+        return (expectedMicros(size) + delay) * decayFactor(now) * (1 + PENALTY_PER_FAILURE * consecutiveFailures);
     }
 
     /**
@@ -245,15 +245,15 @@
      * @return the time in microseconds.
      */
     public double serviceMicros(int uncachedTokens, int outputTokens, long now) {
-        return speed.expectedMicros(uncachedTokens, outputTokens) * fadingFactor(now);
+        return speed.expectedMicros(uncachedTokens, outputTokens) * decayFactor(now);
     }
 
-    private double fadingFactor(long now) {
+    private double decayFactor(long now) {
         if (!inFlight.isEmpty()) {
             return 1;
         }
-        double fade = Math.max(0, now - lastMeasuredAt) / MEASUREMENT_FADE_MICROS;
-        return Math.max(MIN_FADING_FACTOR, 1 / (1 + fade));
+        double decay = Math.max(0, now - lastMeasuredAt) / MEASUREMENT_DECAY_MICROS;
+        return Math.max(MIN_DECAY_FACTOR, 1 / (1 + decay));
     }
 
     /**
--- a/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
+++ b/decision/src/test/java/org/radishspur/decision/slot/SchedulerSimulation.java
@@ -318,10 +318,10 @@
             }
             Request request = pendingRequests.remove(requestId);
             if (reply instanceof SlotReply.Granted granted) {
-                int homeScheduler = request.entry % nodes.length;
-                longestGrantGap[homeScheduler] =
-                        Math.max(longestGrantGap[homeScheduler], now - lastGrantAt[homeScheduler]);
-                lastGrantAt[homeScheduler] = now;
+                int assignedScheduler = request.entry % nodes.length;
+                longestGrantGap[assignedScheduler] =
+                        Math.max(longestGrantGap[assignedScheduler], now - lastGrantAt[assignedScheduler]);
+                lastGrantAt[assignedScheduler] = now;
                 engines.get(granted.upstream().runId()).accept(request);
             } else if (reply instanceof SlotReply.Rejected rejected) {
                 reject(request, rejected.retryAfterMillis());
--- a/replication/src/main/java/org/radishspur/replication/codec/Format.java
+++ b/replication/src/main/java/org/radishspur/replication/codec/Format.java
@@ -171,9 +171,9 @@
             this.boxed = boxed;
         }
 
-        static Optional<Format> of(Type wanted) {
+        static Optional<Format> of(Type requestedType) {
             return Arrays.stream(values())
-                    .filter(scalar -> scalar.type == wanted || scalar.boxed == wanted)
+                    .filter(scalar -> scalar.type == requestedType || scalar.boxed == requestedType)
                     .map(Format.class::cast)
                     .findFirst();
         }
