--- a/node/src/main/java/org/radishspur/node/Node.java
+++ b/node/src/main/java/org/radishspur/node/Node.java
@@ -47,8 +47,8 @@
      * Creates a node and starts it.
      *
      * @param settings the settings of the node.
-     * @throws org.radishspur.model.error.RadishspurException if a file of secrets can't be read, holds too short a secret,
-     *     or is readable by other users.
+     * @throws org.radishspur.model.error.RadishspurException if a file of secrets can't be read, holds too short a
+     *     secret, or is readable by other users.
      */
     public Node(NodeSettings settings) {
         this.settings = settings;
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Shuts down in order: hands over pools and leadership, stops accepting requests, and waits for those in progress, for
-     * no longer than the settings allow.
+     * Shuts down in order: hands over pools and leadership, stops accepting requests, and waits for those in progress,
+     * for no longer than the settings allow.
      *
      * @return the number of requests that were still in progress when the time was up, and were cut off.
      */
--- a/node/src/main/java/org/radishspur/node/control/ControlClient.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlClient.java
@@ -12,8 +12,8 @@
 import org.radishspur.node.settings.NodeSettings;
 
 /**
- * Calls the control leader, whichever node that is. A call is retried until it is answered or its timeout expires, which is
- * safe because every command is idempotent.
+ * Calls the control leader, whichever node that is. A call is retried until it is answered or its timeout expires,
+ * which is safe because every command is idempotent.
  */
 final class ControlClient {
     private static final long ATTEMPT_TIMEOUT_MILLIS = 800;
--- a/node/src/main/java/org/radishspur/node/control/ControlLoop.java
+++ b/node/src/main/java/org/radishspur/node/control/ControlLoop.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Sets the listener that is notified when an action throws. The control state may then be inconsistent, so that the process
-     * must end.
+     * Sets the listener that is notified when an action throws. The control state may then be inconsistent, so that the
+     * process must end.
      *
      * @param receiver the listener.
      */
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Returns the time of the monotonic clock in milliseconds. The clock starts at one day, so that no point in time is 0.
+     * Returns the time of the monotonic clock in milliseconds. The clock starts at one day, so that no point in time is
+     * 0.
      *
      * @return the time.
      */
@@ -75,7 +76,8 @@
     }
 
     /**
-     * Returns the time of the monotonic clock in microseconds. The clock starts at one day, so that no point in time is 0.
+     * Returns the time of the monotonic clock in microseconds. The clock starts at one day, so that no point in time is
+     * 0.
      *
      * @return the time.
      */
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Returns the view, or nothing early in a term while live nodes may not have sent their first heartbeat: a view without
-     * them would change the owners of queues only to change them back.
+     * Returns the view, or nothing early in a term while live nodes may not have sent their first heartbeat: a view
+     * without them would change the owners of queues only to change them back.
      */
     private Optional<ClusterView> viewOnceSettled() {
         long now = loop.nowMillis();
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -22,8 +22,8 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * Connects the control replica, the leader service, the pools' queues and the requests for permits of a node. All of them
- * run on the control thread; the public methods may be called from any thread.
+ * Connects the control replica, the leader service, the pools' queues and the requests for permits of a node. All of
+ * them run on the control thread; the public methods may be called from any thread.
  */
 public final class NodeCore implements PeerListener, AutoCloseable {
     private static final long COMMIT_TIMEOUT_MILLIS = 10_000;
@@ -193,8 +193,8 @@
     }
 
     /**
-     * Returns whether the node may accept callers' requests: it has the tables, isn't shutting down, and either received a
-     * reply from the control leader recently or is connected to a majority of the cluster.
+     * Returns whether the node may accept callers' requests: it has the tables, isn't shutting down, and either
+     * received a reply from the control leader recently or is connected to a majority of the cluster.
      *
      * @return whether it may.
      */
@@ -348,8 +348,8 @@
     /**
      * Applies changed tables; a delta to an older revision or with a gap before it is ignored.
      *
-     * <p>The moves are replaced together with the tables: a row that names a new version must not be in force without the
-     * move that limits the version to its share, or the version would briefly receive every request.
+     * <p>The moves are replaced together with the tables: a row that names a new version must not be in force without
+     * the move that limits the version to its share, or the version would briefly receive every request.
      */
     private void onDelta(TablesDelta delta, Map<String, Move> moves) {
         Tables changed = delta.applyTo(tables);
--- a/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
@@ -68,7 +68,8 @@
     /**
      * Holds what the system adds to a request for an upstream.
      *
-     * @param upstreamId the identifier of the instance that the request is meant for; any other instance must not run it.
+     * @param upstreamId the identifier of the instance that the request is meant for; any other instance must not run
+     *     it.
      * @param organisation the organisation of the caller, or nothing where it is unknown.
      * @param remainingMillis the time that is left until the deadline, in milliseconds.
      * @param resumeAfter the number of the last event that was received, or negative where there is none.
--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -37,8 +37,8 @@
     private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
     /**
-     * The share of the time until its deadline that a request may wait for a slot where no target latency applies: the route
-     * has none, or the caller or this entry is retrying.
+     * The share of the time until its deadline that a request may wait for a slot where no target latency applies: the
+     * route has none, or the caller or this entry is retrying.
      */
     private static final double RETRY_WAIT_SHARE = 0.4;
 
@@ -54,12 +54,15 @@
      */
     private static final long MAX_WAIT_MILLIS = 1_200;
 
-    /** The deadline of a request that states none, in milliseconds from its arrival; a route's timeout may end it sooner. */
+    /**
+     * The deadline of a request that states none, in milliseconds from its arrival; a route's timeout may end it
+     * sooner.
+     */
     private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
 
     /**
-     * The maximum number of slots that are requested for one request while upstreams don't run it; each slot costs a round
-     * trip.
+     * The maximum number of slots that are requested for one request while upstreams don't run it; each slot costs a
+     * round trip.
      */
     private static final int MAX_SLOT_REQUESTS = 4;
 
@@ -288,7 +291,9 @@
         response.writeError(reason, retryAfterMillis, false);
     }
 
-    /** Returns the retry-after in milliseconds, spread at random so that callers refused together don't retry together. */
+    /**
+     * Returns the retry-after in milliseconds, spread at random so that callers refused together don't retry together.
+     */
     private long spreadRetryAfter(long capacityAfterMillis) {
         double draw = ThreadLocalRandom.current().nextDouble();
         return RetryAfterPolicy.INSTANCE.retryAfterMillis(deadlineAt - EntryServices.now(), capacityAfterMillis, draw);
@@ -333,7 +338,10 @@
         }
     }
 
-    /** Returns whether the current catalogue still routes the request to its pool and still assigns its key to its organisation. */
+    /**
+     * Returns whether the current catalogue still routes the request to its pool and still assigns its key to its
+     * organisation.
+     */
     private boolean isStillAllowed() {
         Catalogue catalogue = services.view().catalogue().orElseThrow();
         boolean routed = catalogue
--- a/node/src/main/java/org/radishspur/node/entry/CallerResponse.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerResponse.java
@@ -17,8 +17,8 @@
 import org.radishspur.node.upstream.UpstreamHeaders;
 
 /**
- * Writes the one response to a request, an upstream's or an error response of this entry, and closes the connection after it
- * where the caller doesn't keep it alive or the entry is stopping.
+ * Writes the one response to a request, an upstream's or an error response of this entry, and closes the connection
+ * after it where the caller doesn't keep it alive or the entry is stopping.
  */
 final class CallerResponse {
     private final EntryServices services;
--- a/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryMetrics.java
@@ -6,8 +6,8 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Holds the metrics of an entry: counters of refused, failed and retried requests by reason, and timers of slot waits and
- * responses.
+ * Holds the metrics of an entry: counters of refused, failed and retried requests by reason, and timers of slot waits
+ * and responses.
  */
 final class EntryMetrics {
     private final MetricRegistry registry = new MetricRegistry();
--- a/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryProcess.java
@@ -30,20 +30,22 @@
 import org.radishspur.node.upstream.UpstreamExchange;
 
 /**
- * Runs an entry process: the traffic thread, the control thread, and the servers for callers, health checks and metrics,
- * which a supervisor restarts when they fail.
+ * Runs an entry process: the traffic thread, the control thread, and the servers for callers, health checks and
+ * metrics, which a supervisor restarts when they fail.
  */
 public final class EntryProcess implements FleetInbox, AutoCloseable {
     /** How often a planned stop checks whether all requests have ended, in milliseconds. */
     private static final long DRAIN_POLL_MILLIS = 50;
 
     /**
-     * How long the load balancer may still route callers here after the ready check fails, in milliseconds: it checks once a
-     * second and acts on the second failure.
+     * How long the load balancer may still route callers here after the ready check fails, in milliseconds: it checks
+     * once a second and acts on the second failure.
      */
     private static final long BALANCER_UPDATE_MILLIS = 2_300;
 
-    /** How long before the end of the grace period a planned stop ends even with requests in progress, in milliseconds. */
+    /**
+     * How long before the end of the grace period a planned stop ends even with requests in progress, in milliseconds.
+     */
     private static final long GRACE_MARGIN_MILLIS = 400;
 
     /** How long connecting to an upstream may take, in milliseconds; the network itself takes a few. */
@@ -155,8 +157,9 @@
     }
 
     /**
-     * Performs a planned stop. The ready check fails first, while requests are still served until the load balancer routes
-     * callers elsewhere; then no connection is accepted, and requests in progress may end within the grace period.
+     * Performs a planned stop. The ready check fails first, while requests are still served until the load balancer
+     * routes callers elsewhere; then no connection is accepted, and requests in progress may end within the grace
+     * period.
      */
     public void shutDown() {
         events.emit(EventCode.STOPPING, services.inProgress());
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -89,7 +89,9 @@
         return true;
     }
 
-    /** Applies a view to the retry budgets and to the slot client, and resumes requests that waited for a confirmation. */
+    /**
+     * Applies a view to the retry budgets and to the slot client, and resumes requests that waited for a confirmation.
+     */
     void onView(ConfirmedView newer) {
         boolean same = view.hasSameContent(newer);
         view = newer;
@@ -143,7 +145,9 @@
         return view.isConfirmedWithin(settings.bounds().revocationLimitMillis() * share);
     }
 
-    /** Returns whether a caller is retrying, as its deadline is short compared with the maximum one of its route so far. */
+    /**
+     * Returns whether a caller is retrying, as its deadline is short compared with the maximum one of its route so far.
+     */
     boolean isCallerRetry(String route, long deadlineMillis) {
         long maxMillis = maxDeadlineMillis.merge(route, deadlineMillis, Math::max);
         return RetryAfterPolicy.INSTANCE.isRetry(deadlineMillis, maxMillis);
--- a/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
@@ -15,7 +15,9 @@
  * Handles the connection of one caller. Pipelined requests are served one at a time, in the order of their arrival.
  */
 final class FrontConnection extends ChannelInboundHandlerAdapter {
-    /** How many parts of pipelined requests are queued while one is served; a caller that sends more is disconnected. */
+    /**
+     * How many parts of pipelined requests are queued while one is served; a caller that sends more is disconnected.
+     */
     private static final int MAX_QUEUED_PARTS = 256;
 
     private final EntryServices services;
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -76,7 +76,9 @@
         }
     }
 
-    /** Stops accepting connections and closes those without a request in progress, in the last phase of a planned stop. */
+    /**
+     * Stops accepting connections and closes those without a request in progress, in the last phase of a planned stop.
+     */
     void stopAccepting() {
         channel.close();
         connections.entrySet().stream()
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
@@ -6,7 +6,8 @@
 import org.radishspur.node.caller.RetryBudget;
 
 /**
- * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured limits.
+ * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured
+ * limits.
  */
 final class RetryBudgets {
     /** The minimum number of entries among which the slack is divided, used also while their number isn't known. */
@@ -39,7 +40,9 @@
         entryCount = Math.max(MIN_ENTRIES, number);
     }
 
-    /** Returns the budget of a pool. It allows a burst of this entry's share of the slack, and grows with each request. */
+    /**
+     * Returns the budget of a pool. It allows a burst of this entry's share of the slack, and grows with each request.
+     */
     RetryBudget forPool(String pool) {
         return budgets.computeIfAbsent(pool, name -> new RetryBudget(retryShare * EARNED_RETRY_SHARE, burst()));
     }
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -24,8 +24,8 @@
 import org.radishspur.node.settings.PlatformProcessSettings;
 
 /**
- * Requests slots for one entry from the scheduler of a control host, and from a local scheduler where no other is available.
- * The traffic thread owns it.
+ * Requests slots for one entry from the scheduler of a control host, and from a local scheduler where no other is
+ * available. The traffic thread owns it.
  *
  * <p>The local scheduler counts every slot that this entry holds, whichever scheduler granted it. This supplies the
  * held slots that the entry reports when it attaches to another scheduler, and the measured times by which the local
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -22,11 +22,14 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Sends a request to the upstream of one slot and passes its response to the caller. The slot is released at the end of the
- * attempt, with what the attempt shows about the upstream.
+ * Sends a request to the upstream of one slot and passes its response to the caller. The slot is released at the end of
+ * the attempt, with what the attempt shows about the upstream.
  */
 final class UpstreamAttempt implements UpstreamListener {
-    /** Plain responses up to this size, in bytes, are buffered until complete, so that an interrupted one can be retried. */
+    /**
+     * Plain responses up to this size, in bytes, are buffered until complete, so that an interrupted one can be
+     * retried.
+     */
     private static final int MAX_BUFFERED_BYTES = 256 << 10;
 
     /** The number of events of a stream after which the event time of a not yet measured upstream is reported early. */
@@ -223,7 +226,9 @@
         }
     }
 
-    /** Reports the event time of a new upstream in the middle of a stream, so that schedulers receive it before the end. */
+    /**
+     * Reports the event time of a new upstream in the middle of a stream, so that schedulers receive it before the end.
+     */
     private void reportFirstEventTime() {
         long events = caller.splitter().eventCount() - eventsBeforeAttempt;
         if (slot.isEventTimeRequested() && !eventTimeReported && events >= EARLY_REPORT_EVENTS) {
@@ -232,7 +237,9 @@
         }
     }
 
-    /** Buffers a part of a plain response, or writes it to the caller where the response has become too large for that. */
+    /**
+     * Buffers a part of a plain response, or writes it to the caller where the response has become too large for that.
+     */
     private void buffer(ByteBuf content) {
         if (caller.response().isHeadWritten()) {
             caller.response().writeContent(content.retain());
@@ -314,7 +321,10 @@
         caller.onNotRun(kind == ResponseKind.NOT_RUN ? "not-run" : "wrong-instance", true);
     }
 
-    /** Ends the attempt after a complete response, and reports the measured times unless it is a failure of the upstream. */
+    /**
+     * Ends the attempt after a complete response, and reports the measured times unless it is a failure of the
+     * upstream.
+     */
     private void endComplete(boolean succeeded) {
         if (!succeeded) {
             endAnswered(false);
--- a/node/src/main/java/org/radishspur/node/fleet/ControlHost.java
+++ b/node/src/main/java/org/radishspur/node/fleet/ControlHost.java
@@ -10,7 +10,10 @@
  */
 public record ControlHost(String address, String failureDomain) {
 
-    /** {@inheritDoc} Written by hand because the generated method is linked at run time, which delays each start of a process. */
+    /**
+     * {@inheritDoc} Written by hand because the generated method is linked at run time, which delays each start of a
+     * process.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof ControlHost host
--- a/node/src/main/java/org/radishspur/node/fleet/DeflatedText.java
+++ b/node/src/main/java/org/radishspur/node/fleet/DeflatedText.java
@@ -12,7 +12,8 @@
 import org.radishspur.model.error.RadishspurException;
 
 /**
- * Holds a text in compressed form. Compression reduces a catalogue, which every process receives after each edit, to a tenth.
+ * Holds a text in compressed form. Compression reduces a catalogue, which every process receives after each edit, to a
+ * tenth.
  *
  * @param bytes the text in UTF-8, deflated.
  */
--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -40,7 +40,10 @@
     /** The interval between health checks of the links, in milliseconds. */
     private static final long HEALTH_CHECK_INTERVAL_MILLIS = 300;
 
-    /** The maximum number of messages that are flushed together, in the order in which one turn of the event loop sent them. */
+    /**
+     * The maximum number of messages that are flushed together, in the order in which one turn of the event loop sent
+     * them.
+     */
     static final int MAX_UNFLUSHED_MESSAGES = 64;
 
     /** The maximum backlog of unsent bytes for a peer that doesn't read; beyond it the connection is replaced. */
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -15,8 +15,8 @@
 /**
  * A message between two processes of the platform, entries or control hosts.
  *
- * <p>A message is encoded with the index of its type in the order of declaration, and as an array of its components in their
- * order. Neither order may change.
+ * <p>A message is encoded with the index of its type in the order of declaration, and as an array of its components in
+ * their order. Neither order may change.
  */
 public sealed interface FleetMessage {
 
@@ -50,7 +50,8 @@
      *
      * @param nonce a number that the response carries as well.
      * @param entry the address of the entry, or empty if a scheduler sends the request.
-     * @param incarnation the time at which the sender started, in milliseconds since the epoch, which tells its runs apart.
+     * @param incarnation the time at which the sender started, in milliseconds since the epoch, which tells its runs
+     *     apart.
      * @param revision the revision of the sender's catalogue, 0 if it has none.
      * @param listTerm the term of the sender's host list.
      * @param listReading the reading of the sender's host list within that term.
@@ -70,8 +71,8 @@
      * Responds to a {@link ViewRequest}.
      *
      * @param nonce the number from the request.
-     * @param confirmed whether a majority has confirmed, after the request arrived, that the sender leads; otherwise only the
-     *     leader and the control hosts of this response are valid.
+     * @param confirmed whether a majority has confirmed, after the request arrived, that the sender leads; otherwise
+     *     only the leader and the control hosts of this response are valid.
      * @param leader the address of the leader, or empty if it isn't known.
      * @param revision the revision of the current catalogue.
      * @param list the host list, if the receiver has an older one.
@@ -95,14 +96,15 @@
     /**
      * Reports the load and the quota usage at one scheduler to another one.
      *
-     * <p>Unless the report is full, it carries only the upstreams and organisations whose values have changed since the last
-     * report. Parallel arrays keep it small, because traffic between failure domains is limited.
+     * <p>Unless the report is full, it carries only the upstreams and organisations whose values have changed since the
+     * last report. Parallel arrays keep it small, because traffic between failure domains is limited.
      *
      * @param scheduler the incarnation of the sending scheduler.
      * @param full whether the report carries all upstreams, so that the counts of any other upstream are zero.
      * @param upstreams the hash codes of the runs of the upstreams.
-     * @param counts five numbers for each upstream, one upstream after the other: requests in progress, successful responses,
-     *     failed responses, the logarithmic step of the time per event, and the pending prompt tokens in units of 256.
+     * @param counts five numbers for each upstream, one upstream after the other: requests in progress, successful
+     *     responses, failed responses, the logarithmic step of the time per event, and the pending prompt tokens in
+     *     units of 256.
      * @param organisations the total usage admitted for each organisation since the scheduler started.
      */
     record LoadReport(String scheduler, boolean full, int[] upstreams, int[] counts, Map<String, Long> organisations)
--- a/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
@@ -24,15 +24,16 @@
     void send(Collection<String> addresses, FleetMessage message);
 
     /**
-     * Sets the one address whose connection is checked as often as a connection in use, even while nothing is sent over it.
+     * Sets the one address whose connection is checked as often as a connection in use, even while nothing is sent over
+     * it.
      *
      * @param address the address, or empty for none.
      */
     void setWatchedAddress(String address);
 
     /**
-     * Returns the number of connections that were made to an address so far. A caller that sends only changes can tell by a
-     * new number that it has to send everything again.
+     * Returns the number of connections that were made to an address so far. A caller that sends only changes can tell
+     * by a new number that it has to send everything again.
      *
      * @param address the address.
      * @return the number, or 0 if there is no connection at present.
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -24,7 +24,10 @@
     /** The maximum size of a frame in bytes; four catalogues of the maximum size that operators may send fit easily. */
     static final int MAX_FRAME_BYTES = 32 << 20;
 
-    /** The time in seconds after which a silent connection is closed; the other end sends a ping at least every two seconds. */
+    /**
+     * The time in seconds after which a silent connection is closed; the other end sends a ping at least every two
+     * seconds.
+     */
     private static final int READ_TIMEOUT_SECONDS = 5;
 
     private final HostPort address;
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -3,8 +3,9 @@
 /**
  * Decides when a ping is sent over a connection, and when the connection is replaced.
  *
- * <p>Guards against a connection that stops delivering messages without a reset. Most connections of a host are idle and kept
- * only in case another control host is lost. They get few pings, which would otherwise be most of the work of an idle host.
+ * <p>Guards against a connection that stops delivering messages without a reset. Most connections of a host are idle
+ * and kept only in case another control host is lost. They get few pings, which would otherwise be most of the work of
+ * an idle host.
  */
 final class LinkHealth {
     /** The time after an unanswered ping at which the connection is replaced, in milliseconds. */
--- a/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlMetrics.java
@@ -7,8 +7,8 @@
 import org.radishspur.replication.raft.Role;
 
 /**
- * Registers the metrics of a control host: its role, term and catalogue revision, operators' calls, readings of the host list
- * and view requests. Any thread may read them.
+ * Registers the metrics of a control host: its role, term and catalogue revision, operators' calls, readings of the
+ * host list and view requests. Any thread may read them.
  */
 final class ControlMetrics {
     private final MetricRegistry registry = new MetricRegistry();
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -34,8 +34,8 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Runs the control program of the platform: a replica of the control state and a scheduler. One thread owns the control state,
- * one serves the connections and owns the scheduler, and one writes to the disk.
+ * Runs the control program of the platform: a replica of the control state and a scheduler. One thread owns the control
+ * state, one serves the connections and owns the scheduler, and one writes to the disk.
  */
 public final class ControlProcess implements FleetInbox, AutoCloseable {
     private static final String CLUSTER_NAME = "fleet";
@@ -49,7 +49,10 @@
     /** No leases: a majority confirms every read, because on a suspended host an expired lease can still seem valid. */
     private static final long LEASE_MILLIS = 0;
 
-    /** The maximum number of log entries in a message; each may hold a catalogue, and four of the maximum size fit a frame. */
+    /**
+     * The maximum number of log entries in a message; each may hold a catalogue, and four of the maximum size fit a
+     * frame.
+     */
     private static final int ENTRIES_PER_MESSAGE = 4;
 
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 20;
@@ -58,14 +61,18 @@
     private static final int TRAILING_ENTRIES = 8;
 
     /**
-     * The number of log entries after which a snapshot is made. An entry may hold a catalogue of several megabytes. Reading
-     * this many at a start takes a tenth of a second, and they need far less than the smallest disks, which have 128 MB.
+     * The number of log entries after which a snapshot is made. An entry may hold a catalogue of several megabytes.
+     * Reading this many at a start takes a tenth of a second, and they need far less than the smallest disks, which
+     * have 128 MB.
      */
     private static final int ENTRIES_PER_SNAPSHOT = 40;
 
     private static final int MAX_PENDING_PROPOSALS = 1_000;
 
-    /** The free disk space below which nothing is proposed, in bytes; enough for one snapshot of the state beside the log. */
+    /**
+     * The free disk space below which nothing is proposed, in bytes; enough for one snapshot of the state beside the
+     * log.
+     */
     private static final long MIN_FREE_BYTES = 4L << 20;
 
     /** How long a planned stop waits for a follower to become leader, in milliseconds; an election takes about ten. */
@@ -210,7 +217,10 @@
         failed.await();
     }
 
-    /** Prepares a planned stop: transfers leadership if this replica leads, waits for the election, and closes the event log. */
+    /**
+     * Prepares a planned stop: transfers leadership if this replica leads, waits for the election, and closes the event
+     * log.
+     */
     public void shutDown() {
         events.emit(EventCode.STOPPING, 0);
         loop.execute(replica::transferLeadership);
@@ -255,9 +265,9 @@
     }
 
     /**
-     * Returns the identity of the disk, and gives a blank disk a new one. At the first start of the whole system the seeds
-     * form the group. At any other time a blank disk belongs to a host that is new or has lost its state, and joins the group
-     * under a new name.
+     * Returns the identity of the disk, and gives a blank disk a new one. At the first start of the whole system the
+     * seeds form the group. At any other time a blank disk belongs to a host that is new or has lost its state, and
+     * joins the group under a new name.
      */
     private Identity identityOf(DataFolder folder) {
         String node = settings.peerAddress().toString();
--- a/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
+++ b/node/src/main/java/org/radishspur/node/group/DeferredRequests.java
@@ -10,9 +10,9 @@
 /**
  * Holds view requests that arrive while no leader is known.
  *
- * <p>Shortens the outage after a restart of all replicas: the first heartbeat round of the new leader confirms the requests
- * that arrived before it. Otherwise each entry would have to retry, after up to 80 ms, and wait for another round,
- * which takes up to 60 ms more.
+ * <p>Shortens the outage after a restart of all replicas: the first heartbeat round of the new leader confirms the
+ * requests that arrived before it. Otherwise each entry would have to retry, after up to 80 ms, and wait for another
+ * round, which takes up to 60 ms more.
  */
 final class DeferredRequests {
     /** How long a request waits for a leader to be elected, in milliseconds; long enough for one election. */
@@ -26,7 +26,9 @@
         requestsByEntry.put(request.request().entry(), request);
     }
 
-    /** Removes and returns the requests that can be answered now or have waited too long, in the order of their arrival. */
+    /**
+     * Removes and returns the requests that can be answered now or have waited too long, in the order of their arrival.
+     */
     List<DeferredRequest> removeDue(boolean leaderKnown, long now) {
         List<DeferredRequest> due = requestsByEntry.values().stream()
                 .filter(deferred -> leaderKnown || now - deferred.receivedAt() > MAX_DEFERRAL_MILLIS)
--- a/node/src/main/java/org/radishspur/node/group/DocumentSender.java
+++ b/node/src/main/java/org/radishspur/node/group/DocumentSender.java
@@ -12,15 +12,18 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Sends each catalogue to the entries and schedulers that poll, once over each connection. It is compressed and encoded only
- * once.
+ * Sends each catalogue to the entries and schedulers that poll, once over each connection. It is compressed and encoded
+ * only once.
  *
- * <p>Guards against overload of the leader by a large catalogue. Receivers poll several times a second, and with their old
- * revision as long as the catalogue is in transit. A hundred of them would get hundreds of copies, for which there is neither
- * enough memory nor enough time between two heartbeats.
+ * <p>Guards against overload of the leader by a large catalogue. Receivers poll several times a second, and with their
+ * old revision as long as the catalogue is in transit. A hundred of them would get hundreds of copies, for which there
+ * is neither enough memory nor enough time between two heartbeats.
  */
 final class DocumentSender {
-    /** The time after which a document is sent again if the receiver still lacks it, in milliseconds; a slow link needs 500 ms. */
+    /**
+     * The time after which a document is sent again if the receiver still lacks it, in milliseconds; a slow link needs
+     * 500 ms.
+     */
     private static final long RESEND_AFTER_MILLIS = 3_000;
 
     private final Map<String, Sent> sent = new HashMap<>();
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -31,20 +31,23 @@
 import org.radishspur.node.upstream.UpstreamListener;
 
 /**
- * Reads the platform's host list while this replica leads. All entries share one reader, so that the platform's limit on calls
- * is kept whatever the number of entries. After a change of leadership the new leader reads the list.
+ * Reads the platform's host list while this replica leads. All entries share one reader, so that the platform's limit
+ * on calls is kept whatever the number of entries. After a change of leadership the new leader reads the list.
  */
 final class HostListReader {
     /**
-     * The interval between readings, in milliseconds. Together with the polls of the entries it puts a change into effect
-     * within a second, a third of what is allowed, at about four calls in three seconds.
+     * The interval between readings, in milliseconds. Together with the polls of the entries it puts a change into
+     * effect within a second, a third of what is allowed, at about four calls in three seconds.
      */
     private static final long READ_INTERVAL_MILLIS = 750;
 
     /** The timeout of the call for one page, in milliseconds. */
     private static final long PAGE_TIMEOUT_MILLIS = 1_200;
 
-    /** The number of pages after which a reading stops, because more are considered a fault; 50 hosts a page make 50,000 hosts. */
+    /**
+     * The number of pages after which a reading stops, because more are considered a fault; 50 hosts a page make 50,000
+     * hosts.
+     */
     private static final int MAX_PAGES = 1_000;
 
     /** The maximum age at which a list that was read before this replica led is still published, in milliseconds. */
@@ -91,15 +94,18 @@
     }
 
     /**
-     * Reads the list right after the start, before any leader is known. Shortens the outage after a restart of all control
-     * hosts: the first reading takes a newly started process a fifth of a second, during which entries know no upstreams.
-     * This way it overlaps with the election.
+     * Reads the list right after the start, before any leader is known. Shortens the outage after a restart of all
+     * control hosts: the first reading takes a newly started process a fifth of a second, during which entries know no
+     * upstreams. This way it overlaps with the election.
      */
     void prefetch() {
         read();
     }
 
-    /** Handles the election of this replica as leader: publishes a list that was read just before, and reads the list again. */
+    /**
+     * Handles the election of this replica as leader: publishes a list that was read just before, and reads the list
+     * again.
+     */
     void onElected() {
         if (loop.nowMillis() - prefetchedAt < MAX_PREFETCHED_AGE_MILLIS) {
             publish(prefetched);
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -19,9 +19,9 @@
 /**
  * Discovers the other control hosts, and at the leader replaces lost replicas by blank ones.
  *
- * <p>A replica that has lost its disk starts again under a new identity at its old address. Its old identity can never be used
- * again and is replaced at once. A host that merely doesn't respond is replaced only when a blank replica is available, and
- * not before the blank replica holds everything that is committed.
+ * <p>A replica that has lost its disk starts again under a new identity at its old address. Its old identity can never
+ * be used again and is replaced at once. A host that merely doesn't respond is replaced only when a blank replica is
+ * available, and not before the blank replica holds everything that is committed.
  */
 final class MembershipManager {
     /** The interval at which replicas announce themselves to each other, in milliseconds. */
@@ -30,7 +30,10 @@
     /** The time without a message after which a blank replica is no longer a candidate, in milliseconds. */
     private static final long CANDIDATE_TIMEOUT_MILLIS = 1_500;
 
-    /** The time without a message after which a voter may be replaced, in milliseconds; long enough for several elections. */
+    /**
+     * The time without a message after which a voter may be replaced, in milliseconds; long enough for several
+     * elections.
+     */
     private static final long VOTER_TIMEOUT_MILLIS = 2_500;
 
     private final ControlLoop loop;
@@ -136,7 +139,10 @@
         }
     }
 
-    /** Returns the voter that a candidate may replace, an empty text if a voter may be added, or nothing if neither is allowed. */
+    /**
+     * Returns the voter that a candidate may replace, an empty text if a voter may be added, or nothing if neither is
+     * allowed.
+     */
     private Optional<String> replaceableVoterFor(String candidate, long now) {
         String node = ReplicaRunner.nodeOf(candidate);
         for (String voter : replica.voters()) {
--- a/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
+++ b/node/src/main/java/org/radishspur/node/group/RolloutDriver.java
@@ -19,13 +19,20 @@
 import org.radishspur.replication.state.ControlCommand;
 
 /**
- * Advances rollouts from stage to stage at the leader, according to the responses that all entries have counted by version.
+ * Advances rollouts from stage to stage at the leader, according to the responses that all entries have counted by
+ * version.
  */
 final class RolloutDriver {
-    /** The interval between evaluations of the rollouts, in milliseconds; it delays the end of a bad trial by at most this time. */
+    /**
+     * The interval between evaluations of the rollouts, in milliseconds; it delays the end of a bad trial by at most
+     * this time.
+     */
     private static final long EVALUATION_INTERVAL_MILLIS = 200;
 
-    /** How long all requests go to the target version before the rollout completes and old upstreams may stop, in milliseconds. */
+    /**
+     * How long all requests go to the target version before the rollout completes and old upstreams may stop, in
+     * milliseconds.
+     */
     private static final long MOVE_MILLIS = 600;
 
     private final ControlLoop loop;
--- a/node/src/main/java/org/radishspur/node/group/ViewService.java
+++ b/node/src/main/java/org/radishspur/node/group/ViewService.java
@@ -17,8 +17,9 @@
 import org.radishspur.replication.state.CatalogueState;
 
 /**
- * Responds to the view requests of entries and schedulers with the current control state. A response, like any other read,
- * waits until a majority of the replicas has confirmed, after the request arrived, that this replica is the leader.
+ * Responds to the view requests of entries and schedulers with the current control state. A response, like any other
+ * read, waits until a majority of the replicas has confirmed, after the request arrived, that this replica is the
+ * leader.
  */
 final class ViewService {
     /** The time without a request after which an entry is no longer counted, in milliseconds. */
@@ -115,7 +116,9 @@
         answerReads();
     }
 
-    /** Answers the deferred requests and pending reads that can be answered now, and fails the reads that are too old. */
+    /**
+     * Answers the deferred requests and pending reads that can be answered now, and fails the reads that are too old.
+     */
     void answerPending() {
         answerDeferredRequests();
         answerReads();
@@ -177,7 +180,9 @@
          */
         void onConfirmed(CatalogueState state);
 
-        /** Handles a read that no majority has confirmed in time, or that began before this replica lost the leadership. */
+        /**
+         * Handles a read that no majority has confirmed in time, or that began before this replica lost the leadership.
+         */
         void onUnconfirmed();
     }
 
--- a/node/src/main/java/org/radishspur/node/log/ComponentLog.java
+++ b/node/src/main/java/org/radishspur/node/log/ComponentLog.java
@@ -31,7 +31,9 @@
         this.prefix = prefix;
     }
 
-    /** Looks the logger up only when a line is logged, because loading the logging configuration takes 0.1 s at startup. */
+    /**
+     * Looks the logger up only when a line is logged, because loading the logging configuration takes 0.1 s at startup.
+     */
     private System.Logger logger() {
         return System.getLogger("org.radishspur.node." + name().toLowerCase(java.util.Locale.ROOT));
     }
--- a/node/src/main/java/org/radishspur/node/log/EventLog.java
+++ b/node/src/main/java/org/radishspur/node/log/EventLog.java
@@ -15,8 +15,8 @@
  * Writes structured events as JSON, one object per line, without ever blocking the thread that reports them.
  *
  * <p>Under overload, logging every request could cost more than the requests themselves. Events of single requests are
- * therefore limited to a rate, and those beyond it are dropped and counted. Events of the process are dropped only when the
- * queue is full.
+ * therefore limited to a rate, and those beyond it are dropped and counted. Events of the process are dropped only when
+ * the queue is full.
  */
 public final class EventLog implements AutoCloseable {
     /** Maximum number of lines that wait to be written; about 2 MB. */
--- a/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
+++ b/node/src/main/java/org/radishspur/node/log/NettyLogFactory.java
@@ -8,7 +8,8 @@
  * Forwards the warnings and errors of Netty to the log, and discards lower levels.
  *
  * <p>Netty creates dozens of loggers at startup. Creating loggers of the Java platform at that point loads the logging
- * configuration, which takes a tenth of the processor time of a start; these loggers load it when the first line is logged.
+ * configuration, which takes a tenth of the processor time of a start; these loggers load it when the first line is
+ * logged.
  */
 public final class NettyLogFactory extends InternalLoggerFactory {
     /** The only instance. */
--- a/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Encodes a large message once for many receivers into a direct buffer. All sockets write from the same direct buffer,
-     * whereas a heap buffer is copied for each of them.
+     * Encodes a large message once for many receivers into a direct buffer. All sockets write from the same direct
+     * buffer, whereas a heap buffer is copied for each of them.
      *
      * @param message the message.
      * @param type the sealed type of the messages.
--- a/node/src/main/java/org/radishspur/node/peer/PeerKey.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerKey.java
@@ -9,7 +9,8 @@
 import java.security.SecureRandom;
 
 /**
- * Makes and compares the signatures by which two nodes prove to each other that they hold the shared key, without sending it.
+ * Makes and compares the signatures by which two nodes prove to each other that they hold the shared key, without
+ * sending it.
  */
 public final class PeerKey {
     private static final String ALGORITHM = "HmacSHA256";
--- a/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerMessage.java
@@ -17,8 +17,8 @@
 import org.radishspur.replication.state.TablesDelta;
 
 /**
- * A message between two nodes of one cluster. The wire format numbers the subtypes in the order of their declaration and writes
- * the components of each in their order.
+ * A message between two nodes of one cluster. The wire format numbers the subtypes in the order of their declaration
+ * and writes the components of each in their order.
  */
 public sealed interface PeerMessage {
     /**
@@ -267,8 +267,8 @@
          * The command is committed.
          *
          * @param answer the answer of the state machine.
-         * @param holderIsLive whether the process of the attempt that holds the claim is live; false where the answer isn't a
-         *     claim held by another attempt.
+         * @param holderIsLive whether the process of the attempt that holds the claim is live; false where the answer
+         *     isn't a claim held by another attempt.
          */
         record Committed(ControlAnswer answer, boolean holderIsLive) implements ControlResult {}
 
@@ -299,7 +299,8 @@
         record Refused(String problem) implements ControlResult {}
 
         /**
-         * No leader answered before the timeout; the command may or may not be committed. Not sent, only passed to listeners.
+         * No leader answered before the timeout; the command may or may not be committed. Not sent, only passed to
+         * listeners.
          */
         record Unreachable() implements ControlResult {}
     }
--- a/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ConfirmedView.java
@@ -14,8 +14,8 @@
 import org.radishspur.replication.state.CatalogueState.Rollout;
 
 /**
- * Holds the control state that an entry or a scheduler acts on, and the time at which a majority of the control replicas last
- * confirmed it.
+ * Holds the control state that an entry or a scheduler acts on, and the time at which a majority of the control
+ * replicas last confirmed it.
  *
  * @param catalogue the catalogue, empty until the first one is received.
  * @param hosts the latest host list, {@link HostList#NONE} until the first one is received.
--- a/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
+++ b/node/src/main/java/org/radishspur/node/schedule/EvacuationLog.java
@@ -7,8 +7,8 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Logs the progress of the evacuation of failure domains at this scheduler. A failure domain is empty once every scheduler has
- * logged it as empty.
+ * Logs the progress of the evacuation of failure domains at this scheduler. A failure domain is empty once every
+ * scheduler has logged it as empty.
  */
 final class EvacuationLog {
     private final PoolSet pools;
--- a/node/src/main/java/org/radishspur/node/schedule/LeaderSearchOrder.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LeaderSearchOrder.java
@@ -8,9 +8,9 @@
 /**
  * Selects the control hosts to ask while no leader responds: a few in each round, and all of them in turn.
  *
- * <p>Guards against a slow election after a restart of all processes: if every entry asked every control host in each round,
- * the control hosts would spend their time on requests that they can't answer yet. A control host defers a request until a
- * leader is known, so that an earlier retry gains nothing.
+ * <p>Guards against a slow election after a restart of all processes: if every entry asked every control host in each
+ * round, the control hosts would spend their time on requests that they can't answer yet. A control host defers a
+ * request until a leader is known, so that an earlier retry gains nothing.
  */
 final class LeaderSearchOrder {
     /** The number of control hosts that are asked in each round. */
--- a/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -16,13 +16,13 @@
 import org.radishspur.node.fleet.FleetSender;
 
 /**
- * Publishes the load and the quota usage of this scheduler to the other schedulers, its peers, and applies the reports that
- * they send. The traffic thread owns it.
+ * Publishes the load and the quota usage of this scheduler to the other schedulers, its peers, and applies the reports
+ * that they send. The traffic thread owns it.
  *
- * <p>Each scheduler decides by the sum of its own load and the reports of its peers, which are a few tens of milliseconds old.
- * Two schedulers can therefore grant the last slot of an upstream at the same time, and the upstream then queues one request
- * itself for a moment. In return no request waits for a permit from another failure domain, and the loss of a scheduler
- * affects only its own queue.
+ * <p>Each scheduler decides by the sum of its own load and the reports of its peers, which are a few tens of
+ * milliseconds old. Two schedulers can therefore grant the last slot of an upstream at the same time, and the upstream
+ * then queues one request itself for a moment. In return no request waits for a permit from another failure domain, and
+ * the loss of a scheduler affects only its own queue.
  */
 final class LoadReportExchange {
     /** The minimum time without a report after which a peer is considered lost, in milliseconds. */
@@ -37,7 +37,9 @@
      */
     private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-    /** The maximum number of successes or failures in one report that are recorded; more carry no further information. */
+    /**
+     * The maximum number of successes or failures in one report that are recorded; more carry no further information.
+     */
     private static final int MAX_OUTCOMES_PER_REPORT = 4;
 
     /** The number of values that a report carries for each upstream; the constants below are their positions. */
@@ -50,12 +52,15 @@
     private static final int PENDING_TOKEN_STEPS = 4;
 
     /**
-     * The unit in which pending prompt tokens, which the upstream has not read yet, are published. An upstream reads fewer
-     * tokens in a few milliseconds.
+     * The unit in which pending prompt tokens, which the upstream has not read yet, are published. An upstream reads
+     * fewer tokens in a few milliseconds.
      */
     private static final int TOKENS_PER_STEP = 256;
 
-    /** The ratio between neighbouring steps of the time per event; coarse steps change rarely, and a change costs a message. */
+    /**
+     * The ratio between neighbouring steps of the time per event; coarse steps change rarely, and a change costs a
+     * message.
+     */
     private static final double EVENT_TIME_STEP_RATIO = 1.25;
 
     private final FleetSender links;
@@ -83,7 +88,10 @@
         this.self = self;
     }
 
-    /** Sets the addresses of the peers and looks up the upstreams of the pools again; called after each change of the view. */
+    /**
+     * Sets the addresses of the peers and looks up the upstreams of the pools again; called after each change of the
+     * view.
+     */
     void refresh(List<String> others) {
         publishRounds.setPeers(others);
         upstreams = upstreamsByDigest();
@@ -203,8 +211,8 @@
     }
 
     /**
-     * Returns the counts of all upstreams with requests or responses, and of those published before, so that a count that has
-     * fallen to zero is published as well.
+     * Returns the counts of all upstreams with requests or responses, and of those published before, so that a count
+     * that has fallen to zero is published as well.
      */
     private Map<Integer, int[]> currentCounts(Set<Integer> published) {
         Map<Integer, int[]> counts = new HashMap<>();
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -29,8 +29,8 @@
  */
 public final class PoolSet implements SlotScheduler.Pools {
     /**
-     * The part of {@link #maxTrialShare} that a version under trial gets. The rest covers retries and the time in which some
-     * schedulers have not yet seen the end of a trial.
+     * The part of {@link #maxTrialShare} that a version under trial gets. The rest covers retries and the time in which
+     * some schedulers have not yet seen the end of a trial.
      */
     private static final double TRIAL_SHARE_FACTOR = 0.7;
 
@@ -64,7 +64,8 @@
      * Applies a newer view to all pools.
      *
      * @param newer the view.
-     * @param schedulers the number of processes, this one included, that grant slots of the pools independently of each other.
+     * @param schedulers the number of processes, this one included, that grant slots of the pools independently of each
+     *     other.
      * @param now the monotonic clock in milliseconds.
      */
     public void apply(ConfirmedView newer, int schedulers, long now) {
@@ -91,7 +92,9 @@
         }
     }
 
-    /** Finds the upstreams that this process may use while they are cold: those for which it is the preferred scheduler. */
+    /**
+     * Finds the upstreams that this process may use while they are cold: those for which it is the preferred scheduler.
+     */
     private void chooseUsableWhileCold() {
         usableWhileCold.clear();
         Map<String, String> failureDomains = view.controlHosts().stream()
@@ -182,8 +185,8 @@
     }
 
     /**
-     * Returns whether an upstream may get a request by this view, which may be newer than that of the scheduler that granted
-     * the slot.
+     * Returns whether an upstream may get a request by this view, which may be newer than that of the scheduler that
+     * granted the slot.
      *
      * @param upstream the upstream.
      * @return whether its version is not rolled back and the upstream accepts requests.
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -51,7 +51,10 @@
         return ticks * tickMillis;
     }
 
-    /** Returns the time without a report after which a peer is considered lost, given that it publishes as often as this host. */
+    /**
+     * Returns the time without a report after which a peer is considered lost, given that it publishes as often as this
+     * host.
+     */
     long peerTimeoutMillis(long minMillis) {
         return Math.max(minMillis, PEER_TIMEOUT_ROUNDS * roundMillis());
     }
@@ -67,7 +70,9 @@
         return true;
     }
 
-    /** Returns whether this round is a full report; if so, the rounds until the next full report are counted from here. */
+    /**
+     * Returns whether this round is a full report; if so, the rounds until the next full report are counted from here.
+     */
     boolean beginFullReport() {
         long rounds = Math.max(MIN_ROUNDS_PER_FULL_REPORT, FULL_REPORT_MILLIS / roundMillis());
         boolean full = roundsSinceFullReport >= rounds;
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -28,26 +28,30 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Runs the scheduler of a control host on the transport thread: grants slots to the entries that are attached, polls the
- * control leader as entries do, and exchanges load reports with the other schedulers.
+ * Runs the scheduler of a control host on the transport thread: grants slots to the entries that are attached, polls
+ * the control leader as entries do, and exchanges load reports with the other schedulers.
  */
 public final class SchedulerHost implements FleetInbox, AutoCloseable {
     /** The interval at which lost entries are detached and the queues are advanced, in milliseconds. */
     private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
     /**
-     * The time without a message after which an entry is considered lost, in milliseconds; an entry pings its scheduler more
-     * often, even while it is idle. Guards against slots that stay occupied by a frozen host, and against grants that are
-     * never used.
+     * The time without a message after which an entry is considered lost, in milliseconds; an entry pings its scheduler
+     * more often, even while it is idle. Guards against slots that stay occupied by a frozen host, and against grants
+     * that are never used.
      */
     private static final long ENTRY_TIMEOUT_MILLIS = 1_200;
 
-    /** The maximum age at which a view may be acted on, as a share of the time in which a revoked key must stop working. */
+    /**
+     * The maximum age at which a view may be acted on, as a share of the time in which a revoked key must stop working.
+     */
     private static final double MAX_VIEW_AGE_SHARE = 0.8;
 
     private final PlatformProcessSettings settings;
 
-    /** The view poller's own thread, as parsing a large catalogue takes longer than an election timeout of the replica. */
+    /**
+     * The view poller's own thread, as parsing a large catalogue takes longer than an election timeout of the replica.
+     */
     private final ControlLoop pollerLoop = new ControlLoop();
 
     private final EventLoop traffic;
--- a/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
@@ -20,11 +20,14 @@
 import org.radishspur.node.log.EventLog;
 
 /**
- * Polls the control leader for the current control state on behalf of an entry or a scheduler, and searches for the leader
- * when it stops responding. All methods run on one control loop.
+ * Polls the control leader for the current control state on behalf of an entry or a scheduler, and searches for the
+ * leader when it stops responding. All methods run on one control loop.
  */
 public final class ViewPoller {
-    /** The interval between requests to the leader, in milliseconds; an eighth of the time in which an edit must take effect. */
+    /**
+     * The interval between requests to the leader, in milliseconds; an eighth of the time in which an edit must take
+     * effect.
+     */
     private static final long POLL_INTERVAL_MILLIS = 300;
 
     /** The interval between requests while no leader is known or its response is overdue, in milliseconds. */
@@ -96,8 +99,8 @@
     }
 
     /**
-     * Handles the response to a request. A confirmed response updates the view; any other one only names the control hosts
-     * and, where it is known, the leader.
+     * Handles the response to a request. A confirmed response updates the view; any other one only names the control
+     * hosts and, where it is known, the leader.
      *
      * @param response the response.
      */
@@ -129,7 +132,8 @@
     }
 
     /**
-     * Replaces the catalogue by a newer one. The time of the last confirmation changes only with the next confirmed response.
+     * Replaces the catalogue by a newer one. The time of the last confirmation changes only with the next confirmed
+     * response.
      *
      * @param document the catalogue; it is ignored unless its revision is newer.
      */
@@ -181,7 +185,10 @@
         listener.onView(next);
     }
 
-    /** Sends requests and schedules the next poll, sooner if a response is overdue; each poll wakes an otherwise idle host. */
+    /**
+     * Sends requests and schedules the next poll, sooner if a response is overdue; each poll wakes an otherwise idle
+     * host.
+     */
     private void poll() {
         sendRequests();
         boolean overdue = Moment.now().millisSince(view.confirmedAt()) > POLL_INTERVAL_MILLIS + SEARCH_INTERVAL_MILLIS;
@@ -221,7 +228,9 @@
         }
     }
 
-    /** Returns the control hosts to stay connected to: the seeds only while no others are known or the leader is lost. */
+    /**
+     * Returns the control hosts to stay connected to: the seeds only while no others are known or the leader is lost.
+     */
     private Set<String> wantedAddresses() {
         Set<String> wanted = new TreeSet<>(controlHosts.keySet());
         if (controlHosts.isEmpty() || leaderLost) {
--- a/node/src/main/java/org/radishspur/node/settings/FieldReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/FieldReader.java
@@ -11,8 +11,8 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Reads the fields of one JSON object. A fault is added to a list and a default returned, so that all faults are found in
- * one pass.
+ * Reads the fields of one JSON object. A fault is added to a list and a default returned, so that all faults are found
+ * in one pass.
  */
 final class FieldReader {
     /** An IP address of version 4, or of version 6 in brackets, and a port. */
--- a/node/src/main/java/org/radishspur/node/settings/Limits.java
+++ b/node/src/main/java/org/radishspur/node/settings/Limits.java
@@ -5,7 +5,8 @@
  *
  * @param headerBytes the maximum size of a request's headers, and of its first line, each in bytes.
  * @param initialBodyBytes the number of bytes of a body that are buffered before the request is dispatched.
- * @param storedAnswerBytes the maximum size of an answer that is stored to replay it to a retry of its request, in bytes.
+ * @param storedAnswerBytes the maximum size of an answer that is stored to replay it to a retry of its request, in
+ *     bytes.
  * @param frameBytes the maximum size of a frame between processes, in bytes.
  * @param trafficThreads the number of threads that serve connections.
  * @param callerConnections the maximum number of callers' connections.
--- a/node/src/main/java/org/radishspur/node/settings/PlatformProcessSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/PlatformProcessSettings.java
@@ -7,8 +7,8 @@
 import org.radishspur.decision.dispatch.QuotaLedger;
 
 /**
- * Holds the settings of one process of the platform's programs entry and control. The process discovers the other processes
- * by itself.
+ * Holds the settings of one process of the platform's programs entry and control. The process discovers the other
+ * processes by itself.
  *
  * @param node the name of the process, for logs.
  * @param failureDomain the failure domain of its host.
--- a/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
+++ b/node/src/main/java/org/radishspur/node/settings/SettingsReader.java
@@ -16,7 +16,8 @@
 import org.radishspur.model.table.TableFault;
 
 /**
- * Reads the settings of a node from a JSON file, and reports all faults together, each with its path and the allowed range.
+ * Reads the settings of a node from a JSON file, and reports all faults together, each with its path and the allowed
+ * range.
  */
 public enum SettingsReader {
     /** The only instance; reading keeps no state. */
--- a/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
+++ b/node/src/main/java/org/radishspur/node/supervise/Supervisor.java
@@ -12,9 +12,9 @@
 import org.radishspur.node.log.ComponentLog;
 
 /**
- * Starts children in order, restarts a failed child after a delay that doubles with each recent failure, and reports the
- * failure to its own listener when a child fails too often. Supervisors are children themselves, so that they form a tree;
- * the listener of the root ends the process.
+ * Starts children in order, restarts a failed child after a delay that doubles with each recent failure, and reports
+ * the failure to its own listener when a child fails too often. Supervisors are children themselves, so that they form
+ * a tree; the listener of the root ends the process.
  */
 public final class Supervisor implements Child {
     /** Doubled once for each failure in the window, so that the first restart waits twice this delay. */
--- a/node/src/main/java/org/radishspur/node/transport/ServerSocketBinder.java
+++ b/node/src/main/java/org/radishspur/node/transport/ServerSocketBinder.java
@@ -18,11 +18,15 @@
     /** The only instance; it keeps no state. */
     INSTANCE;
 
-    /** Maximum number of connections that wait to be accepted; a load balancer may move all callers of a host here at once. */
+    /**
+     * Maximum number of connections that wait to be accepted; a load balancer may move all callers of a host here at
+     * once.
+     */
     private static final int ACCEPT_BACKLOG = 1_024;
 
     /**
-     * Binds an address and waits until it is bound. Throws Netty's exception if that fails, such as for an address in use.
+     * Binds an address and waits until it is bound. Throws Netty's exception if that fails, such as for an address in
+     * use.
      *
      * @param address the address to listen on.
      * @param group the threads that serve the connections.
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamConnection.java
@@ -136,7 +136,9 @@
         }
     }
 
-    /** Returns how long the idle connection may be reused, in milliseconds: the stated Keep-Alive timeout less a margin. */
+    /**
+     * Returns how long the idle connection may be reused, in milliseconds: the stated Keep-Alive timeout less a margin.
+     */
     private static long keepAliveMillis(HttpResponse response) {
         Matcher timeout = KEEP_ALIVE_SECONDS.matcher(response.headers().get("Keep-Alive", ""));
         return timeout.find()
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamExchange.java
@@ -4,7 +4,8 @@
 import io.netty.handler.codec.http.HttpObject;
 
 /**
- * One request to an upstream and its response. The holder writes the request and controls how fast the response is read.
+ * One request to an upstream and its response. The holder writes the request and controls how fast the response is
+ * read.
  */
 public interface UpstreamExchange {
     /**
@@ -22,8 +23,8 @@
      * Discards the response whose head has just been received and waits for the next one, after which the connection is
      * closed.
      *
-     * <p>This handles an upstream that responds to a request twice: the second copy arrives where the response to the next
-     * request on the connection is expected, and must not reach its caller.
+     * <p>This handles an upstream that responds to a request twice: the second copy arrives where the response to the
+     * next request on the connection is expected, and must not reach its caller.
      */
     void skipResponse();
 
--- a/node/src/test/java/org/radishspur/node/entry/ErrorResponsesTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/ErrorResponsesTest.java
@@ -18,7 +18,9 @@
 class ErrorResponsesTest {
     @Nested
     class Body {
-        /** Guards against an error response that callers can't parse, or that is wrong about whether the request ran. */
+        /**
+         * Guards against an error response that callers can't parse, or that is wrong about whether the request ran.
+         */
         @ParameterizedTest
         @EnumSource
         void statesTheReasonAndWhetherTheRequestRan(EndReason reason) {
--- a/node/src/test/java/org/radishspur/node/entry/EventSplitterTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/EventSplitterTest.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Guards against a caller that receives a partial event from an upstream that crashes, followed by the complete one from
-     * the upstream that resumes the stream.
+     * Guards against a caller that receives a partial event from an upstream that crashes, followed by the complete one
+     * from the upstream that resumes the stream.
      */
     @Test
     void holdsAPartialEventUntilItIsComplete() {
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -134,7 +134,9 @@
             assertThat(links.outcomes(NEAR)).containsExactly(SlotOutcome.SUCCESS);
         }
 
-        /** Guards against a slot that stays occupied because its request was cancelled while the grant was in transit. */
+        /**
+         * Guards against a slot that stays occupied because its request was cancelled while the grant was in transit.
+         */
         @Test
         void releasesASlotGrantedToACancelledRequest() {
             UpstreamSlot slot = requestSlot(0);
--- a/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/LinkHealthTest.java
@@ -50,7 +50,9 @@
             assertThat(reconnectedAt(10 * SECOND_MILLIS, true)).isLessThanOrEqualTo(2 * SECOND_MILLIS);
         }
 
-        /** Guards against a scheduler that considers an entry lost while it holds slots but sends nothing for a while. */
+        /**
+         * Guards against a scheduler that considers an entry lost while it holds slots but sends nothing for a while.
+         */
         @Test
         void isPingedOftenEnoughForTheOtherEnd() {
             assertThat(countPings(60 * SECOND_MILLIS, 12 * SECOND_MILLIS, true))
--- a/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
@@ -21,7 +21,10 @@
 
     @Nested
     class RestartOfAllProcesses {
-        /** Guards against an election that is slow because every entry sends requests to every control host in each round. */
+        /**
+         * Guards against an election that is slow because every entry sends requests to every control host in each
+         * round.
+         */
         @Test
         void eachRoundAsksAFewControlHosts() {
             for (int round = 0; round < 20; round++) {
--- a/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LoadReportExchangeTest.java
@@ -133,7 +133,9 @@
             assertThat(engine().inProgress()).isZero();
         }
 
-        /** Guards against peers that are considered lost because they publish seldom where there are many schedulers. */
+        /**
+         * Guards against peers that are considered lost because they publish seldom where there are many schedulers.
+         */
         @Test
         void keepsTheLoadOfAPeerThatPublishesSeldom() {
             applyView(369);
--- a/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/PoolSetTest.java
@@ -33,7 +33,8 @@
     private final PoolSet pools = new PoolSet("scheduler", "a", 0.1);
 
     /**
-     * Guards against a cold upstream that several schedulers use at once, each up to its limit, or that no scheduler uses.
+     * Guards against a cold upstream that several schedulers use at once, each up to its limit, or that no scheduler
+     * uses.
      */
     @Test
     void letsExactlyOneSchedulerUseAColdUpstream() {
@@ -146,7 +147,9 @@
         assertThat(countAllowed("v1", 100)).isZero();
     }
 
-    /** Guards against a pool that serves nothing after upstreams of a later version have replaced those of the target. */
+    /**
+     * Guards against a pool that serves nothing after upstreams of a later version have replaced those of the target.
+     */
     @Test
     void allowsOtherVersionsIfNoUpstreamOfTheTargetIsLeft() {
         applyView(RolloutStage.COMPLETED, "v3");
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Arrival.java
@@ -13,7 +13,8 @@
  * @param arrivesAt when it arrives, in microseconds.
  * @param tier its tier.
  * @param organisation the organisation that sends it.
- * @param prefixBlocks how many blocks at the start of its prompt are shared by requests of the same organisation and topic.
+ * @param prefixBlocks how many blocks at the start of its prompt are shared by requests of the same organisation and
+ *     topic.
  * @param topic which of the organisation's shared prompt prefixes it begins with.
  * @param ownBlocks how many blocks of its prompt no other request has.
  * @param outputTokens the actual number of tokens in its answer.
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
@@ -21,7 +21,9 @@
         int cacheBlocks) {
     static final EngineModel STANDARD = new EngineModel(24, 15_000, 400, 60, 512, 1_200);
 
-    /** Returns the minimum engine time of a request, with each step shared by a full batch and shared prefixes cached. */
+    /**
+     * Returns the minimum engine time of a request, with each step shared by a full batch and shared prefixes cached.
+     */
     double minimumMicros(Arrival arrival) {
         double perToken = stepMicros / batchSize + decodeMicrosPerSequence;
         return arrival.outputTokens() * perToken
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentCommand.java
@@ -13,10 +13,10 @@
 /**
  * Prints a table that compares dispatch policies on simulated engines.
  *
- * <p>The columns of the tiers give the share of requests answered in time. {@code ofBound} is the useful engine time as a
- * share of its upper bound. {@code prefill} counts the prompt tokens computed, {@code lost} those computed for requests
- * not answered in time, and {@code redundant} those that another engine had cached. {@code largest} is the largest share
- * of the useful engine time that one organisation received, and {@code refused} counts refused requests.
+ * <p>The columns of the tiers give the share of requests answered in time. {@code ofBound} is the useful engine time as
+ * a share of its upper bound. {@code prefill} counts the prompt tokens computed, {@code lost} those computed for
+ * requests not answered in time, and {@code redundant} those that another engine had cached. {@code largest} is the
+ * largest share of the useful engine time that one organisation received, and {@code refused} counts refused requests.
  */
 @Command(name = "experiment", mixinStandardHelpOptions = true)
 public final class ExperimentCommand implements Callable<Integer> {
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/ExperimentResult.java
@@ -44,7 +44,9 @@
         refusals++;
     }
 
-    /** Records how a request ended; only requests that ended within the horizon count towards the useful engine time. */
+    /**
+     * Records how a request ended; only requests that ended within the horizon count towards the useful engine time.
+     */
     void recordEnding(Arrival arrival, boolean answered, boolean withinHorizon, int computedTokensOfRequest) {
         if (!answered) {
             lostTokens += computedTokensOfRequest;
@@ -63,7 +65,9 @@
         return requestsInTime[tier.ordinal()] / Math.max(1, offeredRequests[tier.ordinal()]);
     }
 
-    /** Returns the useful engine time as a share of the offered engine time or of the capacity, whichever is smaller. */
+    /**
+     * Returns the useful engine time as a share of the offered engine time or of the capacity, whichever is smaller.
+     */
     double shareOfUpperBound(double capacityMicros) {
         return usefulMicros / Math.min(offeredMicros, capacityMicros);
     }
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
@@ -8,8 +8,8 @@
 import org.radishspur.model.request.Tier;
 
 /**
- * Draws the requests of an experiment: arrivals in bursts, five tiers, a few large organisations, and answer lengths that
- * differ a hundredfold.
+ * Draws the requests of an experiment: arrivals in bursts, five tiers, a few large organisations, and answer lengths
+ * that differ a hundredfold.
  */
 final class Workload {
     private static final double[] TIER_SHARES = {0.10, 0.15, 0.30, 0.25, 0.20};
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -13,10 +13,10 @@
  * Prints how simulated moves to versions of every kind end, at several request rates, by the product's policy and by a
  * canary of fixed steps.
  *
- * <p>In the table, {@code inTime} counts good versions whose move completed in time, {@code takenBack} bad versions that
- * were taken back, and {@code wrongly} good versions that were taken back. {@code ofWindow} is the mean of the requests
- * to the new version as a share of those expected in the window. {@code after2s} counts the requests to bad versions
- * later than two seconds after their first fault.
+ * <p>In the table, {@code inTime} counts good versions whose move completed in time, {@code takenBack} bad versions
+ * that were taken back, and {@code wrongly} good versions that were taken back. {@code ofWindow} is the mean of the
+ * requests to the new version as a share of those expected in the window. {@code after2s} counts the requests to bad
+ * versions later than two seconds after their first fault.
  */
 @Command(name = "moves", mixinStandardHelpOptions = true)
 public final class MoveCommand implements Callable<Integer> {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -72,8 +72,8 @@
      * @param seed the seed of all random decisions.
      * @param size the number of replicas.
      * @param rates how often each fault occurs.
-     * @param leaseMillis how long a leader answers reads under a lease, in milliseconds, or 0 if a majority confirms each
-     *     read.
+     * @param leaseMillis how long a leader answers reads under a lease, in milliseconds, or 0 if a majority confirms
+     *     each read.
      */
     public ReplicaSchedule(long seed, int size, FaultRates rates, long leaseMillis) {
         this.random = new Random(seed);
@@ -172,7 +172,10 @@
                         target.clock());
     }
 
-    /** Makes an edit that expects the revision known to the given replica, so that concurrent edits expect the same revision. */
+    /**
+     * Makes an edit that expects the revision known to the given replica, so that concurrent edits expect the same
+     * revision.
+     */
     private TableEdit newEdit(SimulatedReplica target) {
         String pool = "pool-" + random.nextInt(POOLS);
         lastEdit++;
@@ -227,7 +230,10 @@
         schedule(crashed::start, 20 + random.nextInt(1_000));
     }
 
-    /** Returns whether a replica may lose its disk: every other voter still has its disk, and no membership change is open. */
+    /**
+     * Returns whether a replica may lose its disk: every other voter still has its disk, and no membership change is
+     * open.
+     */
     private boolean canLoseDisk(SimulatedReplica crashed) {
         Configuration latest = latestConfiguration();
         Set<String> present = new TreeSet<>();
@@ -282,7 +288,9 @@
         replaceBlankReplicasRepeatedly();
     }
 
-    /** Replaces lost replicas, as an operator does: asks the leader to let the blank replica take the lost one's place. */
+    /**
+     * Replaces lost replicas, as an operator does: asks the leader to let the blank replica take the lost one's place.
+     */
     private void replaceBlankReplicasRepeatedly() {
         schedule(this::replaceBlankReplicasRepeatedly, FAULT_INTERVAL_MILLIS);
         for (SimulatedReplica leader : replicas.values()) {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -45,7 +45,10 @@
         }
     }
 
-    /** Begins a read on each leader that has none pending, and checks its revision once a majority has confirmed the leader. */
+    /**
+     * Begins a read on each leader that has none pending, and checks its revision once a majority has confirmed the
+     * leader.
+     */
     private void checkConfirmedRead(SimulatedReplica simulated, RaftCore core) {
         if (core.role() != Role.LEADER) {
             pendingReads.remove(core.self());
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -16,8 +16,8 @@
 import org.radishspur.replication.state.StateOptions;
 
 /**
- * Runs one replica in virtual time. Its process can crash, freeze and lose its disk, and its clock runs slightly fast or
- * slow.
+ * Runs one replica in virtual time. Its process can crash, freeze and lose its disk, and its clock runs slightly fast
+ * or slow.
  */
 final class SimulatedReplica {
     private static final int ENTRIES_PER_SNAPSHOT = 40;
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Returns the monotonic clock of the host, in milliseconds. If leaders hold no lease, the clock stops while the host is
-     * frozen, as on a suspended machine.
+     * Returns the monotonic clock of the host, in milliseconds. If leaders hold no lease, the clock stops while the
+     * host is frozen, as on a suspended machine.
      */
     long clock() {
         return (long) ((world.now() - clockStoppedMillis) * clockRate);
@@ -113,7 +113,10 @@
         world.onCrash(this);
     }
 
-    /** Ends the process and loses its disk. The next start is that of a blank replica under an identity never used before. */
+    /**
+     * Ends the process and loses its disk. The next start is that of a blank replica under an identity never used
+     * before.
+     */
     void loseDisk(String freshIdentity) {
         crash();
         identity = freshIdentity;
--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -41,7 +41,10 @@
         }
     }
 
-    /** Guards against taking a good version back because of one stall of its host, which slows many answers of a busy route. */
+    /**
+     * Guards against taking a good version back because of one stall of its host, which slows many answers of a busy
+     * route.
+     */
     @Test
     void aMoveToAVersionWhoseHostStallsCompletesInTimeOnABusyRoute() {
         for (int seed = 0; seed < SEEDS; seed++) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ControlUnderKillsTest.java
@@ -21,7 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Edits the tables of a cluster of processes while control nodes are killed, suspended and replaced after the loss of a disk.
+ * Edits the tables of a cluster of processes while control nodes are killed, suspended and replaced after the loss of a
+ * disk.
  */
 class ControlUnderKillsTest {
     @TempDir
@@ -73,7 +74,10 @@
         }
     }
 
-    /** Guards against a suspended leader that, once resumed, accepts an edit or reports outdated rows as the current ones. */
+    /**
+     * Guards against a suspended leader that, once resumed, accepts an edit or reports outdated rows as the current
+     * ones.
+     */
     @Test
     void aResumedLeaderReportsNoStaleRevisionAndCatchesUp() {
         try (ProcessCluster cluster = new ProcessCluster(folder)) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/EndToEndTest.java
@@ -21,8 +21,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Sends requests through a cluster of three nodes with engines of different speed and plain services, each a process of its
- * own.
+ * Sends requests through a cluster of three nodes with engines of different speed and plain services, each a process of
+ * its own.
  */
 class EndToEndTest {
     private static final int CONCURRENT_REQUESTS = 1_000;
@@ -122,7 +122,9 @@
 
     @Nested
     class UnderKills {
-        /** Guards against a request that runs twice, and a refusal that reports a request as not run although it ran. */
+        /**
+         * Guards against a request that runs twice, and a refusal that reports a request as not run although it ran.
+         */
         @Test
         void everyRequestRunsAtMostOnceAndRefusalsAreTrue() {
             try (ProcessCluster cluster = new ProcessCluster(folder)) {
@@ -152,8 +154,8 @@
         }
 
         /**
-         * Sends a request with an idempotency key, and retries it at the next node until its outcome is conclusive or no retry is
-         * left.
+         * Sends a request with an idempotency key, and retries it at the next node until its outcome is conclusive or
+         * no retry is left.
          */
         private CompletableFuture<Outcome> sendUntilConclusive(
                 ProcessCluster cluster, String node, String key, int retriesLeft) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/ProcessCluster.java
@@ -34,8 +34,8 @@
 import org.radishspur.testkit.TestkitMain;
 
 /**
- * Runs a cluster of three nodes and its stand-in upstreams as separate processes on the loopback address. Settings, data,
- * output and request logs are kept in one folder.
+ * Runs a cluster of three nodes and its stand-in upstreams as separate processes on the loopback address. Settings,
+ * data, output and request logs are kept in one folder.
  */
 final class ProcessCluster implements AutoCloseable {
     static final List<String> NODES = List.of("a", "b", "c");
--- a/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Guards against a request that runs to its end while its caller doesn't read the answer, after which a retry with the
-     * same idempotency key is told that the outcome is unknown.
+     * Guards against a request that runs to its end while its caller doesn't read the answer, after which a retry with
+     * the same idempotency key is told that the outcome is unknown.
      */
     @Test
     void aNonIdempotentRequestCompletesWhenItsCallerStopsReading() throws Exception {
--- a/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/TestPorts.java
@@ -5,11 +5,12 @@
 import java.net.ServerSocket;
 
 /**
- * Allocates each port of the loopback address at most once, from below the range that the system uses for ephemeral ports.
+ * Allocates each port of the loopback address at most once, from below the range that the system uses for ephemeral
+ * ports.
  *
- * <p>An ephemeral port that was obtained from the system and closed again may be given to another process before the intended
- * one listens on it. A test run reserves a block of ports by listening on the first port of the block, so that concurrent
- * test runs use different ports.
+ * <p>An ephemeral port that was obtained from the system and closed again may be given to another process before the
+ * intended one listens on it. A test run reserves a block of ports by listening on the first port of the block, so that
+ * concurrent test runs use different ports.
  */
 final class TestPorts {
     private static final int FIRST_PORT = 20_000;
