--- a/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
@@ -159,7 +159,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext source, Object event) {
         // Closes a connection that is idle between requests or in the middle of one, so that it doesn't hold resources
-        // for good. A caller that has sent its whole request and waits for the answer isn't idle.
+        // indefinitely. A caller that has sent its complete request and waits for the answer isn't idle.
         if (event instanceof IdleStateEvent && (exchange == null || !requestComplete)) {
             source.close();
         }
--- a/node/src/main/java/org/radishspur/node/caller/CallerHeaders.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHeaders.java
@@ -7,7 +7,7 @@
     /** The organisation that sends the request. */
     static final String ORGANISATION = "Radishspur-Organisation";
 
-    /** The tier that the request asks for. */
+    /** The requested tier. */
     static final String TIER = "Radishspur-Tier";
 
     /** The time from the request's arrival to its deadline, in milliseconds. */
--- a/node/src/main/java/org/radishspur/node/caller/CallerServer.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerServer.java
@@ -19,7 +19,7 @@
 import org.radishspur.node.supervise.Child;
 
 /**
- * Accepts callers' connections, up to a limit, and closes those above it at once.
+ * Accepts callers' connections, up to a limit, and closes those above it immediately.
  */
 public final class CallerServer implements Child {
     private static final int BACKLOG = 4_096;
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/Exchange.java
@@ -156,7 +156,7 @@
         long length = HttpUtil.getContentLength(request, -1L);
         fingerprint = BodyDigest.fingerprint(request.method().name(), request.uri(), length, initialBody);
         if (bodyComplete) {
-            // Keeps one read pending while the caller waits: without it a disconnect would go unnoticed.
+            // Keeps one read pending while the caller waits: without it a disconnect would not be detected.
             connection.requestNext();
         }
         if (validated.key().isPresent()) {
@@ -189,7 +189,8 @@
 
     private void onClaim(ControlResult result) {
         if (stage != Stage.CLAIMING) {
-            // The request has ended meanwhile. The claim may have been granted, but nothing was dispatched under it.
+            // The request has ended in the meantime. The claim may have been granted, but nothing was dispatched under
+            // it.
             claim.release();
             return;
         }
--- a/node/src/main/java/org/radishspur/node/caller/RequestHeadReader.java
+++ b/node/src/main/java/org/radishspur/node/caller/RequestHeadReader.java
@@ -59,7 +59,7 @@
 
     /**
      * Refuses a request whose body is too long for its route, or whose length is ambiguous: the two ends of a
-     * connection could disagree on where the request ends, and the rest would be taken for another caller's request.
+     * connection could disagree on where the request ends, and the rest would be parsed as another caller's request.
      */
     private static void checkFraming(HttpHeaders headers, RouteRow route) {
         boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
--- a/node/src/main/java/org/radishspur/node/control/LeaderService.java
+++ b/node/src/main/java/org/radishspur/node/control/LeaderService.java
@@ -60,27 +60,27 @@
             return;
         }
         Optional<ClusterView> view = viewOnceSettled();
-        boolean viewKnown = view.isEmpty()
+        boolean viewUpToDate = view.isEmpty()
                 || status.viewTerm() == view.get().term()
                         && status.viewNumber() == view.get().number();
         long current = state.get().tables().tables().revision();
-        boolean tablesKnown = status.revisionInForce() == current;
-        boolean auxiliaryKnown = tablesKnown && status.auxiliaryRevision() == auxiliaryRevision;
-        if (!tablesKnown) {
+        boolean tablesUpToDate = status.revisionInForce() == current;
+        boolean auxiliaryUpToDate = tablesUpToDate && status.auxiliaryRevision() == auxiliaryRevision;
+        if (!tablesUpToDate) {
             sentRevisions.put(status.node(), current);
         }
         sender.send(
                 status.node(),
                 new PeerMessage.HeartbeatReply(
                         true,
-                        viewKnown ? Optional.empty() : view,
-                        tablesKnown
+                        viewUpToDate ? Optional.empty() : view,
+                        tablesUpToDate
                                 ? Optional.empty()
                                 : Optional.of(state.get().tables().deltaSince(status.revisionInForce())),
                         auxiliaryRevision,
-                        auxiliaryKnown ? Map.of() : crashCounts(state.get()),
-                        auxiliaryKnown ? Map.of() : state.get().moves().latest(),
-                        auxiliaryKnown ? Set.of() : state.get().catalogue().evacuated()));
+                        auxiliaryUpToDate ? Map.of() : crashCounts(state.get()),
+                        auxiliaryUpToDate ? Map.of() : state.get().moves().latest(),
+                        auxiliaryUpToDate ? Set.of() : state.get().catalogue().evacuated()));
     }
 
     /** Sends changed tables to every live node immediately rather than with the reply to its next heartbeat. */
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -39,7 +39,7 @@
     private final Optional<LeaderService> leaderService;
     private final AtomicLong nextPermitId = new AtomicLong();
     private volatile Tables tables = Tables.EMPTY;
-    private volatile boolean tablesKnown;
+    private volatile boolean tablesReceived;
     private volatile boolean shuttingDown;
     private volatile long leaderSeenAtMillis;
     private ClusterView view = ClusterView.NONE;
@@ -49,7 +49,7 @@
     private long lastNonClaimChangeCount;
 
     /**
-     * Creates the core of a node; its timers and its control replica start at once.
+     * Creates the core of a node; its timers and its control replica start immediately.
      *
      * @param settings the settings of the node.
      * @param incarnation the run of the process.
@@ -199,7 +199,7 @@
      * @return whether it may.
      */
     public boolean isReady() {
-        return tablesKnown && !shuttingDown && (hasRecentLeaderReply() || isConnectedToMajority());
+        return tablesReceived && !shuttingDown && (hasRecentLeaderReply() || isConnectedToMajority());
     }
 
     /**
@@ -223,7 +223,7 @@
     }
 
     /**
-     * Reports the state of the pools' queues, as this node knows it, for operators.
+     * Reports the state of the pools' queues, as seen by this node, for operators.
      *
      * @param listener receives the report, on the control thread.
      */
@@ -273,7 +273,7 @@
                 settings.failureDomain(),
                 settings.isEntry(),
                 shuttingDown,
-                tablesKnown ? tables.revision() : TablesDelta.ANY_REVISION,
+                tablesReceived ? tables.revision() : TablesDelta.ANY_REVISION,
                 view.term(),
                 view.number(),
                 auxiliaryRevision,
@@ -327,8 +327,8 @@
         leaderSeenAtMillis = loop.nowMillis();
         controlClient.onLeader(node);
         reply.delta().ifPresent(delta -> onDelta(delta, reply.moves()));
-        if (!tablesKnown && reply.delta().isPresent()) {
-            tablesKnown = true;
+        if (!tablesReceived && reply.delta().isPresent()) {
+            tablesReceived = true;
             onTables();
             heartbeat();
         }
@@ -356,7 +356,7 @@
         if (changed.revision() > tables.revision()) {
             tables = changed;
             ownerService.onMovesWithTables(moves);
-            if (tablesKnown) {
+            if (tablesReceived) {
                 onTables();
                 heartbeat();
             }
@@ -380,7 +380,7 @@
      */
     public interface LinksFactory {
         /**
-         * Creates the connections; they may call the listener at once.
+         * Creates the connections; they may call the listener immediately.
          *
          * @param listener is notified when a connection is established or lost.
          * @return the connections.
--- a/node/src/main/java/org/radishspur/node/control/PermitService.java
+++ b/node/src/main/java/org/radishspur/node/control/PermitService.java
@@ -119,7 +119,8 @@
     void onGranted(PeerMessage.PermitGranted granted) {
         PendingRequest pending = pendingRequests.remove(granted.id());
         if (pending == null) {
-            // The request was withdrawn meanwhile, or another owner has granted a second permit: the slot is released.
+            // The request was withdrawn in the meantime, or another owner has granted a second permit: the slot is
+            // released.
             if (!permitsInUse.containsKey(granted.id())) {
                 sendToOwner(
                         granted.pool(),
--- a/node/src/main/java/org/radishspur/node/control/PoolReport.java
+++ b/node/src/main/java/org/radishspur/node/control/PoolReport.java
@@ -34,7 +34,7 @@
      * @param usable whether it is sent new requests.
      * @param inFlight the number of requests that this scheduler has in flight at it.
      * @param limit the maximum number of requests in flight.
-     * @param outputMicros the estimated time for each output token, in microseconds, learned from earlier answers.
+     * @param outputMicros the estimated time for each output token, in microseconds, computed from earlier answers.
      */
     public record UpstreamReport(String name, boolean usable, int inFlight, int limit, long outputMicros) {
         private static UpstreamReport of(UpstreamState state, long now) {
--- a/node/src/main/java/org/radishspur/node/control/RendezvousHash.java
+++ b/node/src/main/java/org/radishspur/node/control/RendezvousHash.java
@@ -6,8 +6,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Chooses an owner by rendezvous hashing (Thaler and Ravishankar, 1998): when a node leaves, only what it owned is
- * reassigned.
+ * Chooses an owner by rendezvous hashing (Thaler and Ravishankar, 1998): when a node leaves, only the items that it
+ * owned are reassigned.
  */
 enum RendezvousHash {
     /** The only instance; the choice keeps no state. */
--- a/node/src/main/java/org/radishspur/node/control/ReplicaRunner.java
+++ b/node/src/main/java/org/radishspur/node/control/ReplicaRunner.java
@@ -159,7 +159,7 @@
     }
 
     /**
-     * Returns whether this replica is the leader, as far as it knows.
+     * Returns whether this replica is the leader according to its own state.
      *
      * @return whether it is.
      */
@@ -168,14 +168,14 @@
     }
 
     /**
-     * Asks a follower to take over the leadership, as before a planned stop.
+     * Starts to transfer the leadership to a follower, as before a planned stop.
      *
-     * @return whether a follower was asked.
+     * @return whether the transfer was started.
      */
     public boolean transferLeadership() {
-        boolean asked = replica.core().transferLeadership();
+        boolean transferStarted = replica.core().transferLeadership();
         requestFlush();
-        return asked;
+        return transferStarted;
     }
 
     /**
--- a/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/CallerDialect.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Decodes callers' requests and upstreams' responses, and encodes what the system adds to a request.
+ * Decodes callers' requests and upstreams' responses, and encodes the parameters that the system adds to a request.
  */
 public interface CallerDialect {
     /**
@@ -22,7 +22,7 @@
      * Rewrites the headers of a request before it is sent to an upstream. Hop-by-hop headers have already been removed.
      *
      * @param headers the caller's headers, which are changed in place.
-     * @param parameters what the system adds for the upstream.
+     * @param parameters the parameters that the system adds for the upstream.
      */
     void rewriteHeaders(HttpHeaders headers, ForwardParameters parameters);
 
@@ -66,7 +66,7 @@
             long prefixTokens) {}
 
     /**
-     * Holds what the system adds to a request for an upstream.
+     * Holds the parameters that the system adds to a request for an upstream.
      *
      * @param upstreamId the identifier of the instance that the request is meant for; any other instance must not run
      *     it.
--- a/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
+++ b/node/src/main/java/org/radishspur/node/dialect/OperatorDialect.java
@@ -46,7 +46,7 @@
     String encode(List<TableFault> faults);
 
     /**
-     * Describes what an operator's call asks for.
+     * Describes the operation that an operator's call requests.
      */
     sealed interface Call {
         /**
@@ -90,13 +90,13 @@
         record Readmit(String failureDomain) implements Call {}
 
         /**
-         * Stands for a call whose content can't be decoded.
+         * Represents a call whose content can't be decoded.
          *
          * @param faults the faults that were found.
          */
         record Malformed(List<TableFault> faults) implements Call {}
 
-        /** Stands for a call that doesn't exist. */
+        /** Represents a call that doesn't exist. */
         record Unknown() implements Call {}
     }
 }
--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
@@ -161,7 +161,7 @@
 
     /**
      * Waits for the view to be confirmed before the request is routed. After a restart or the loss of the control
-     * leader that takes about a second; a caller that is refused at once would spend its only retry before it.
+     * leader that takes about a second; a caller that is refused immediately would spend its only retry before it.
      */
     private void awaitConfirmation(long statedMillis) {
         long waitMillis = Math.min(MAX_WAIT_MILLIS, (long) (statedMillis * CONFIRMATION_WAIT_SHARE));
@@ -310,7 +310,7 @@
         slot = null;
         if (!services.isConfirmed() || !isStillAllowed()) {
             // The view may have changed or expired since the check on arrival, for instance during a pause of the
-            // whole process.
+            // entire process.
             granted.end(SlotOutcome.UNUSED);
             refuse(EndReason.UNCONFIRMED, maxRetryAfter(), false);
             return;
@@ -349,13 +349,13 @@
                 .filter(found ->
                         found.shares().stream().anyMatch(share -> share.pool().equals(poolName)))
                 .isPresent();
-        boolean known = organisation.isEmpty()
+        boolean keyValid = organisation.isEmpty()
                 || head.apiKey()
                         .flatMap(catalogue::organisationByKey)
                         .filter(holder ->
                                 holder.name().equals(organisation.get().name()))
                         .isPresent();
-        return routed && known;
+        return routed && keyValid;
     }
 
     /** Abandons the attempt and retries if its upstream has stopped sending and the request may run again. */
--- a/node/src/main/java/org/radishspur/node/entry/FrontServer.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontServer.java
@@ -44,7 +44,8 @@
     @Override
     public void start(FailureListener listener) {
         channel = ServerSocketBinder.INSTANCE.bind(address, loop, accepted -> {
-            // Reads until the socket is empty, so that a close by the caller is seen together with its last request.
+            // Reads until the socket is empty, so that a close by the caller is received together with its last
+            // request.
             accepted.config()
                     .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator()
                             .respectMaybeMoreData(false)
--- a/node/src/main/java/org/radishspur/node/entry/SlotClient.java
+++ b/node/src/main/java/org/radishspur/node/entry/SlotClient.java
@@ -48,7 +48,7 @@
     /** The name of this entry at the local scheduler. */
     private static final String LOCAL_ENTRY = "";
 
-    /** The empty address, which stands for the local scheduler. */
+    /** The empty address, which denotes the local scheduler. */
     private static final String LOCAL_ADDRESS = "";
 
     private final FleetSender links;
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -23,7 +23,7 @@
 
 /**
  * Sends a request to the upstream of one slot and passes its response to the caller. The slot is released at the end of
- * the attempt, with what the attempt shows about the upstream.
+ * the attempt, with a final report on the upstream.
  */
 final class UpstreamAttempt implements UpstreamListener {
     /**
@@ -77,7 +77,7 @@
         }
         if (!caller.mayStillBeSent(upstream)) {
             // A key may have been revoked or the failure domain evacuated while the connection was made, for instance
-            // during a pause of the whole process.
+            // during a pause of the entire process.
             exchange.abort();
             end(SlotOutcome.UNUSED);
             caller.onOutdated();
@@ -282,7 +282,7 @@
         }
     }
 
-    /** Reads more of the response, once the caller has received what was written. */
+    /** Reads more of the response, once the caller has received the written part. */
     void read() {
         if (phase == Phase.RUNNING) {
             exchange.read();
--- a/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetLinks.java
@@ -41,8 +41,8 @@
     private static final long HEALTH_CHECK_INTERVAL_MILLIS = 300;
 
     /**
-     * The maximum number of messages that are flushed together, in the order in which one turn of the event loop sent
-     * them.
+     * The maximum number of messages that are flushed together, in the order in which one iteration of the event loop
+     * sent them.
      */
     static final int MAX_UNFLUSHED_MESSAGES = 64;
 
--- a/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetMessage.java
@@ -39,7 +39,7 @@
      * Announces a replica to the other control hosts, repeatedly; one that isn't a member yet may become one.
      *
      * @param replica the identity of the replica.
-     * @param memberAddresses the addresses of the members that the sender knows.
+     * @param memberAddresses the addresses of the members known to the sender.
      * @param failureDomain the failure domain of the sender.
      */
     record ReplicaAnnouncement(String replica, List<String> memberAddresses, String failureDomain)
@@ -50,8 +50,8 @@
      *
      * @param nonce a number that the response carries as well.
      * @param entry the address of the entry, or empty if a scheduler sends the request.
-     * @param incarnation the time at which the sender started, in milliseconds since the epoch, which tells its runs
-     *     apart.
+     * @param incarnation the time at which the sender started, in milliseconds since the epoch, which distinguishes its
+     *     runs.
      * @param revision the revision of the sender's catalogue, 0 if it has none.
      * @param listTerm the term of the sender's host list.
      * @param listReading the reading of the sender's host list within that term.
--- a/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetSender.java
@@ -32,8 +32,8 @@
     void setWatchedAddress(String address);
 
     /**
-     * Returns the number of connections that were made to an address so far. A caller that sends only changes can tell
-     * by a new number that it has to send everything again.
+     * Returns the number of connections that were made to an address so far. A new number shows to a caller that sends
+     * only changes that it has to send everything again.
      *
      * @param address the address.
      * @return the number, or 0 if there is no connection at present.
--- a/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
+++ b/node/src/main/java/org/radishspur/node/fleet/FleetServer.java
@@ -25,8 +25,8 @@
     static final int MAX_FRAME_BYTES = 32 << 20;
 
     /**
-     * The time in seconds after which a silent connection is closed; the other end sends a ping at least every two
-     * seconds.
+     * The time in seconds without a message after which a connection is closed; the other end sends a ping at least
+     * every two seconds.
      */
     private static final int READ_TIMEOUT_SECONDS = 5;
 
--- a/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
+++ b/node/src/main/java/org/radishspur/node/fleet/LinkHealth.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Returns the action that is due now. The caller must send each ping that this method asks for.
+     * Returns the action that is due now. The caller must send each ping that this method requests.
      *
      * @param watched whether the link counts as in use even while nothing is sent over it.
      * @param now the monotonic clock in milliseconds.
--- a/node/src/main/java/org/radishspur/node/fleet/Moment.java
+++ b/node/src/main/java/org/radishspur/node/fleet/Moment.java
@@ -5,9 +5,9 @@
 /**
  * Holds one point in time as read from two clocks.
  *
- * <p>Guards against stale data that looks fresh. While a host is suspended, its monotonic clock may stand still, but
- * the time of day advances; the time of day may be set back, but the monotonic clock advances. The age of a moment is
- * the larger of the two differences, so that it is too small only if both clocks fail at once.
+ * <p>Guards against stale data that looks fresh. While a host is suspended, its monotonic clock may stop, but the time
+ * of day advances; the time of day may be set back, but the monotonic clock advances. The age of a moment is the larger
+ * of the two differences, so that it is too small only if both clocks fail at the same time.
  *
  * @param monotonicMillis the monotonic clock in milliseconds.
  * @param wallMillis the time of day in milliseconds since the epoch.
--- a/node/src/main/java/org/radishspur/node/group/HostListReader.java
+++ b/node/src/main/java/org/radishspur/node/group/HostListReader.java
@@ -37,7 +37,7 @@
 final class HostListReader {
     /**
      * The interval between readings, in milliseconds. Together with the polls of the entries it puts a change into
-     * effect within a second, a third of what is allowed, at about four calls in three seconds.
+     * effect within a second, a third of the allowed time, at about four calls in three seconds.
      */
     private static final long READ_INTERVAL_MILLIS = 750;
 
@@ -95,7 +95,7 @@
 
     /**
      * Reads the list right after the start, before any leader is known. Shortens the outage after a restart of all
-     * control hosts: the first reading takes a newly started process a fifth of a second, during which entries know no
+     * control hosts: the first reading takes a newly started process a fifth of a second, during which entries have no
      * upstreams. This way it overlaps with the election.
      */
     void prefetch() {
--- a/node/src/main/java/org/radishspur/node/group/MembershipManager.java
+++ b/node/src/main/java/org/radishspur/node/group/MembershipManager.java
@@ -20,8 +20,8 @@
  * Discovers the other control hosts, and at the leader replaces lost replicas by blank ones.
  *
  * <p>A replica that has lost its disk starts again under a new identity at its old address. Its old identity can never
- * be used again and is replaced at once. A host that merely doesn't respond is replaced only when a blank replica is
- * available, and not before the blank replica holds everything that is committed.
+ * be used again and is replaced immediately. A host that merely doesn't respond is replaced only when a blank replica
+ * is available, and not before the blank replica holds everything that is committed.
  */
 final class MembershipManager {
     /** The interval at which replicas announce themselves to each other, in milliseconds. */
--- a/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
+++ b/node/src/main/java/org/radishspur/node/peer/PeerCodec.java
@@ -49,7 +49,7 @@
      * @param message the message.
      * @param type the sealed type of the messages.
      * @param <M> the type of the messages.
-     * @return the whole frame, which the caller must release.
+     * @return the complete frame, which the caller must release.
      */
     public static <M> ByteBuf encode(M message, Class<M> type) {
         byte[] bytes = MessagePack.INSTANCE.encode(message, type);
@@ -63,7 +63,7 @@
      * @param message the message.
      * @param type the sealed type of the messages.
      * @param <M> the type of the messages.
-     * @return the whole frame, which the caller must release.
+     * @return the complete frame, which the caller must release.
      */
     public static <M> ByteBuf encodeLarge(M message, Class<M> type) {
         byte[] bytes = MessagePack.INSTANCE.encode(message, type);
--- a/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
+++ b/node/src/main/java/org/radishspur/node/schedule/LoadReportExchange.java
@@ -52,8 +52,8 @@
     private static final int PENDING_TOKEN_STEPS = 4;
 
     /**
-     * The unit in which pending prompt tokens, which the upstream has not read yet, are published. An upstream reads
-     * fewer tokens in a few milliseconds.
+     * The unit in which pending prompt tokens, which the upstream has not processed yet, are published. An upstream
+     * processes fewer tokens in a few milliseconds.
      */
     private static final int TOKENS_PER_STEP = 256;
 
@@ -103,7 +103,7 @@
         outcomes.computeIfAbsent(upstream, key -> new long[2])[succeeded ? 0 : 1]++;
     }
 
-    /** Publishes what has changed since the last round, or everything in a full report, if the next round is due. */
+    /** Publishes the changes since the last round, or everything in a full report, if the next round is due. */
     void publishIfDue(long now) {
         removeLostPeers(now);
         if (!publishRounds.beginRound(now)) {
--- a/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PoolSet.java
@@ -30,7 +30,7 @@
 public final class PoolSet implements SlotScheduler.Pools {
     /**
      * The part of {@link #maxTrialShare} that a version under trial gets. The rest covers retries and the time in which
-     * some schedulers have not yet seen the end of a trial.
+     * some schedulers have not yet received the end of a trial.
      */
     private static final double TRIAL_SHARE_FACTOR = 0.7;
 
--- a/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
+++ b/node/src/main/java/org/radishspur/node/schedule/PublishRounds.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * Decides when the next report to the peers is due and whether it is a full one, and keeps what was last published.
+ * Decides when the next report to the peers is due and whether it is a full one, and keeps the values that were last
+ * published.
  */
 final class PublishRounds {
     /** The interval between full reports, which carry unchanged values as well, in milliseconds. */
@@ -84,7 +85,7 @@
         return publishedUpstreams;
     }
 
-    /** Returns the usage of those organisations for which it differs from what was last published. */
+    /** Returns the usage of those organisations for which it differs from the last published value. */
     Map<String, Long> changedUsage(Map<String, Long> usage) {
         Map<String, Long> changed = new HashMap<>();
         usage.forEach((name, total) -> {
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Sets the control hosts to ask while no leader is known.
+     * Sets the control hosts to query while no leader is known.
      *
      * @param hosts some control hosts, some of which may be stale.
      */
--- a/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
+++ b/node/src/main/java/org/radishspur/node/schedule/ViewPoller.java
@@ -33,7 +33,7 @@
     /** The interval between requests while no leader is known or its response is overdue, in milliseconds. */
     private static final long SEARCH_INTERVAL_MILLIS = 80;
 
-    /** The time without a confirmation after which the other control hosts are asked as well, in milliseconds. */
+    /** The time without a confirmation after which the other control hosts are queried as well, in milliseconds. */
     private static final long LEADER_TIMEOUT_MILLIS = 500;
 
     /** The time after which the response to a request is ignored, in milliseconds. */
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Sets the control hosts to ask while no leader is known.
+     * Sets the control hosts to query while no leader is known.
      *
      * @param addresses their addresses, some of which may be stale.
      */
--- a/node/src/main/java/org/radishspur/node/settings/PlatformProcessSettings.java
+++ b/node/src/main/java/org/radishspur/node/settings/PlatformProcessSettings.java
@@ -76,7 +76,8 @@
      * @param retrySlack the number of retries allowed beyond that share, at all entries together.
      * @param maxTrialShare the maximum share of requests that a version under trial may get, from 0 to 1.
      * @param quotaTolerance the tolerance by which quotas may be exceeded.
-     * @param toleratedHostLosses the number of control hosts that may be lost at once, together with their disks.
+     * @param toleratedHostLosses the number of control hosts that may be lost at the same time, together with their
+     *     disks.
      */
     public record Bounds(
             long revocationLimitMillis,
--- a/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
+++ b/node/src/main/java/org/radishspur/node/upstream/UpstreamListener.java
@@ -27,7 +27,7 @@
      */
     void onContent(ByteBuf content);
 
-    /** Invoked when a read is complete: what it has received was passed on, and more is read only on request. */
+    /** Invoked when a read is complete: all received data was passed on, and more is read only on request. */
     void onReadComplete();
 
     /** Invoked when the response is complete. */
--- a/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/SlotClientTest.java
@@ -214,7 +214,7 @@
         }
 
         @Test
-        void sendsTheRequestAtOnceWhenTheConnectionIsLost() {
+        void sendsTheRequestImmediatelyWhenTheConnectionIsLost() {
             requestSlot(0);
             links.connected.remove(NEAR);
             client.onLinkLost(NEAR, 5);
--- a/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
+++ b/node/src/test/java/org/radishspur/node/fleet/MomentTest.java
@@ -7,7 +7,7 @@
 class MomentTest {
     private static final Moment EARLIER = new Moment(1_000, 500_000);
 
-    /** Guards against old data that looks fresh after a host was suspended and its monotonic clock stood still. */
+    /** Guards against old data that looks fresh after a host was suspended and its monotonic clock stopped. */
     @Test
     void countsTimeInWhichTheHostWasSuspended() {
         assertThat(new Moment(1_010, 505_010).millisSince(EARLIER)).isEqualTo(5_010);
--- a/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
+++ b/node/src/test/java/org/radishspur/node/schedule/LeaderSearchOrderTest.java
@@ -26,7 +26,7 @@
          * round.
          */
         @Test
-        void eachRoundAsksAFewControlHosts() {
+        void eachRoundQueriesAFewControlHosts() {
             for (int round = 0; round < 20; round++) {
                 assertThat(order.next(hosts(16))).hasSize(LeaderSearchOrder.HOSTS_PER_ROUND);
             }
@@ -34,31 +34,31 @@
 
         /** Guards against an entry that never sends a request to the leader. */
         @Test
-        void everyControlHostIsAskedInTurn() {
-            Set<String> asked = new HashSet<>();
+        void everyControlHostIsQueriedInTurn() {
+            Set<String> queried = new HashSet<>();
             for (int round = 0; round < 3; round++) {
-                asked.addAll(order.next(hosts(6)));
+                queried.addAll(order.next(hosts(6)));
             }
-            assertThat(asked).containsExactlyInAnyOrderElementsOf(hosts(6));
+            assertThat(queried).containsExactlyInAnyOrderElementsOf(hosts(6));
         }
     }
 
     @Nested
     class FewControlHosts {
         @Test
-        void theOnlyOneIsAskedOnceInEachRound() {
+        void theOnlyOneIsQueriedOnceInEachRound() {
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
         }
 
         @Test
-        void noneIsAskedWithoutControlHosts() {
+        void noneIsQueriedWithoutControlHosts() {
             assertThat(order.next(List.of())).isEmpty();
         }
 
-        /** Guards against an entry that sends no more requests once the host that it asked last has left. */
+        /** Guards against an entry that sends no more requests once the host that it queried last has left. */
         @Test
-        void continuesAfterTheLastAskedHostHasLeft() {
+        void continuesAfterTheLastQueriedHostHasLeft() {
             order.next(hosts(6));
             assertThat(order.next(hosts(1))).isEqualTo(hosts(1));
         }
