--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Dispatcher.java
@@ -144,7 +144,7 @@
      */
     final class Scheduled implements Dispatcher {
         private static final int QUEUE_LIMIT = 2_000;
-        /** Keeps the permit ids of a request's attempts apart; more than the requests of a workload. */
+        /** Distinguishes the permit ids of a request's attempts; larger than the number of requests of a workload. */
         private static final long SEQUENCES_PER_ATTEMPT = 1_000_000;
 
         private final EnginePool pool;
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/EngineModel.java
@@ -5,7 +5,7 @@
 /**
  * Holds the parameters of the simulated engines; times are in microseconds for an engine of speed 1.
  *
- * @param batchSize how many requests an engine runs at once.
+ * @param batchSize how many requests an engine runs concurrently.
  * @param stepMicros the fixed time of a step.
  * @param decodeMicrosPerSequence the time that each decoded request adds to a step.
  * @param prefillMicrosPerToken the time that each computed prompt token adds to a step.
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/PoolExperiment.java
@@ -72,7 +72,7 @@
         return total;
     }
 
-    /** Returns the engine time within the horizon, less what the faults take, in microseconds at speed 1. */
+    /** Returns the engine time within the horizon, less the time lost to the faults, in microseconds at speed 1. */
     static double capacityMicros(boolean faults) {
         double lost = (SLOW_UNTIL_MICROS - SLOW_FROM_MICROS) * ENGINE_SPEEDS[SLOW_ENGINE] * (1 - 1 / SLOWDOWN_FACTOR)
                 + DOWNTIME_MICROS * ENGINE_SPEEDS[CRASHING_ENGINE];
--- a/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
+++ b/testkit/src/main/java/org/radishspur/testkit/experiment/Workload.java
@@ -32,7 +32,9 @@
         this.model = model;
     }
 
-    /** Draws arrivals whose minimum engine time is a multiple of what engines of the given total speed provide. */
+    /**
+     * Draws arrivals whose minimum engine time is a multiple of the time that engines of the given total speed provide.
+     */
     List<Arrival> drawArrivals(double load, double totalSpeed, long horizonMicros) {
         double meanMicros = 0;
         Random sampleRandom = new Random(1);
--- a/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
+++ b/testkit/src/main/java/org/radishspur/testkit/load/LoadClient.java
@@ -90,7 +90,7 @@
      * @param path the path to call.
      * @param connections the number of connections.
      * @param requests the number of requests over all connections.
-     * @param tokens the number of tokens to ask for in each answer.
+     * @param tokens the number of tokens to request for each answer.
      * @param idempotencyKeys whether each request has an idempotency key of its own.
      */
     public record Plan(String path, int connections, int requests, int tokens, boolean idempotencyKeys) {}
--- a/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
+++ b/testkit/src/main/java/org/radishspur/testkit/measure/MeasureState.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures what claims and edits cost in the state machine: time, heap and snapshot size.
+ * Measures the cost of claims and edits in the state machine: time, heap and snapshot size.
  */
 @Command(name = "state", mixinStandardHelpOptions = true)
 final class MeasureState implements Callable<Integer> {
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveCommand.java
@@ -14,7 +14,7 @@
  * canary of fixed steps.
  *
  * <p>In the table, {@code inTime} counts good versions whose move completed in time, {@code takenBack} bad versions
- * that were taken back, and {@code wrongly} good versions that were taken back. {@code ofWindow} is the mean of the
+ * that were rolled back, and {@code wrongly} good versions that were rolled back. {@code ofWindow} is the mean of the
  * requests to the new version as a share of those expected in the window. {@code after2s} counts the requests to bad
  * versions later than two seconds after their first fault.
  */
@@ -62,7 +62,7 @@
         long inTime = outcomes.stream()
                 .filter(outcome -> !outcome.badVersion() && outcome.completedInTime() && !outcome.rolledBack())
                 .count();
-        long takenBack = outcomes.stream()
+        long rolledBackBad = outcomes.stream()
                 .filter(outcome -> outcome.badVersion() && outcome.rolledBack())
                 .count();
         long wrongly = outcomes.stream()
@@ -80,7 +80,7 @@
                 .filter(outcome -> outcome.badVersion() && outcome.rolledBack())
                 .mapToLong(MoveOutcome::rollbackMillis)
                 .sorted()
-                .skip(takenBack / 2)
+                .skip(rolledBackBad / 2)
                 .findFirst()
                 .orElse(0);
         System.out.printf(
@@ -91,7 +91,7 @@
                 policy,
                 inTime,
                 good,
-                takenBack,
+                rolledBackBad,
                 bad,
                 wrongly,
                 shareToNew,
--- a/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
+++ b/testkit/src/main/java/org/radishspur/testkit/move/MoveTrial.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Runs the move by the product's policy. Once the watch has a reason to take the new version back, that version
+     * Runs the move by the product's policy. Once the watch has a reason to roll back the new version, that version
      * receives no further requests; a change of state is dated by its commit.
      */
     MoveOutcome run() {
@@ -67,9 +67,9 @@
             }
             completedInTime |= move.state() == MoveState.COMPLETED && now <= WINDOW_MILLIS + TICK_MILLIS;
         }
-        boolean takenBack = move.state() == MoveState.TAKEN_BACK;
+        boolean rolledBack = move.state() == MoveState.TAKEN_BACK;
         return new MoveOutcome(
-                kind.isBadOn(secondRoute), completedInTime, takenBack, requests, toNew, afterFirstFault, now);
+                kind.isBadOn(secondRoute), completedInTime, rolledBack, requests, toNew, afterFirstFault, now);
     }
 
     private void handleRequest(Move move, VersionComparison watch, SplitCounter counter, long now) {
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/ReplicaSchedule.java
@@ -289,7 +289,7 @@
     }
 
     /**
-     * Replaces lost replicas, as an operator does: asks the leader to let the blank replica take the lost one's place.
+     * Replaces lost replicas, as an operator does: requests that the leader replaces the lost replica by the blank one.
      */
     private void replaceBlankReplicasRepeatedly() {
         schedule(this::replaceBlankReplicasRepeatedly, FAULT_INTERVAL_MILLIS);
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SafetyObserver.java
@@ -73,8 +73,8 @@
         long from = Math.max(core.firstIndex(), checkedCommitIndexes.getOrDefault(self, 0L) + 1);
         for (long index = from; index <= core.commitIndex(); index++) {
             LogEntry entry = core.entry(index);
-            LogEntry known = committedEntries.putIfAbsent(index, entry);
-            if (known != null && !sameEntry(known, entry)) {
+            LogEntry earlier = committedEntries.putIfAbsent(index, entry);
+            if (earlier != null && !sameEntry(earlier, entry)) {
                 throw new Violation(
                         Violation.Invariant.STATE_MACHINE_SAFETY, core.self() + " differs at index " + index);
             }
@@ -84,11 +84,11 @@
     }
 
     private void checkLeader(RaftCore core) {
-        String known = leaderByTerm.putIfAbsent(core.term(), core.self());
-        if (known != null && !known.equals(core.self())) {
+        String earlier = leaderByTerm.putIfAbsent(core.term(), core.self());
+        if (earlier != null && !earlier.equals(core.self())) {
             throw new Violation(
                     Violation.Invariant.ELECTION_SAFETY,
-                    known + " and " + core.self() + " lead in term " + core.term());
+                    earlier + " and " + core.self() + " lead in term " + core.term());
         }
         if (checkedLeaders.add(core.self() + '/' + core.term())) {
             // A new leader commits entries of its own term only later, so all entries committed so far are older.
@@ -121,9 +121,9 @@
     }
 
     void recordEditAnswer(String changeId, EditAnswer answer) {
-        EditAnswer known = answers.putIfAbsent(changeId, answer);
-        if (known != null && !known.equals(answer)) {
-            throw new Violation(Violation.Invariant.ANSWER_CHANGED, changeId + ": " + known + " then " + answer);
+        EditAnswer earlier = answers.putIfAbsent(changeId, answer);
+        if (earlier != null && !earlier.equals(answer)) {
+            throw new Violation(Violation.Invariant.ANSWER_CHANGED, changeId + ": " + earlier + " then " + answer);
         }
         if (answer instanceof EditAnswer.Accepted accepted) {
             acknowledgedRevision = Math.max(acknowledgedRevision, accepted.revision());
@@ -131,9 +131,9 @@
     }
 
     void recordGrant(String key, ClaimHolder holder) {
-        ClaimHolder known = grantedHolders.putIfAbsent(key, holder);
-        if (known != null && !known.equals(holder)) {
-            throw new Violation(Violation.Invariant.CLAIM_GRANTED_TWICE, key + ": " + known + " and " + holder);
+        ClaimHolder earlier = grantedHolders.putIfAbsent(key, holder);
+        if (earlier != null && !earlier.equals(holder)) {
+            throw new Violation(Violation.Invariant.CLAIM_GRANTED_TWICE, key + ": " + earlier + " and " + holder);
         }
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
+++ b/testkit/src/main/java/org/radishspur/testkit/schedule/SimulatedReplica.java
@@ -123,7 +123,7 @@
         disk = new MemoryDisk(Configuration.ofVoters(java.util.Set.of()));
     }
 
-    /** Returns the Raft options for a read lease of so many milliseconds, or for none if 0. */
+    /** Returns the Raft options for a read lease of the given number of milliseconds, or for none if 0. */
     static RaftOptions optionsWithLease(long leaseMillis) {
         return new RaftOptions(50, 300, leaseMillis, 16, SNAPSHOT_PART_BYTES, TRAILING_ENTRIES);
     }
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/StandInUpstream.java
@@ -39,7 +39,7 @@
 import org.radishspur.node.upstream.UpstreamHeaders;
 
 /**
- * Stands in for a model engine or a plain service, and logs each request that it runs. The answer depends only on the
+ * Simulates a model engine or a plain service, and logs each request that it runs. The answer depends only on the
  * request, so that a test can check that a caller received the complete answer to its own request.
  */
 public final class StandInUpstream implements AutoCloseable {
@@ -176,7 +176,7 @@
     public enum Kind {
         /** A model engine, which streams tokens. */
         ENGINE,
-        /** A plain service, which sends its complete answer at once. */
+        /** A plain service, which sends its complete answer in one part. */
         SERVICE
     }
 
--- a/testkit/src/main/java/org/radishspur/testkit/upstream/package-info.java
+++ b/testkit/src/main/java/org/radishspur/testkit/upstream/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Stands in for model engines and plain services.
+ * Simulates model engines and plain services.
  */
 package org.radishspur.testkit.upstream;
--- a/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/move/MoveTrialTest.java
@@ -19,7 +19,7 @@
             value = VersionKind.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = {"GOOD", "GOOD_AFTER_A_START", "GOOD_WITH_STALLS", "WRONG_1_IN_100"})
-    void aMoveToABadVersionIsTakenBack(VersionKind kind) {
+    void aMoveToABadVersionIsRolledBack(VersionKind kind) {
         for (int seed = 0; seed < SEEDS; seed++) {
             assertThat(new MoveTrial(kind, REQUESTS_PER_MINUTE, true, seed)
                             .run()
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Guards against taking a good version back because of one stall of its host, which slows many answers of a busy
+     * Guards against rolling back a good version because of one stall of its host, which slows many answers of a busy
      * route.
      */
     @Test
--- a/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/CrashSuspectProcessTest.java
@@ -52,7 +52,7 @@
             ProcessCluster.await(() -> send(cluster, ProcessCluster.NODES.get(attempts[0]++ % 3), "poison", true)
                     .body()
                     .contains("crash-suspect"));
-            // A crashing engine closes its connections before its parent process notices its end, so the answer can
+            // A crashing engine closes its connections before its parent process detects its end, so the answer can
             // arrive while the second engine still counts as alive. No request is sent while the test waits.
             ProcessCluster.await(() -> countLiveEngines(cluster) == ENGINES.size() - 2);
             for (String node : ProcessCluster.NODES) {
--- a/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/MoveUnderKillsTest.java
@@ -25,7 +25,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Moves one route to a working version and another one to a failing version, and kills the control leader meanwhile.
+ * Moves one route to a working version and another one to a failing version, and kills the control leader during the
+ * moves.
  */
 class MoveUnderKillsTest {
     private static final long MOVE_WINDOW_MILLIS = 64_000;
@@ -77,9 +78,12 @@
         cluster.client().sendAsync(request, HttpResponse.BodyHandlers.discarding());
     }
 
-    /** Guards against a failing version that stays on its route, and a working one that never gets all of it. */
+    /**
+     * Guards against a failing version that stays on its route, and a working one that never gets all requests of its
+     * route.
+     */
     @Test
-    void aMoveToAGoodVersionCompletesAndAMoveToABadVersionIsTakenBack() {
+    void aMoveToAGoodVersionCompletesAndAMoveToABadVersionIsRolledBack() {
         try (ProcessCluster cluster = new ProcessCluster(folder);
                 LoadExecutor load = new LoadExecutor()) {
             TableEdit install = new TableEdit(
--- a/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
+++ b/testkit/src/test/java/org/radishspur/testkit/process/StalledCallerTest.java
@@ -37,7 +37,7 @@
 
     /**
      * Guards against a request that runs to its end while its caller doesn't read the answer, after which a retry with
-     * the same idempotency key is told that the outcome is unknown.
+     * the same idempotency key is refused because the outcome is unknown.
      */
     @Test
     void aNonIdempotentRequestCompletesWhenItsCallerStopsReading() throws Exception {
