--- a/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
+++ b/node/src/main/java/org/radishspur/node/caller/CallerHandler.java
@@ -30,7 +30,7 @@
     private final CallerServices services;
     private final Deque<HttpObject> pendingObjects = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private Exchange exchange;
+    private NodeExchange exchange;
     private boolean keepAlive = true;
     private boolean requestComplete = true;
     private boolean objectRequested;
@@ -93,7 +93,7 @@
     private void begin(HttpRequest request) {
         keepAlive = HttpUtil.isKeepAlive(request);
         requestComplete = false;
-        exchange = new Exchange(services, this, context, request);
+        exchange = new NodeExchange(services, this, context, request);
         exchange.begin();
         if (exchange != null) {
             requestNext();
@@ -171,7 +171,7 @@
         pendingObjects.forEach(ReferenceCountUtil::release);
         pendingObjects.clear();
         if (exchange != null) {
-            Exchange abandoned = exchange;
+            NodeExchange abandoned = exchange;
             exchange = null;
             abandoned.onCallerGone();
         }
--- a/node/src/main/java/org/radishspur/node/caller/Exchange.java
+++ b/node/src/main/java/org/radishspur/node/caller/NodeExchange.java
@@ -44,7 +44,7 @@
  * Handles one request from its head to its one final answer: validates it, claims its key, obtains a permit, sends it
  * to an upstream and retries it elsewhere where that is safe. Runs only on the event loop of the caller's connection.
  */
-final class Exchange {
+final class NodeExchange {
     private static final int MAX_ATTEMPTS = 3;
     private static final long RETRY_AFTER_MILLIS = 1_000;
     private static final int DEFAULT_OUTPUT_TOKENS = 256;
@@ -77,7 +77,8 @@
     private ScheduledFuture<?> deadlineTimer;
     private ScheduledFuture<?> inactivityTimer;
 
-    Exchange(CallerServices services, CallerHandler connection, ChannelHandlerContext context, HttpRequest request) {
+    NodeExchange(
+            CallerServices services, CallerHandler connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
         this.connection = connection;
         this.context = context;
--- a/node/src/main/java/org/radishspur/node/control/NodeCore.java
+++ b/node/src/main/java/org/radishspur/node/control/NodeCore.java
@@ -34,7 +34,7 @@
     private final PeerConnections connections;
     private final ControlClient controlClient;
     private final PermitService permitService;
-    private final OwnerService ownerService;
+    private final PoolOwnerService ownerService;
     private final Optional<ReplicaRunner> replicaRunner;
     private final Optional<LeaderService> leaderService;
     private final AtomicLong nextPermitId = new AtomicLong();
@@ -65,7 +65,7 @@
         this.permitService =
                 new PermitService(loop, settings.node(), incarnation, this::send, connections::isConnected);
         this.ownerService =
-                new OwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
+                new PoolOwnerService(loop, settings.node() + '/' + incarnation, this::send, new LeaderReporter());
         this.replicaRunner = settings.isControl()
                 ? Optional.of(new ReplicaRunner(
                         ReplicaRunner.setupOf(settings),
@@ -415,7 +415,7 @@
     /**
      * Reports the findings of a queue's owner by committing commands.
      */
-    private final class LeaderReporter implements OwnerService.Reporter {
+    private final class LeaderReporter implements PoolOwnerService.Reporter {
         /** {@inheritDoc} */
         @Override
         public boolean isOwner(String pool) {
--- a/node/src/main/java/org/radishspur/node/control/OwnerService.java
+++ b/node/src/main/java/org/radishspur/node/control/PoolOwnerService.java
@@ -31,7 +31,7 @@
 /**
  * Runs the schedulers of the pools whose queues this node owns, and answers requests for permits from entry nodes.
  */
-final class OwnerService {
+final class PoolOwnerService {
     /** How long a new owner grants nothing, unless all entry nodes have registered their permits earlier. */
     private static final long REGISTRATION_WAIT_MICROS = 400_000;
     /** How long a permit may be in transit before it counts as lost if its entry node doesn't list it. */
@@ -56,7 +56,7 @@
     private Set<String> evacuatedDomains = Set.of();
     private boolean decisionScheduled;
 
-    OwnerService(ControlLoop loop, String ownerIdentity, LeaderService.Sender sender, Reporter reporter) {
+    PoolOwnerService(ControlLoop loop, String ownerIdentity, LeaderService.Sender sender, Reporter reporter) {
         this.loop = loop;
         this.ownerIdentity = ownerIdentity;
         this.sender = sender;
--- a/node/src/main/java/org/radishspur/node/entry/CallerExchange.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryExchange.java
@@ -32,7 +32,7 @@
  * organisation, requests a slot, sends the request to the granted upstream and retries on others where the route allows
  * that. The traffic thread owns it.
  */
-final class CallerExchange implements UpstreamSlot.Listener {
+final class EntryExchange implements UpstreamSlot.Listener {
     /** The share of the target latency that a caller's first try may wait for a slot; the rest is for the response. */
     private static final double FIRST_TRY_WAIT_SHARE = 0.5;
 
@@ -96,7 +96,7 @@
     private long firstMillis;
     private EventSplitter splitter;
 
-    CallerExchange(
+    EntryExchange(
             EntryServices services, FrontConnection connection, ChannelHandlerContext context, HttpRequest request) {
         this.services = services;
         this.response = new CallerResponse(services, connection, context, request);
--- a/node/src/main/java/org/radishspur/node/entry/EntryServices.java
+++ b/node/src/main/java/org/radishspur/node/entry/EntryServices.java
@@ -47,10 +47,10 @@
     private final EntryMetrics metrics;
     private final Transport transport;
     private final SlotClient slots;
-    private final RetryBudgets retryBudgets;
+    private final PoolRetryBudgets retryBudgets;
     private final VersionCounters versionCounters;
-    private final Map<CallerExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
-    private final Set<CallerExchange> running = new HashSet<>();
+    private final Map<EntryExchange, Runnable> awaitingConfirmation = new LinkedHashMap<>();
+    private final Set<EntryExchange> running = new HashSet<>();
     private final Map<String, Long> maxDeadlineMillis = new HashMap<>();
     private volatile ConfirmedView view = ConfirmedView.EMPTY;
     private volatile boolean confirmationAwaited;
@@ -72,7 +72,7 @@
         this.transport = transport;
         this.versionCounters = versionCounters;
         slots = new SlotClient(settings, transport.schedulers(), events);
-        retryBudgets = new RetryBudgets(
+        retryBudgets = new PoolRetryBudgets(
                 settings.bounds().retryShare(), settings.bounds().retrySlack());
     }
 
@@ -123,7 +123,7 @@
         checkScheduled = false;
         long now = now();
         slots.checkPending(now);
-        for (CallerExchange exchange : Set.copyOf(running)) {
+        for (EntryExchange exchange : Set.copyOf(running)) {
             exchange.checkSilence(now);
         }
         if (slots.hasPending() || !running.isEmpty()) {
@@ -154,12 +154,12 @@
     }
 
     /** Runs an action once the view is confirmed, unless the request ends sooner. */
-    void awaitConfirmation(CallerExchange exchange, Runnable action) {
+    void awaitConfirmation(EntryExchange exchange, Runnable action) {
         awaitingConfirmation.put(exchange, action);
         confirmationAwaited = true;
     }
 
-    void stopAwaitingConfirmation(CallerExchange exchange) {
+    void stopAwaitingConfirmation(EntryExchange exchange) {
         awaitingConfirmation.remove(exchange);
         confirmationAwaited = !awaitingConfirmation.isEmpty();
     }
@@ -175,12 +175,12 @@
     }
 
     /** Includes a request in the periodic check for a stalled response. */
-    void addRunning(CallerExchange exchange) {
+    void addRunning(EntryExchange exchange) {
         running.add(exchange);
         scheduleCheck();
     }
 
-    void removeRunning(CallerExchange exchange) {
+    void removeRunning(EntryExchange exchange) {
         running.remove(exchange);
     }
 
--- a/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
+++ b/node/src/main/java/org/radishspur/node/entry/ExchangeLog.java
@@ -11,9 +11,9 @@
     private static final int TIERS_PER_RANK = 16;
 
     private final EntryServices services;
-    private final CallerExchange exchange;
+    private final EntryExchange exchange;
 
-    ExchangeLog(EntryServices services, CallerExchange exchange) {
+    ExchangeLog(EntryServices services, EntryExchange exchange) {
         this.services = services;
         this.exchange = exchange;
     }
--- a/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
+++ b/node/src/main/java/org/radishspur/node/entry/FrontConnection.java
@@ -23,7 +23,7 @@
     private final EntryServices services;
     private final FrontServer server;
     private final Deque<HttpObject> queuedParts = new ArrayDeque<>();
-    private CallerExchange exchange;
+    private EntryExchange exchange;
     private long idleSince;
     private boolean closing;
 
@@ -66,7 +66,7 @@
             return;
         }
         if (part instanceof HttpRequest request) {
-            exchange = new CallerExchange(services, this, context, request);
+            exchange = new EntryExchange(services, this, context, request);
             exchange.begin();
         }
         if (part instanceof HttpContent content) {
@@ -116,7 +116,7 @@
         queuedParts.forEach(ReferenceCountUtil::release);
         queuedParts.clear();
         if (exchange != null) {
-            CallerExchange abandoned = exchange;
+            EntryExchange abandoned = exchange;
             exchange = null;
             abandoned.onCallerDisconnected();
         }
--- a/node/src/main/java/org/radishspur/node/entry/RetryBudgets.java
+++ b/node/src/main/java/org/radishspur/node/entry/PoolRetryBudgets.java
@@ -9,7 +9,7 @@
  * Holds the retry budget of each pool at one entry. The budgets of all entries together stay within the configured
  * limits.
  */
-final class RetryBudgets {
+final class PoolRetryBudgets {
     /** The minimum number of entries among which the slack is divided, used also while their number isn't known. */
     private static final int MIN_ENTRIES = 4;
 
@@ -30,7 +30,7 @@
     private final Map<String, RetryBudget> budgets = new HashMap<>();
     private int entryCount = MIN_ENTRIES;
 
-    RetryBudgets(double retryShare, int retrySlack) {
+    PoolRetryBudgets(double retryShare, int retrySlack) {
         this.retryShare = retryShare;
         this.retrySlack = retrySlack;
     }
--- a/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
+++ b/node/src/main/java/org/radishspur/node/entry/UpstreamAttempt.java
@@ -35,7 +35,7 @@
     /** The number of events of a stream after which the event time of a not yet measured upstream is reported early. */
     private static final long EARLY_REPORT_EVENTS = 6;
 
-    private final CallerExchange caller;
+    private final EntryExchange caller;
     private final EntryServices services;
     private final UpstreamSlot slot;
     private final UpstreamLoad upstream;
@@ -52,7 +52,7 @@
     private long longestPauseMillis;
     private final long eventsBeforeAttempt;
 
-    UpstreamAttempt(CallerExchange caller, EntryServices services, UpstreamSlot slot) {
+    UpstreamAttempt(EntryExchange caller, EntryServices services, UpstreamSlot slot) {
         this.caller = caller;
         this.services = services;
         this.slot = slot;
--- a/node/src/main/java/org/radishspur/node/group/ControlProcess.java
+++ b/node/src/main/java/org/radishspur/node/group/ControlProcess.java
@@ -22,7 +22,7 @@
 import org.radishspur.node.log.EventCode;
 import org.radishspur.node.log.EventLog;
 import org.radishspur.node.metrics.MetricsServer;
-import org.radishspur.node.schedule.SchedulerHost;
+import org.radishspur.node.schedule.SlotSchedulerService;
 import org.radishspur.node.settings.HostPort;
 import org.radishspur.node.settings.PlatformProcessSettings;
 import org.radishspur.node.supervise.Supervisor;
@@ -90,7 +90,7 @@
     private final MembershipManager membership;
     private final HostListReader hostListReader;
     private final ViewService viewService;
-    private final SchedulerHost schedulerHost;
+    private final SlotSchedulerService schedulerHost;
     private final Supervisor.Scheduler.ThreadScheduler timers = new Supervisor.Scheduler.ThreadScheduler();
     private final Supervisor supervisor;
     private final CountDownLatch failed = new CountDownLatch(1);
@@ -148,7 +148,7 @@
         viewService = new ViewService(loop, replica, membership, hostListReader, rollouts, metrics);
         OperatorService operatorService = new OperatorService(
                 loop, replica, viewService, operatorDialect, settings.operatorPort(), events, metrics);
-        schedulerHost = new SchedulerHost(
+        schedulerHost = new SlotSchedulerService(
                 settings,
                 cause -> failed.countDown(),
                 transportThreads.next(),
@@ -173,7 +173,7 @@
     /** {@inheritDoc} */
     @Override
     public void onMessage(Sender sender, FleetMessage message) {
-        if (SchedulerHost.handles(message)) {
+        if (SlotSchedulerService.handles(message)) {
             schedulerHost.onMessage(sender, message);
             return;
         }
--- a/node/src/main/java/org/radishspur/node/schedule/SchedulerHost.java
+++ b/node/src/main/java/org/radishspur/node/schedule/SlotSchedulerService.java
@@ -31,7 +31,7 @@
  * Runs the scheduler of a control host on the transport thread: grants slots to the entries that are attached, polls
  * the control leader as entries do, and exchanges load reports with the other schedulers.
  */
-public final class SchedulerHost implements FleetInbox, AutoCloseable {
+public final class SlotSchedulerService implements FleetInbox, AutoCloseable {
     /** The interval at which lost entries are detached and the queues are advanced, in milliseconds. */
     private static final long MAINTENANCE_INTERVAL_MILLIS = 50;
 
@@ -79,7 +79,7 @@
      * @param events receives structured events.
      * @param metrics the registry for the scheduler's metrics.
      */
-    public SchedulerHost(
+    public SlotSchedulerService(
             PlatformProcessSettings settings,
             Child.FailureListener failure,
             EventLoop traffic,
--- a/node/src/test/java/org/radishspur/node/entry/RetryBudgetsTest.java
+++ b/node/src/test/java/org/radishspur/node/entry/PoolRetryBudgetsTest.java
@@ -7,11 +7,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RetryBudgetsTest {
+class PoolRetryBudgetsTest {
     private static final double RETRY_SHARE = 0.2;
 
     private static int burst(int entries, int slack) {
-        RetryBudgets budgets = new RetryBudgets(RETRY_SHARE, slack);
+        PoolRetryBudgets budgets = new PoolRetryBudgets(RETRY_SHARE, slack);
         budgets.setEntryCount(entries);
         RetryBudget budget = budgets.forPool("pool");
         for (int request = 0; request < 10_000; request++) {
